--- a/badgerspindle/heritage.py
+++ b/badgerspindle/heritage.py
@@ -9,9 +9,7 @@
 
 from .handover import pack_mean, read
 from .interface import Health, Settings
-from .logic import Gateway
-
-OLD, NEW = 0.25, 0.75  # parts while both live: the old one only finishes what clients still send it
+from .logic import NEW, OLD, Gateway
 
 
 def bequeath(gateway: Gateway, now: int) -> dict[str, Any]:
--- a/badgerspindle/logic.py
+++ b/badgerspindle/logic.py
@@ -37,6 +37,7 @@
 ADVICE = SECOND // 5  # wait told to a refused client: longer left room unused, and floods do not heed it
 ADVICE_PART = 6  # ... of its aim at most: it runs on from the first try, and a later one is worth nothing
 EVERY_TICK, RETRY_LIST = 1, 2  # timer tokens
+OLD, NEW = 0.25, 0.75  # parts of what two processes share: the old one only finishes what still comes to it
 HOLD = TICK // 2  # wait for a home's answer: over a round trip between gateways, far below an aim
 
 
--- a/badgerspindle/net/gateway.py
+++ b/badgerspindle/net/gateway.py
@@ -37,7 +37,7 @@
     Topology,
     Watch,
 )
-from ..logic import Gateway
+from ..logic import NEW, OLD, Gateway
 from .backends import Attempt, Backends, Flow, ProbeAttempt, Report, monotonic_unix_ns
 from .clients import BadCall, Call, Clients, Relay, Slot
 from .config import Address, Config, needs_restart
@@ -254,7 +254,7 @@
     def bequeath(self) -> dict[str, Any]:
         """For the process that takes over; what this one holds open stays its own until it ends."""
         clients, backends = self.clients.count() + OLD_CLIENTS, self.backends.open + OLD_BACKENDS
-        self.clients.share(clients, heritage.OLD)
+        self.clients.share(clients, OLD)
         self.backends.share(backends)
         return {"list": self.discovery.known(), "clients": clients, "backends": backends,
                 "decisions": heritage.bequeath(self.module, self.now())}
@@ -268,7 +268,7 @@
         except (KeyError, TypeError, ValueError) as error:
             log.error("upgrade: starting without the state of the process before: %s", error)
             return
-        self.clients.share(self.clients.bound - clients, heritage.NEW)
+        self.clients.share(self.clients.bound - clients, NEW)
         self.backends.share(self.backends.most - backends)
         for backend in self.module.fleet.banned:
             self._out.add(backend)
