--- a/badgerspindle/__main__.py
+++ b/badgerspindle/__main__.py
@@ -44,9 +44,14 @@
     signal.pthread_sigmask(signal.SIG_UNBLOCK, HANGUP)
     try:
         await node.start()
-        log.info("started in %.2f s: program %.2f, settings %.2f, list and listening %.2f; order servers %s",
-                 time.monotonic() - BEGUN, imported - BEGUN, learning - imported, time.monotonic() - learning,
-                 "known" if node.ready() else "not known yet")
+        log.info(
+            "started in %.2f s: program %.2f, settings %.2f, list and listening %.2f; order servers %s",
+            time.monotonic() - BEGUN,
+            imported - BEGUN,
+            learning - imported,
+            time.monotonic() - learning,
+            "known" if node.ready() else "not known yet",
+        )
     except OSError as error:
         # An address that is taken, or not this machine's, is as much a wrong setting as one left out.
         raise ConfigError(f"cannot listen: {error}") from None
--- a/badgerspindle/fleet.py
+++ b/badgerspindle/fleet.py
@@ -8,7 +8,16 @@
 from math import ceil, log
 
 from .interface import (
-    AttemptEnded, Backend, Group, Health, ListKind, Outcome, Repeat, RequestClass, Settings, Topology,
+    AttemptEnded,
+    Backend,
+    Group,
+    Health,
+    ListKind,
+    Outcome,
+    Repeat,
+    RequestClass,
+    Settings,
+    Topology,
 )
 from .state import LONG, MEMORY, SECOND, Mean, Open, Server
 
@@ -113,9 +122,9 @@
         if (server := self.servers.get(backend)) is None:
             return
         at, inside = bisect_left(self.ring, backend), server.usable and backend not in self.banned
-        known = self.ring[at:at + 1] == [backend]
+        known = self.ring[at : at + 1] == [backend]
         if inside != known:
-            self.ring[at:at + known] = [backend] * inside
+            self.ring[at : at + known] = [backend] * inside
         started = max(server.entry.booted, server.cold_from) > 0
         (self.cold.add if inside and started else self.cold.discard)(backend)
         (self.unlisted.discard if server.listed else self.unlisted.add)(backend)
--- a/badgerspindle/handover.py
+++ b/badgerspindle/handover.py
@@ -70,15 +70,27 @@
     """Raises ValueError, with what is wrong, for what does not fit so many plans and classes."""
     try:
         stores = [
-            Store(int(c), int(p), int(n), tuple(map(int, peers)), int(out), float(level), float(part),
-                   float(ceiling), int(told), read_mean(seen), read_mean(granted))
+            Store(
+                int(c),
+                int(p),
+                int(n),
+                tuple(map(int, peers)),
+                int(out),
+                float(level),
+                float(part),
+                float(ceiling),
+                int(told),
+                read_mean(seen),
+                read_mean(granted),
+            )
             for c, p, n, peers, out, level, part, ceiling, told, seen, granted in raw["accounts"]
         ]
         if any(not 0 <= store.plan < plans for store in stores):
             raise ValueError("a plan that is not in the settings")
-        servers = [Seen(int(s), int(b), int(su), int(pause), int(f), float(t), int(at), int(cold),
-                         read_mean(slow))
-                   for s, b, su, pause, f, t, at, cold, slow in raw["servers"]]
+        servers = [
+            Seen(int(s), int(b), int(su), int(pause), int(f), float(t), int(at), int(cold), read_mean(slow))
+            for s, b, su, pause, f, t, at, cold, slow in raw["servers"]
+        ]
         banned = {int(number): int(since) for number, since in raw["banned"]}
         sends = read_mean(raw["sends"])
         latency = [read_mean(each) for each in raw["latency"]]
--- a/badgerspindle/heritage.py
+++ b/badgerspindle/heritage.py
@@ -18,24 +18,49 @@
     accounts, servers = [], []
     for account in quota.accounts.values():
         quota.refill(now, account)
-        accounts.append([
-            account.customer, account.index, account.slices, list(account.peers),
-            account.open + account.others * (now - account.open_at < 10**9), account.level,
-            account.part * NEW, account.ceiling * NEW, account.told_at, pack_mean(account.seen),
-            pack_mean(account.granted),
-        ])
+        accounts.append(
+            [
+                account.customer,
+                account.index,
+                account.slices,
+                list(account.peers),
+                account.open + account.others * (now - account.open_at < 10**9),
+                account.level,
+                account.part * NEW,
+                account.ceiling * NEW,
+                account.told_at,
+                pack_mean(account.seen),
+                pack_mean(account.granted),
+            ]
+        )
         account.part, account.ceiling = account.part * OLD, account.ceiling * OLD
         if quota.gossip:  # elsewhere the level is what home or counter told, and one over all processes
             accounts[-1][5], account.level = account.level * NEW, account.level * OLD
     for known, server in fleet.servers.items():
-        servers.append([known, server.entry.booted, server.suspended, server.pause, server.fails,
-                        server.tokens, server.banned_at, server.cold_from, pack_mean(server.slow)])
+        servers.append(
+            [
+                known,
+                server.entry.booted,
+                server.suspended,
+                server.pause,
+                server.fails,
+                server.tokens,
+                server.banned_at,
+                server.cold_from,
+                pack_mean(server.slow),
+            ]
+        )
         server.tokens = 0.0
     quota.kept = fleet.kept = OLD
     return {
-        "accounts": accounts, "servers": servers, "banned": sorted(fleet.banned.items()),
-        "sends": pack_mean(fleet.worked), "latency": [pack_mean(mean) for mean in model.latency],
-        "shortest": model.shortest, "pace": quota.pace, "retries": gateway.retries * NEW,
+        "accounts": accounts,
+        "servers": servers,
+        "banned": sorted(fleet.banned.items()),
+        "sends": pack_mean(fleet.worked),
+        "latency": [pack_mean(mean) for mean in model.latency],
+        "shortest": model.shortest,
+        "pace": quota.pace,
+        "retries": gateway.retries * NEW,
         "leases": [[c, sorted(a.leases.items())] for c, a in quota.accounts.items() if a.leases],
     }
 
--- a/badgerspindle/interface.py
+++ b/badgerspindle/interface.py
@@ -235,7 +235,15 @@
 
 
 Event = (
-    LeaveOut | Topology | Arrival | Begun | AttemptEnded | ClientLeft | TimerFired | Probed | PeerMessage
+    LeaveOut
+    | Topology
+    | Arrival
+    | Begun
+    | AttemptEnded
+    | ClientLeft
+    | TimerFired
+    | Probed
+    | PeerMessage
     | Counted
 )
 
@@ -333,6 +341,16 @@
 
 
 Action = (
-    Send | Refuse | Fail | Cancel | SetTimer | Probe
-    | CloseIdle | Tell | AddToCounter | Watch | Fetch | LogLine
+    Send
+    | Refuse
+    | Fail
+    | Cancel
+    | SetTimer
+    | Probe
+    | CloseIdle
+    | Tell
+    | AddToCounter
+    | Watch
+    | Fetch
+    | LogLine
 )
--- a/badgerspindle/logic.py
+++ b/badgerspindle/logic.py
@@ -11,9 +11,32 @@
 
 from .fleet import Fleet, repeat_filter, repeat_until
 from .interface import (
-    NEVER_RAN, Action, Arrival, AttemptEnded, Begun, Cancel, ClientLeft, CloseIdle, Counted, Event, Fail,
-    Group, LeaveOut, ListKind, LogLine, Outcome, PeerMessage, Refuse, Repeat, Send, SetTimer, Settings, Tell,
-    TimerFired, Topology, Watch,
+    NEVER_RAN,
+    Action,
+    Arrival,
+    AttemptEnded,
+    Begun,
+    Cancel,
+    ClientLeft,
+    CloseIdle,
+    Counted,
+    Event,
+    Fail,
+    Group,
+    LeaveOut,
+    ListKind,
+    LogLine,
+    Outcome,
+    PeerMessage,
+    Refuse,
+    Repeat,
+    Send,
+    SetTimer,
+    Settings,
+    Tell,
+    TimerFired,
+    Topology,
+    Watch,
 )
 from .mail import Kind
 from .model import TARGET, QueueModel, seven_cases
@@ -97,7 +120,8 @@
         outstanding = [  # overtaken, others wait in no shared queue: lost answers are no overload
             (r.arrival.cls, now - r.sent_at)
             for r in self.open.values()
-            if r.sends and not self.fleet.newest - r.sent_at > usual[r.arrival.cls] > 0.0
+            if r.sends
+            and not self.fleet.newest - r.sent_at > usual[r.arrival.cls] > 0.0
             and not self.fleet.silent(r.backend, r.sent_at)
         ]
         self.lost = len(self.open) - len(self.held) - len(outstanding)
--- a/badgerspindle/net/backends.py
+++ b/badgerspindle/net/backends.py
@@ -63,12 +63,29 @@
 class Attempt:
     """One try of one request at one backend."""
 
-    __slots__ = ("backend", "before", "begun", "expires", "index", "link", "over", "parts", "request",
-                 "started", "timer")
+    __slots__ = (
+        "backend",
+        "before",
+        "begun",
+        "expires",
+        "index",
+        "link",
+        "over",
+        "parts",
+        "request",
+        "started",
+        "timer",
+    )
 
     def __init__(
-        self, request: int, index: int, backend: int, started: int, expires: int,
-        parts: tuple[tuple[bytes, ...], bytes, bytes, tuple[bytes, ...]], before: int = 0,
+        self,
+        request: int,
+        index: int,
+        backend: int,
+        started: int,
+        expires: int,
+        parts: tuple[tuple[bytes, ...], bytes, bytes, tuple[bytes, ...]],
+        before: int = 0,
     ) -> None:
         self.request, self.index, self.backend = request, index, backend
         self.started, self.expires = started, expires
@@ -146,8 +163,24 @@
 class _Link(asyncio.Protocol):
     """One connection; its attempt's bytes are known to be out once the write buffer is empty."""
 
-    __slots__ = ("age", "attempt", "frames", "heard_at", "idle_at", "left", "paused", "pool", "reader",
-                 "sink", "skip", "task", "timer", "transport", "unsent", "written_at")
+    __slots__ = (
+        "age",
+        "attempt",
+        "frames",
+        "heard_at",
+        "idle_at",
+        "left",
+        "paused",
+        "pool",
+        "reader",
+        "sink",
+        "skip",
+        "task",
+        "timer",
+        "transport",
+        "unsent",
+        "written_at",
+    )
 
     def __init__(self, pool: _Pool, attempt: Attempt) -> None:
         self.pool = pool
@@ -237,11 +270,11 @@
                 self.drop()
                 self.pool.finish(attempt, Outcome.CANCELLED)
                 return False
-        part = data[at:at + self.left]
+        part = data[at : at + self.left]
         self.left, at = self.left - len(part), at + len(part)
         skip = min(self.skip, len(data) - at)
         self.skip -= skip
-        self.reader.feed(data[at + skip:])
+        self.reader.feed(data[at + skip :])
         if part:
             self.sink.write(part)
         return self.attempt is attempt  # the client may have gone over it
@@ -344,7 +377,7 @@
             if line == words:
                 return outcome, None, {}
             if line.startswith(words + " "):
-                return outcome, None, _read_all(line[len(words) + 1:].encode().split(b" "))
+                return outcome, None, _read_all(line[len(words) + 1 :].encode().split(b" "))
     raise Spoilt(f"{answer!r:.80}")
 
 
@@ -447,8 +480,15 @@
     """All pools, bounded together so that descriptors never run out."""
 
     def __init__(
-        self, most: int, connect_timeout: float, idle_limit: float, drain_grace: float,
-        clock: Callable[[], int], done: Done, figures: Figures, begun: Begun,
+        self,
+        most: int,
+        connect_timeout: float,
+        idle_limit: float,
+        drain_grace: float,
+        clock: Callable[[], int],
+        done: Done,
+        figures: Figures,
+        begun: Begun,
         wanted: Wanted = lambda attempt: True,
     ) -> None:
         self.loop = asyncio.get_running_loop()
--- a/badgerspindle/net/clients.py
+++ b/badgerspindle/net/clients.py
@@ -65,12 +65,36 @@
 class Call:
     """One request as a client put it."""
 
-    __slots__ = ("body", "cls", "customer", "first", "front", "head", "id", "options", "plan", "spread",
-                 "tail", "units", "wait_ms")
+    __slots__ = (
+        "body",
+        "cls",
+        "customer",
+        "first",
+        "front",
+        "head",
+        "id",
+        "options",
+        "plan",
+        "spread",
+        "tail",
+        "units",
+        "wait_ms",
+    )
 
     def __init__(
-        self, front: tuple[bytes, ...], head: bytes, tail: bytes, body: tuple[bytes, ...], cls: int,
-        plan: int, customer: int, wait_ms: int, units: float, spread: int, first: int, options: int,
+        self,
+        front: tuple[bytes, ...],
+        head: bytes,
+        tail: bytes,
+        body: tuple[bytes, ...],
+        cls: int,
+        plan: int,
+        customer: int,
+        wait_ms: int,
+        units: float,
+        spread: int,
+        first: int,
+        options: int,
     ) -> None:
         self.front, self.head, self.tail, self.body = front, head, tail, body
         self.id = front[2]
@@ -82,8 +106,10 @@
     """Names of classes and plans, for reading calls."""
 
     def __init__(self, config: Config) -> None:
-        self._classes = {name: (i, c.repeat) for i, (name, c) in
-                         enumerate(zip(config.classes, config.settings.classes, strict=True))}
+        self._classes = {
+            name: (i, c.repeat)
+            for i, (name, c) in enumerate(zip(config.classes, config.settings.classes, strict=True))
+        }
         self._plans = {name: i for i, name in enumerate(config.plans)}
         self._gateways, self._largest = config.settings.gateways, max(1.0, config.settings.largest)
 
@@ -118,7 +144,7 @@
         if b"d" not in named:
             raise BadCall("d missing")
         at = next(i for i, pair in enumerate(pairs) if pair[0] == b"d")
-        before, after = b",".join(items[:at]), b",".join(items[at + 1:])
+        before, after = b",".join(items[:at]), b",".join(items[at + 1 :])
         return Call(
             front=(args[0], args[1], args[2]),
             head=before + b"," if before else b"",
@@ -214,8 +240,24 @@
     """One client's connection."""
 
     __slots__ = (
-        "_blocked", "_end", "_ending", "_frames", "_half", "_late", "_lingering", "_owner", "_read_on",
-        "_reader", "_rest", "_rest_at", "_taking", "_transport", "_unsent", "said", "seen", "slots",
+        "_blocked",
+        "_end",
+        "_ending",
+        "_frames",
+        "_half",
+        "_late",
+        "_lingering",
+        "_owner",
+        "_read_on",
+        "_reader",
+        "_rest",
+        "_rest_at",
+        "_taking",
+        "_transport",
+        "_unsent",
+        "said",
+        "seen",
+        "slots",
     )
 
     def __init__(self, owner: Clients) -> None:
--- a/badgerspindle/net/config.py
+++ b/badgerspindle/net/config.py
@@ -108,8 +108,9 @@
 
 def needs_restart(old: Config, new: Config) -> list[str]:
     """What a new configuration changes that a running gateway does not take up."""
-    return [f.name for f in fields(Config)
-            if f.name not in LIVE and getattr(old, f.name) != getattr(new, f.name)]
+    return [
+        f.name for f in fields(Config) if f.name not in LIVE and getattr(old, f.name) != getattr(new, f.name)
+    ]
 
 
 def reload(environment: Mapping[str, str]) -> Config:
@@ -168,7 +169,9 @@
         known=known if isinstance(known, dict) else None,
         # Without a counter's address the module goes by its even slices.
         settings=replace(
-            settings, counter=counter is not None, may_message=settings.may_message and bool(peer_listen),
+            settings,
+            counter=counter is not None,
+            may_message=settings.may_message and bool(peer_listen),
             lease=_lease(raw),
         ),
         classes=_name_keys(nested, "classes"),
--- a/badgerspindle/net/counter.py
+++ b/badgerspindle/net/counter.py
@@ -173,8 +173,11 @@
         """Calls of one name stand on one connection, or their answers could overtake one another."""
         at, out = self._at.get(bump.name, (None, 0))
         if at is None:
-            at = min((line for line in self._lines if line.usable()),
-                     key=lambda line: len(line.waiting), default=None)
+            at = min(
+                (line for line in self._lines if line.usable()),
+                key=lambda line: len(line.waiting),
+                default=None,
+            )
         elif at not in self._lines or not at.usable():
             return False
         if at is None:
--- a/badgerspindle/net/discovery.py
+++ b/badgerspindle/net/discovery.py
@@ -132,8 +132,13 @@
     """Keeps one watch open. The list last told goes on serving while there is none."""
 
     def __init__(
-        self, agent: Address, zones: tuple[str, ...], kinds: tuple[str, ...], index: int | None,
-        told: Callable[[Update], None], drain_grace: float = 2 * BACKOFF_MOST,
+        self,
+        agent: Address,
+        zones: tuple[str, ...],
+        kinds: tuple[str, ...],
+        index: int | None,
+        told: Callable[[Update], None],
+        drain_grace: float = 2 * BACKOFF_MOST,
     ) -> None:
         self._agent = agent
         self._pacing = Pacing(drain_grace, random.Random())
@@ -266,7 +271,8 @@
             self._transport.abort()  # it came up after nobody waited for it any more
             return
         request = h11.Request(
-            method="GET", target=f"/api/targets?stream=1&index={self._index or 0}",
+            method="GET",
+            target=f"/api/targets?stream=1&index={self._index or 0}",
             headers=[("Host", self._host), ("Accept", "application/json")],
         )
         out = (self._http.send(request) or b"") + (self._http.send(h11.EndOfMessage()) or b"")
--- a/badgerspindle/net/figures.py
+++ b/badgerspindle/net/figures.py
@@ -44,7 +44,8 @@
     """The figures as lines of `name:value|kind`."""
     lines = [
         f"{PREFIX}.handled.{name}.{how.value}:{n}|c"
-        for name, ends in zip(figures.classes, figures.ended, strict=True) for how, n in ends.items()
+        for name, ends in zip(figures.classes, figures.ended, strict=True)
+        for how, n in ends.items()
     ]
     lines.append(f"{PREFIX}.upstream_tries:{figures.tries}|c")
     lines += [
--- a/badgerspindle/net/gateway.py
+++ b/badgerspindle/net/gateway.py
@@ -104,14 +104,24 @@
         spare = max(16, config.sockets - RESERVED)
         settings = config.settings
         self.backends = Backends(
-            int(spare * BACKEND_PART), config.connect_timeout / SECOND, config.connection_idle / SECOND,
-            settings.drain_grace / SECOND, self.now, self._attempt_ended, self._figures,
-            self._begun, self._wanted,
+            int(spare * BACKEND_PART),
+            config.connect_timeout / SECOND,
+            config.connection_idle / SECOND,
+            settings.drain_grace / SECOND,
+            self.now,
+            self._attempt_ended,
+            self._figures,
+            self._begun,
+            self._wanted,
         )
         self.clients = Clients(config, self, spare - int(spare * BACKEND_PART))
         self.peers = Peers(config.peers, config.peers_all, settings.position, self.heard)
-        self.counter = None if config.counter is None else QuotaCounter(
-            config.counter, config.counter_timeout / SECOND, config.connect_timeout / SECOND, self.counted
+        self.counter = (
+            None
+            if config.counter is None
+            else QuotaCounter(
+                config.counter, config.counter_timeout / SECOND, config.connect_timeout / SECOND, self.counted
+            )
         )
         index = None
         if config.known is not None:
@@ -160,9 +170,16 @@
         """One line for the operators, which shows trouble that no single attempt does."""
         ends = ", ".join(f"{outcome.name} {n}" for outcome, n in sorted(self._ends.items()))
         counts = ", ".join(f"{outcome.name} {n}" for outcome, n in sorted(self._counts.items()))
-        log.info("attempts: %s; counter: %s; requests %d, connections of clients %d, to backends %d, "
-                 "of these idle %d", ends or "none", counts or "none", len(self._requests),
-                 self.clients.count(), self.backends.open, self.backends.idle())
+        log.info(
+            "attempts: %s; counter: %s; requests %d, connections of clients %d, to backends %d, "
+            "of these idle %d",
+            ends or "none",
+            counts or "none",
+            len(self._requests),
+            self.clients.count(),
+            self.backends.open,
+            self.backends.idle(),
+        )
         self._ends.clear()
         self._counts.clear()
         self._teller = self._loop.call_later(TALLY, self._tally)
@@ -256,8 +273,12 @@
         clients, backends = self.clients.count() + OLD_CLIENTS, self.backends.open + OLD_BACKENDS
         self.clients.share(clients, OLD)
         self.backends.share(backends)
-        return {"list": self.discovery.known(), "clients": clients, "backends": backends,
-                "decisions": heritage.bequeath(self.module, self.now())}
+        return {
+            "list": self.discovery.known(),
+            "clients": clients,
+            "backends": backends,
+            "decisions": heritage.bequeath(self.module, self.now()),
+        }
 
     def _inherit(self, state: dict[str, Any]) -> None:
         try:
@@ -304,8 +325,17 @@
         slot.request = number
         self._requests[number] = request
         self._handle(
-            Arrival(number, call.cls, call.plan, call.customer, valid_until, call.units, call.spread,
-                    call.first, call.options),
+            Arrival(
+                number,
+                call.cls,
+                call.plan,
+                call.customer,
+                valid_until,
+                call.units,
+                call.spread,
+                call.first,
+                call.options,
+            ),
             number,
         )
         if number in self._requests:
@@ -402,9 +432,7 @@
         # The module's figure is one more than the percentage; 0 says that none was told.
         used = 1 + min(USED_MOST, int(report["used"])) if "used" in report else 0
         over = request.closed or request.bound is not None
-        event = AttemptEnded(
-            number, over, 0, attempt.backend, used, outcome, elapsed, attempt.index, load
-        )
+        event = AttemptEnded(number, over, 0, attempt.backend, used, outcome, elapsed, attempt.index, load)
         self._handle(event, number)
         self._forget(number, request)
 
@@ -489,8 +517,15 @@
         timeout = action.timeout / SECOND if 0 < action.timeout < left else None
         expires = now + (action.timeout if timeout is not None else left)
         call = request.call
-        attempt = Attempt(action.request, index, action.backend, now, expires,
-                          (call.front, call.head, call.tail, call.body), action.before)
+        attempt = Attempt(
+            action.request,
+            index,
+            action.backend,
+            now,
+            expires,
+            (call.front, call.head, call.tail, call.body),
+            action.before,
+        )
         request.out[index] = attempt
         self.backends.start(attempt, timeout)
 
--- a/badgerspindle/net/operators.py
+++ b/badgerspindle/net/operators.py
@@ -42,8 +42,12 @@
         self.status = status
 
 
-_CALLS = {"/ops/readiness": "GET", "/ops/stats": "GET", "/ops/order-servers/down": "POST",
-          "/ops/order-servers/up": "POST"}
+_CALLS = {
+    "/ops/readiness": "GET",
+    "/ops/stats": "GET",
+    "/ops/order-servers/down": "POST",
+    "/ops/order-servers/up": "POST",
+}
 
 
 class _Caller(asyncio.Protocol):
@@ -124,8 +128,11 @@
         if transport.is_closing():
             return
         if self._http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-            headers = [("Content-Type", "text/plain; charset=utf-8"), ("Content-Length", str(len(text))),
-                       ("Connection", "close")]
+            headers = [
+                ("Content-Type", "text/plain; charset=utf-8"),
+                ("Content-Length", str(len(text))),
+                ("Connection", "close"),
+            ]
             if status == 405:
                 headers.append(("Allow", _CALLS[self._call()[0]]))
             self._write(self._http.send(h11.Response(status_code=status, headers=headers)))
@@ -215,8 +222,11 @@
         except Exception:
             log.exception("order server %r could not be %s", name, "left out" if out else "used again")
             return caller.answer(500, b"internal fault\n")
-        log.warning("operators: order server %.80s %s", name,
-                    "is not known" if not known else "is left out" if out else "is used again")
+        log.warning(
+            "operators: order server %.80s %s",
+            name,
+            "is not known" if not known else "is left out" if out else "is used again",
+        )
         caller.answer(200 if known else 404, b"done\n" if known else b"no such order server\n")
 
     def close(self) -> None:
--- a/badgerspindle/net/peers.py
+++ b/badgerspindle/net/peers.py
@@ -17,7 +17,10 @@
     """The UDP socket that all messages to and from other gateways go through."""
 
     def __init__(
-        self, peers: tuple[Address, ...], everyone: Address | None, me: int,
+        self,
+        peers: tuple[Address, ...],
+        everyone: Address | None,
+        me: int,
         heard: Callable[[int, bytes], None],
     ) -> None:
         self._peers = peers
--- a/badgerspindle/net/resp.py
+++ b/badgerspindle/net/resp.py
@@ -50,7 +50,7 @@
                     return -1
             else:
                 end = data.find(b"\n", at, at + LINE_MOST)
-                line = self._part + (data[at:end + 1] if end >= 0 else data[at:at + LINE_MOST])
+                line = self._part + (data[at : end + 1] if end >= 0 else data[at : at + LINE_MOST])
                 if end < 0:
                     if len(line) >= LINE_MOST:
                         raise FrameError("line too long")
@@ -65,7 +65,7 @@
                         self.large, self.large_at = length, at
                     end = at + length + 2
                     if end <= size:  # the usual case: the value has come whole
-                        if data[end - 2:end] != b"\r\n":
+                        if data[end - 2 : end] != b"\r\n":
                             raise FrameError("value longer than its length")
                         at = end
                     else:
@@ -82,7 +82,7 @@
         at, self._value = at + take, self._value - take
         if self._value == 0:
             take = 2 - len(self._part)
-            self._part += data[at:at + take]
+            self._part += data[at : at + take]
             at = min(len(data), at + take)
             if not b"\r\n".startswith(self._part):
                 raise FrameError("value longer than its length")
--- a/badgerspindle/net/succession.py
+++ b/badgerspindle/net/succession.py
@@ -56,7 +56,7 @@
         try:
             while (end := self._rest.find(b"\n")) >= 0:
                 line = bytes(self._rest[:end])
-                del self._rest[:end + 1]
+                del self._rest[: end + 1]
                 self._line(json.loads(line))
             if len(self._rest) > LINE_MOST:
                 raise ValueError("line too long")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -82,7 +82,11 @@
 
 
 def ended(
-    request: int, server: int, outcome: Outcome = Outcome.OK, attempt: int = 0, elapsed: int = 100 * MS,
+    request: int,
+    server: int,
+    outcome: Outcome = Outcome.OK,
+    attempt: int = 0,
+    elapsed: int = 100 * MS,
     finished: bool | None = None,
 ) -> AttemptEnded:
     over = outcome is Outcome.OK if finished is None else finished
--- a/tests/scale/added.py
+++ b/tests/scale/added.py
@@ -102,8 +102,12 @@
 async def standing_in(n: int) -> AsyncIterator[dict[str, int]]:
     """The ports of a stand-in process that lists so many order servers; what it counted once it is over."""
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "tests.scale.stand_in", str(n),
-        stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
+        sys.executable,
+        "-m",
+        "tests.scale.stand_in",
+        str(n),
+        stdin=asyncio.subprocess.PIPE,
+        stdout=asyncio.subprocess.PIPE,
     )
     try:
         assert process.stdout is not None and process.stdin is not None
@@ -119,18 +123,27 @@
 
 def configuration(ports: dict[str, int], counter: bool, lease: int) -> dict[str, Any]:
     changes = {
-        "zones": list(ZONES), "kinds": list(KINDS), "replicasOfMe": DESIGN.gateways,
+        "zones": list(ZONES),
+        "kinds": list(KINDS),
+        "replicasOfMe": DESIGN.gateways,
         "limits__peerMessages": False,
-        "limits__probes": False, "familyInfo__counter": counter, "familyInfo__counterTimeout": 80_000_000,
+        "limits__probes": False,
+        "familyInfo__counter": counter,
+        "familyInfo__counterTimeout": 80_000_000,
     }
     made = nested_settings(**changes)
     made["classes"][0]["name"] = "lookup"
     made["packages"][0] |= {"quotaRate": 14.2, "mostAtOnce": 57.0}
     return {
-        "name": "n0", "listen": f"{LOCAL}:0", "discovery": f"{LOCAL}:{ports['agent']}",
+        "name": "n0",
+        "listen": f"{LOCAL}:0",
+        "discovery": f"{LOCAL}:{ports['agent']}",
         "seed": "8c1f30d27a5be964",
-        "limits": {"sockets": 4096, "memory_mb": 128}, "peers": [], "settings": made,
-        "counter": f"{LOCAL}:{ports['counter']}" if counter else None, "quota_lease_s": lease,
+        "limits": {"sockets": 4096, "memory_mb": 128},
+        "peers": [],
+        "settings": made,
+        "counter": f"{LOCAL}:{ports['counter']}" if counter else None,
+        "quota_lease_s": lease,
     }
 
 
@@ -161,7 +174,10 @@
         path.write_text(json.dumps(configuration(ports, counter, lease)))
         began = time.perf_counter()
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "badgerspindle", stderr=asyncio.subprocess.PIPE,
+            sys.executable,
+            "-m",
+            "badgerspindle",
+            stderr=asyncio.subprocess.PIPE,
             env={**os.environ, "ROUTER_CONFIG": str(path), "TMPDIR": folder},
         )
         drain = None
@@ -191,7 +207,8 @@
 
 
 CASES = (
-    Case("12 listed", 12, False), Case("7,100 listed", DESIGN.order_servers, False),
+    Case("12 listed", 12, False),
+    Case("7,100 listed", DESIGN.order_servers, False),
     Case("7,100 listed, counter", DESIGN.order_servers, True),
     Case("7,100 listed, leases of 50 s", DESIGN.order_servers, True, 50),
 )
@@ -213,16 +230,44 @@
                 memory = rss_kb(running.pid) / 1024
         extra = [through.quantile(p) - straight.quantile(p) for p in (50, 90, 99)]
         n, asked = len(through.spans), len(through.lag) + len(first.lag)
-        rows.append([
-            case.label, n, through.refused, through.failed, straight.quantile(50), straight.quantile(99),
-            *extra, 1000 * spent / max(1, len(through.lag)), 100 * spent / seconds, memory,
-            ports["connections"] - 8, ports["calls"] / asked, 1000 * quantiles(through.lag, n=100)[98],
-        ])
-    timed(f"A real gateway process at {RATE:.0f} requests/s", (
-        "case", "served", "refused", "failed", "straight p50 (ms)", "straight p99 (ms)", "added p50 (ms)",
-        "added p90 (ms)", "added p99 (ms)", "CPU a request (ms)", "CPU (% of a core)", "RSS (MB)",
-        "connections opened", "counter calls/request", "client late p99 (ms)",
-    ), rows)
+        rows.append(
+            [
+                case.label,
+                n,
+                through.refused,
+                through.failed,
+                straight.quantile(50),
+                straight.quantile(99),
+                *extra,
+                1000 * spent / max(1, len(through.lag)),
+                100 * spent / seconds,
+                memory,
+                ports["connections"] - 8,
+                ports["calls"] / asked,
+                1000 * quantiles(through.lag, n=100)[98],
+            ]
+        )
+    timed(
+        f"A real gateway process at {RATE:.0f} requests/s",
+        (
+            "case",
+            "served",
+            "refused",
+            "failed",
+            "straight p50 (ms)",
+            "straight p99 (ms)",
+            "added p50 (ms)",
+            "added p90 (ms)",
+            "added p99 (ms)",
+            "CPU a request (ms)",
+            "CPU (% of a core)",
+            "RSS (MB)",
+            "connections opened",
+            "counter calls/request",
+            "client late p99 (ms)",
+        ),
+        rows,
+    )
 
 
 async def readiness(repeats: int = REPEATS) -> None:
@@ -236,9 +281,17 @@
                     spans.append(running.ready)
                     memory.append(rss_kb(running.pid) / 1024)
             rows.append([n, median(spans), min(spans), max(spans), median(memory)])
-    timed("From the start of a process to its first PONG", (
-        "order servers", "median (s)", "min (s)", "max (s)", "RSS then (MB)",
-    ), rows)
+    timed(
+        "From the start of a process to its first PONG",
+        (
+            "order servers",
+            "median (s)",
+            "min (s)",
+            "max (s)",
+            "RSS then (MB)",
+        ),
+        rows,
+    )
 
 
 def main(words: Sequence[str] = ()) -> None:
--- a/tests/scale/counter.py
+++ b/tests/scale/counter.py
@@ -15,8 +15,19 @@
 from math import ceil
 
 from badgerspindle.interface import (
-    AddToCounter, Arrival, AttemptEnded, Cancel, Counted, Event, ListKind, Outcome, Plan, Send, SetTimer,
-    Settings, TimerFired,
+    AddToCounter,
+    Arrival,
+    AttemptEnded,
+    Cancel,
+    Counted,
+    Event,
+    ListKind,
+    Outcome,
+    Plan,
+    Send,
+    SetTimer,
+    Settings,
+    TimerFired,
 )
 from badgerspindle.logic import Gateway
 
@@ -34,10 +45,23 @@
 PLANS = (
     # A tenant's mean quota is 14.2/s: with the uses below, 11,000 of them offer 97,000 requests a second.
     plan(name="basic", rate=6.7, burst=26.8, over_cost=0.5),
-    plan(name="limited", rate=16.1, burst=64.4, open_limit=ceil(2.6 * 16.1 * WORK / SECOND),
-         over_worth=0.2, over_cost=0.0),
-    plan(name="ceiled", rate=53.6, burst=107.2, over_cost=0.5, ceiling_rate=117.9, ceiling_burst=235.8,
-         ceiling_slack=11.8),
+    plan(
+        name="limited",
+        rate=16.1,
+        burst=64.4,
+        open_limit=ceil(2.6 * 16.1 * WORK / SECOND),
+        over_worth=0.2,
+        over_cost=0.0,
+    ),
+    plan(
+        name="ceiled",
+        rate=53.6,
+        burst=107.2,
+        over_cost=0.5,
+        ceiling_rate=117.9,
+        ceiling_burst=235.8,
+        ceiling_slack=11.8,
+    ),
 )
 
 
@@ -140,8 +164,13 @@
     made = []
     for i in range(n):
         part = (i + 0.5) / n  # by strata: the sum hardly hangs on the seed
-        made.append(0.15 + 0.35 * part / 0.78 if part < 0.78 else
-                    0.85 + 0.15 * (part - 0.78) / 0.18 if part < 0.96 else 5.0)
+        made.append(
+            0.15 + 0.35 * part / 0.78
+            if part < 0.78
+            else 0.85 + 0.15 * (part - 0.78) / 0.18
+            if part < 0.96
+            else 5.0
+        )
     rng.shuffle(made)
     return made
 
@@ -150,13 +179,14 @@
     gateways: int, n: int, requests_per_s: float, plans: Sequence[Plan], rng: random.Random
 ) -> list[Tenant]:
     """Tenants that together ask for so much, by the shares of three plans, each on a set of its own."""
-    kinds = [sum((i + 0.5) / n >= sum(SHARES[:k + 1]) for k in range(len(SHARES) - 1)) for i in range(n)]
+    kinds = [sum((i + 0.5) / n >= sum(SHARES[: k + 1]) for k in range(len(SHARES) - 1)) for i in range(n)]
     asked: list[tuple[int, float]] = []
     for kind, each in enumerate(plans):
         asked += [(kind, use * each.rate) for use in uses(kinds.count(kind), rng)]
     scale = requests_per_s / sum(demand for _, demand in asked)
-    return [Tenant(i, kind, rng.randrange(gateways), demand * scale)
-            for i, (kind, demand) in enumerate(asked)]
+    return [
+        Tenant(i, kind, rng.randrange(gateways), demand * scale) for i, (kind, demand) in enumerate(asked)
+    ]
 
 
 class Counter:
@@ -179,8 +209,11 @@
 
     def call(self, now: int, gateway: int, action: AddToCounter) -> Counted:
         """What the gateway is told, and after how long."""
-        on = {spell.fault for spell in self.spells
-              if spell.start * SECOND <= now < spell.end * SECOND and spell.first <= gateway < spell.last}
+        on = {
+            spell.fault
+            for spell in self.spells
+            if spell.start * SECOND <= now < spell.end * SECOND and spell.first <= gateway < spell.last
+        }
         for spell in self.spells:
             if spell.fault is Fault.EMPTY and now >= spell.start * SECOND and spell not in self.emptied:
                 self.emptied.add(spell)
@@ -208,9 +241,18 @@
 
 
 def simulate(
-    gateways: int, n_tenants: int, requests_per_s: float, capacity: float | None = None,
-    meter: bool = False, seconds: float = 8.0, after: float = 3.0, seed: int = 1,
-    spells: Sequence[Spell] = (), make: Make = Gateway, spread: int = SPREAD, plans: Sequence[Plan] = PLANS,
+    gateways: int,
+    n_tenants: int,
+    requests_per_s: float,
+    capacity: float | None = None,
+    meter: bool = False,
+    seconds: float = 8.0,
+    after: float = 3.0,
+    seed: int = 1,
+    spells: Sequence[Spell] = (),
+    make: Make = Gateway,
+    spread: int = SPREAD,
+    plans: Sequence[Plan] = PLANS,
     restarts: Sequence[tuple[float, int]] = (),
 ) -> Result:
     """Counts from `after` to `seconds` (both s of the virtual clock); `capacity` in calls a second.
@@ -219,7 +261,10 @@
     """
     rng, spread = random.Random(seed), min(spread, gateways)
     base = settings(
-        gateways=gateways, may_message=False, counter=True, plans=tuple(plans),
+        gateways=gateways,
+        may_message=False,
+        counter=True,
+        plans=tuple(plans),
         meter_period=METER if meter else 0,
     )
     fleet = [make(replace(base, position=i), i + 7, 0) for i in range(gateways)]
@@ -320,15 +365,34 @@
 SIZES = ((6, 140, 1200.0), (12, 275, 2400.0), (24, 550, 4850.0), (48, 1100, 9700.0))
 LIMIT = 750.0  # calls a second that the counter takes
 COLUMNS = (
-    "counter", "meter", "gateways", "requests/s", "calls/s", "calls/request", "answered/s", "turned away/s",
-    "granted (part)", "over-quota price (part)", "over ceiling/s", "over open limit/s",
+    "counter",
+    "meter",
+    "gateways",
+    "requests/s",
+    "calls/s",
+    "calls/request",
+    "answered/s",
+    "turned away/s",
+    "granted (part)",
+    "over-quota price (part)",
+    "over ceiling/s",
+    "over open limit/s",
 )
 
 
 def row(label: str, meter: bool, r: Result) -> list[object]:
     return [
-        label, "on" if meter else "off", r.gateways, r.rate(r.offered), r.rate(r.calls), r.per_request,
-        r.rate(r.answered), r.rate(r.turned_away), r.granted, r.price, r.rate(r.over_ceiling),
+        label,
+        "on" if meter else "off",
+        r.gateways,
+        r.rate(r.offered),
+        r.rate(r.calls),
+        r.per_request,
+        r.rate(r.answered),
+        r.rate(r.turned_away),
+        r.granted,
+        r.price,
+        r.rate(r.over_ceiling),
         r.rate(r.over_open),
     ]
 
@@ -341,10 +405,18 @@
 
     within = reach(lambda r: sum(r.within))
     return [
-        f"{label}, extrapolated", "on" if meter else "off", DESIGN.gateways, DESIGN.requests_per_s,
-        reach(lambda r: r.calls), reach(lambda r: r.calls) / DESIGN.requests_per_s,
-        reach(lambda r: r.answered), reach(lambda r: r.turned_away), reach(lambda r: sum(r.inside)) / within,
-        reach(lambda r: r.unpaid) / within, reach(lambda r: r.over_ceiling), reach(lambda r: r.over_open),
+        f"{label}, extrapolated",
+        "on" if meter else "off",
+        DESIGN.gateways,
+        DESIGN.requests_per_s,
+        reach(lambda r: r.calls),
+        reach(lambda r: r.calls) / DESIGN.requests_per_s,
+        reach(lambda r: r.answered),
+        reach(lambda r: r.turned_away),
+        reach(lambda r: sum(r.inside)) / within,
+        reach(lambda r: r.unpaid) / within,
+        reach(lambda r: r.over_ceiling),
+        reach(lambda r: r.over_open),
     ]
 
 
@@ -377,16 +449,36 @@
     for label, script in spells:
         progress(f"counter: {label}")
         r = simulate(gateways, n, requests_per_s, None, after=4.0, spells=script)
-        rows.append([label, gateways, r.rate(r.calls), r.rate(r.answered), r.rate(r.unanswered), r.granted,
-                     r.price, r.rate(r.over_ceiling)])
+        rows.append(
+            [
+                label,
+                gateways,
+                r.rate(r.calls),
+                r.rate(r.answered),
+                r.rate(r.unanswered),
+                r.granted,
+                r.price,
+                r.rate(r.over_ceiling),
+            ]
+        )
     return rows
 
 
 def faults(size: tuple[int, int, float] = SIZES[2]) -> None:
-    table("Faults of an unlimited counter from the 4th to the 6th second, counted from the 4th to the 8th", (
-        "fault", "gateways", "calls/s", "answered/s", "unanswered/s", "granted (part)",
-        "over-quota price (part)", "over ceiling/s",
-    ), fault_rows(size))
+    table(
+        "Faults of an unlimited counter from the 4th to the 6th second, counted from the 4th to the 8th",
+        (
+            "fault",
+            "gateways",
+            "calls/s",
+            "answered/s",
+            "unanswered/s",
+            "granted (part)",
+            "over-quota price (part)",
+            "over ceiling/s",
+        ),
+        fault_rows(size),
+    )
 
 
 if __name__ == "__main__":
--- a/tests/scale/customers.py
+++ b/tests/scale/customers.py
@@ -14,7 +14,16 @@
 from statistics import median
 
 from badgerspindle.interface import (
-    AddToCounter, Arrival, AttemptEnded, Counted, Event, ListKind, Outcome, Send, SetTimer, TimerFired,
+    AddToCounter,
+    Arrival,
+    AttemptEnded,
+    Counted,
+    Event,
+    ListKind,
+    Outcome,
+    Send,
+    SetTimer,
+    TimerFired,
 )
 from badgerspindle.logic import Gateway
 
@@ -84,8 +93,14 @@
                     heappush(events, (now + CALL, next(order), word))
     numbers.clear()
     gc.collect()
-    return Cost(len(gateway.quota.accounts), len(gateway.active), 1e6 * spent / max(1, arrived),
-                1000 * median(ticks), 1000 * max(ticks), rss_kb() - before)
+    return Cost(
+        len(gateway.quota.accounts),
+        len(gateway.active),
+        1e6 * spent / max(1, arrived),
+        1000 * median(ticks),
+        1000 * max(ticks),
+        rss_kb() - before,
+    )
 
 
 def measured(n: int, seed: int) -> Cost:
@@ -102,15 +117,32 @@
         progress(f"customers: {n:,} tenants")
         costs = [measured(n, seed) for seed in range(1, REPEATS + 1)]
         memory, accounts = median(c.memory_kb for c in costs), median(c.accounts for c in costs)
-        rows.append([
-            n, accounts, median(c.commitments for c in costs), median(c.request_us for c in costs),
-            median(c.tick_ms for c in costs), median(c.tick_most_ms for c in costs), memory / 1024,
-            memory / accounts,
-        ])
-    timed(f"Tenants at one instance, {DESIGN.each:.0f} requests/s, {SERVERS} order servers, 60 s", (
-        "tenants", "accounts kept", "commitments", "a request (us)", "a tick (ms)", "longest tick (ms)",
-        "memory grown (MB)", "an account (kB)",
-    ), rows)
+        rows.append(
+            [
+                n,
+                accounts,
+                median(c.commitments for c in costs),
+                median(c.request_us for c in costs),
+                median(c.tick_ms for c in costs),
+                median(c.tick_most_ms for c in costs),
+                memory / 1024,
+                memory / accounts,
+            ]
+        )
+    timed(
+        f"Tenants at one instance, {DESIGN.each:.0f} requests/s, {SERVERS} order servers, 60 s",
+        (
+            "tenants",
+            "accounts kept",
+            "commitments",
+            "a request (us)",
+            "a tick (ms)",
+            "longest tick (ms)",
+            "memory grown (MB)",
+            "an account (kB)",
+        ),
+        rows,
+    )
 
 
 if __name__ == "__main__":
--- a/tests/scale/instances.py
+++ b/tests/scale/instances.py
@@ -71,14 +71,30 @@
     for n in numbers:
         progress(f"instances: {n}")
         c = measured(n)
-        rows.append([
-            n, c.shared_kb / 1024, c.memory_kb / 1024, n * c.memory_kb / 1024, c.start_ms, c.tick_ms,
-            n * c.tick_ms / 100,  # ten a second
-        ])
-    timed("Hollow instances in one process, a list of 7,100 whose entries they share", (
-        "instances", "the list (MB)", "each (MB)", "all (MB)", "start of each (ms)", "idle tick of each (ms)",
-        "all at idle (cores)",
-    ), rows)
+        rows.append(
+            [
+                n,
+                c.shared_kb / 1024,
+                c.memory_kb / 1024,
+                n * c.memory_kb / 1024,
+                c.start_ms,
+                c.tick_ms,
+                n * c.tick_ms / 100,  # ten a second
+            ]
+        )
+    timed(
+        "Hollow instances in one process, a list of 7,100 whose entries they share",
+        (
+            "instances",
+            "the list (MB)",
+            "each (MB)",
+            "all (MB)",
+            "start of each (ms)",
+            "idle tick of each (ms)",
+            "all at idle (cores)",
+        ),
+        rows,
+    )
 
 
 if __name__ == "__main__":
--- a/tests/scale/leases.py
+++ b/tests/scale/leases.py
@@ -32,13 +32,18 @@
 
 
 def play(
-    size: tuple[int, int, float], capacity: float | None, spells: Sequence[Spell] = (), term: float = TERM,
-    after: float = BEFORE, end: float = END,
+    size: tuple[int, int, float],
+    capacity: float | None,
+    spells: Sequence[Spell] = (),
+    term: float = TERM,
+    after: float = BEFORE,
+    end: float = END,
 ) -> Result:
     """With leases; `capacity` in calls a second, times in s of the virtual clock."""
     gateways, n, requests_per_s = size
-    return simulate(gateways, n, requests_per_s, capacity, seconds=end, after=after, spells=spells,
-                    make=Leased(term))
+    return simulate(
+        gateways, n, requests_per_s, capacity, seconds=end, after=after, spells=spells, make=Leased(term)
+    )
 
 
 def main(sizes: Sequence[tuple[int, int, float]] = LEASED) -> None:
@@ -66,12 +71,30 @@
         for label, future in faulty:
             progress(f"leases: {label}")
             r = future.result()
-            rows.append([label, r.gateways, r.rate(r.calls), r.rate(r.answered), r.granted, r.price,
-                         r.rate(r.over_ceiling)])
-    table(f"Leases, with a fault of an unlimited counter over the whole term of {TERM} s that is counted", (
-        "fault", "gateways", "calls/s", "answered/s", "granted (part)", "over-quota price (part)",
-        "over ceiling/s",
-    ), rows)
+            rows.append(
+                [
+                    label,
+                    r.gateways,
+                    r.rate(r.calls),
+                    r.rate(r.answered),
+                    r.granted,
+                    r.price,
+                    r.rate(r.over_ceiling),
+                ]
+            )
+    table(
+        f"Leases, with a fault of an unlimited counter over the whole term of {TERM} s that is counted",
+        (
+            "fault",
+            "gateways",
+            "calls/s",
+            "answered/s",
+            "granted (part)",
+            "over-quota price (part)",
+            "over ceiling/s",
+        ),
+        rows,
+    )
 
 
 if __name__ == "__main__":
--- a/tests/scale/lists.py
+++ b/tests/scale/lists.py
@@ -15,7 +15,20 @@
 
 from ..helpers import arrival, plan, settings
 from .common import (
-    DESIGN, KINDS, MS, START, ZONES, change, cpu, line, progress, rss_kb, servers, table, timed, whole,
+    DESIGN,
+    KINDS,
+    MS,
+    START,
+    ZONES,
+    change,
+    cpu,
+    line,
+    progress,
+    rss_kb,
+    servers,
+    table,
+    timed,
+    whole,
 )
 
 LENGTHS = (200, 800, 1_800, 3_500, 7_100)
@@ -106,11 +119,21 @@
         for _ in range(10):
             gateway.handle(now, TimerFired(EVERY_TICK))
 
-    return Times(*(1000 * seconds for seconds in (
-        cpu(lambda: json.loads(data), repeats), cpu(lambda: parse_update(raw, ZONES, KINDS), repeats),
-        learn_whole, cpu(lambda: read(one), repeats), sorted(c for c, _ in changes)[repeats // 2],
-        learn_zone, request, cpu(ticks, repeats) / 10,
-    )))
+    return Times(
+        *(
+            1000 * seconds
+            for seconds in (
+                cpu(lambda: json.loads(data), repeats),
+                cpu(lambda: parse_update(raw, ZONES, KINDS), repeats),
+                learn_whole,
+                cpu(lambda: read(one), repeats),
+                sorted(c for c, _ in changes)[repeats // 2],
+                learn_zone,
+                request,
+                cpu(ticks, repeats) / 10,
+            )
+        )
+    )
 
 
 def grown_kb(n: int) -> int:
@@ -136,22 +159,64 @@
         progress(f"lists: {n:,} order servers")
         b, t = sizes(n), times(n)
         taken = (t.read_json + t.parse + t.learn_whole) / 1000
-        written.append([
-            n, b.whole, b.whole / n, b.change, b.zone, b.whole / DESIGN.bytes_per_s,
-            b.zone / DESIGN.bytes_per_s, taken / DESIGN.core_part, memory(n) / 1024,
-        ])
-        spent.append([
-            n, t.read_json, t.parse, t.learn_whole, t.read_change, t.learn_change, t.learn_zone,
-            1000 * t.request, t.tick, t.tick,  # ten a second: ms each are percent
-        ])
-    table("Lists: bytes as discovery writes them, and the budgets of a gateway (14 KB/s, 3.8% of a core)", (
-        "order servers", "whole list (B)", "an entry (B)", "one change (B)", "a zone lost (B)",
-        "whole at 14 KB/s (s)", "zone at 14 KB/s (s)", "whole at 3.8% core (s)", "memory (MB)",
-    ), written)
-    timed("Lists: processor time (ms unless told otherwise; at 480 gateways)", (
-        "order servers", "read JSON", "parse_update", "learn whole", "read a change", "learn a change",
-        "learn a lost zone", "a request (us)", "a tick", "ticks (% of a core)",
-    ), spent)
+        written.append(
+            [
+                n,
+                b.whole,
+                b.whole / n,
+                b.change,
+                b.zone,
+                b.whole / DESIGN.bytes_per_s,
+                b.zone / DESIGN.bytes_per_s,
+                taken / DESIGN.core_part,
+                memory(n) / 1024,
+            ]
+        )
+        spent.append(
+            [
+                n,
+                t.read_json,
+                t.parse,
+                t.learn_whole,
+                t.read_change,
+                t.learn_change,
+                t.learn_zone,
+                1000 * t.request,
+                t.tick,
+                t.tick,  # ten a second: ms each are percent
+            ]
+        )
+    table(
+        "Lists: bytes as discovery writes them, and the budgets of a gateway (14 KB/s, 3.8% of a core)",
+        (
+            "order servers",
+            "whole list (B)",
+            "an entry (B)",
+            "one change (B)",
+            "a zone lost (B)",
+            "whole at 14 KB/s (s)",
+            "zone at 14 KB/s (s)",
+            "whole at 3.8% core (s)",
+            "memory (MB)",
+        ),
+        written,
+    )
+    timed(
+        "Lists: processor time (ms unless told otherwise; at 480 gateways)",
+        (
+            "order servers",
+            "read JSON",
+            "parse_update",
+            "learn whole",
+            "read a change",
+            "learn a change",
+            "learn a lost zone",
+            "a request (us)",
+            "a tick",
+            "ticks (% of a core)",
+        ),
+        spent,
+    )
 
 
 if __name__ == "__main__":
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -13,7 +13,17 @@
 
 from badgerspindle.fleet import Fleet
 from badgerspindle.interface import (
-    AttemptEnded, Backend, Cancel, Event, Health, ListKind, Outcome, Send, SetTimer, Settings, TimerFired,
+    AttemptEnded,
+    Backend,
+    Cancel,
+    Event,
+    Health,
+    ListKind,
+    Outcome,
+    Send,
+    SetTimer,
+    Settings,
+    TimerFired,
     Topology,
 )
 from badgerspindle.logic import Gateway
@@ -93,8 +103,12 @@
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario, self.rng = scenario, random.Random(seed)
         self.settings: Settings = settings(
-            plans=(plan(rate=0.0, burst=0.0),), gateways=scenario.gateways, may_message=False,
-            fall_window=WINDOW, fall_multiple=scenario.multiple, start_capacity=scenario.start_capacity,
+            plans=(plan(rate=0.0, burst=0.0),),
+            gateways=scenario.gateways,
+            may_message=False,
+            fall_window=WINDOW,
+            fall_multiple=scenario.multiple,
+            start_capacity=scenario.start_capacity,
             warm_up=WARM_UP,
         )
         ids = self.rng.sample(range(1, 10_000), scenario.warm + scenario.cold)  # they tell nothing
@@ -180,8 +194,13 @@
                     self.push(now + after, position, TimerFired(token))
                 case Cancel(request, attempt) if (request, attempt) in self.out:
                     server, since = self.out[request, attempt]
-                    self.push(now, position, AttemptEnded(
-                        request, False, 0, server, 0, Outcome.CANCELLED, now - since, attempt, ()))
+                    self.push(
+                        now,
+                        position,
+                        AttemptEnded(
+                            request, False, 0, server, 0, Outcome.CANCELLED, now - since, attempt, ()
+                        ),
+                    )
                 case Send():
                     self.send(now, position, action)
 
@@ -203,8 +222,11 @@
             at, outcome = now + patience, Outcome.TIMEOUT
         self.out[send.request, attempt] = send.backend, now
         finished = outcome is Outcome.OK or (outcome is Outcome.TIMEOUT and not send.timeout)
-        self.push(at, position, AttemptEnded(
-            send.request, finished, 0, send.backend, 0, outcome, at - now, attempt, ()))
+        self.push(
+            at,
+            position,
+            AttemptEnded(send.request, finished, 0, send.backend, 0, outcome, at - now, attempt, ()),
+        )
 
     def worst(self) -> float:
         return max((ratio for i in self.starting for ratio in self.servers[i].ratios()), default=0.0)
--- a/tests/test_fixtures.py
+++ b/tests/test_fixtures.py
@@ -22,9 +22,7 @@
 def test_handover_state_of_an_earlier_version_is_restored_and_captured_alike() -> None:
     states = json.loads((FIXTURES / "handover_state.json").read_text())
     ceiling = plan(ceiling_rate=20.0, ceiling_burst=40.0, ceiling_slack=8.0)
-    made = settings(
-        may_message=False, counter=True, gateways=2, lease=10 * SECOND, plans=(plan(), ceiling)
-    )
+    made = settings(may_message=False, counter=True, gateways=2, lease=10 * SECOND, plans=(plan(), ceiling))
     gateway = Gateway(made, 7, 0)
     gateway.handle(0, full_list(backend(1), backend(2, booted=START - SECOND), backend(3)))
     heritage.inherit(gateway, START + SECOND, states["written"], made)
--- a/tests/test_fleet_list.py
+++ b/tests/test_fleet_list.py
@@ -29,7 +29,7 @@
 @given(CHANGES)
 @hypothesis_settings(max_examples=200, deadline=None, derandomize=True)
 def test_changes_leave_what_a_whole_list_would(
-    changes: list[tuple[list[tuple[int, Health, int]], ListKind, int]]
+    changes: list[tuple[list[tuple[int, Health, int]], ListKind, int]],
 ) -> None:
     made, listed = Fleet(settings(), random.Random(1)), dict[int, Backend]()
     now = START
--- a/tests/test_fleet_quota.py
+++ b/tests/test_fleet_quota.py
@@ -9,7 +9,14 @@
 import pytest
 
 from badgerspindle.interface import (
-    AddToCounter, Counted, Event, ListKind, Outcome, Send, SetTimer, TimerFired,
+    AddToCounter,
+    Counted,
+    Event,
+    ListKind,
+    Outcome,
+    Send,
+    SetTimer,
+    TimerFired,
 )
 from badgerspindle.logic import Gateway
 
--- a/tests/test_heritage.py
+++ b/tests/test_heritage.py
@@ -15,7 +15,9 @@
 
 START = 100 * SECOND
 SETTINGS = settings(
-    may_message=False, counter=True, gateways=2,
+    may_message=False,
+    counter=True,
+    gateways=2,
     plans=(plan(ceiling_rate=20.0, ceiling_burst=40.0, ceiling_slack=8.0),),
 )
 
@@ -97,11 +99,21 @@
     return {**heritage.bequeath(used(), START), **changes}
 
 
-@pytest.mark.parametrize("raw", [
-    {}, broken(accounts=[[1, 2]]), broken(accounts=None), broken(servers=[["x"] * 9]), broken(banned="abc"),
-    broken(latency=[]), broken(sends=[1]), broken(pace="fast"), broken(retries=None),
-    broken(accounts=[[1, 9, 2, [], 0, 1.0, 1.0, 1.0, 0, [0, 1, 0.0, 0.0], [0, 1, 0.0, 0.0]]]),
-])
+@pytest.mark.parametrize(
+    "raw",
+    [
+        {},
+        broken(accounts=[[1, 2]]),
+        broken(accounts=None),
+        broken(servers=[["x"] * 9]),
+        broken(banned="abc"),
+        broken(latency=[]),
+        broken(sends=[1]),
+        broken(pace="fast"),
+        broken(retries=None),
+        broken(accounts=[[1, 9, 2, [], 0, 1.0, 1.0, 1.0, 0, [0, 1, 0.0, 0.0], [0, 1, 0.0, 0.0]]]),
+    ],
+)
 def test_unreadable_heritage_changes_nothing(raw: dict[str, Any]) -> None:
     g = gateway()
     with pytest.raises(ValueError):
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -80,14 +80,19 @@
         return Counted(2 * MS, Outcome.OK, a.name, self.numbers[a.name])
 
     def shares(self, now: int) -> list[float]:
-        return [made.quota.leases.share(now, made.quota.accounts[1])
-                for made in self.gateways if made.quota.leases and 1 in made.quota.accounts]
+        return [
+            made.quota.leases.share(now, made.quota.accounts[1])
+            for made in self.gateways
+            if made.quota.leases and 1 in made.quota.accounts
+        ]
 
     def press(self, start: float, seconds: float, per_s: int, rng: random.Random, skew: int = SET) -> int:
         """So many requests a second, most at a part of the set; how many were sent on."""
         step = SECOND // per_s
-        return sum(self.ask(int(start * SECOND) + i * step, rng.randrange(rng.choice((skew, SET))))
-                   for i in range(int(seconds * per_s)))
+        return sum(
+            self.ask(int(start * SECOND) + i * step, rng.randrange(rng.choice((skew, SET))))
+            for i in range(int(seconds * per_s))
+        )
 
 
 WAYS = st.lists(st.sampled_from(["ok", "ok", "late", "lost", "twice", "busy"]), max_size=40)
@@ -221,13 +226,19 @@
             front.ways = ["late"] if position >= SET // 2 else []
             front.ask(second * SECOND + i * 20 * MS, position)
     shares = front.shares(100 * SECOND)
-    assert sum(shares[:SET // 2]) <= FLOOR / 2 + POOL + 1e-6
-    assert sum(shares[SET // 2:]) <= 0.5 + 1e-6  # 1.35 times the quota in all, and no less than its half
-
-
-@pytest.mark.parametrize("spells", [
-    [], [Spell(fault, 6.0, 9.0) for fault in Fault], [cut_off(12, 6.0, 9.0)],
-], ids=["well", "all faults", "cut"])
+    assert sum(shares[: SET // 2]) <= FLOOR / 2 + POOL + 1e-6
+    assert sum(shares[SET // 2 :]) <= 0.5 + 1e-6  # 1.35 times the quota in all, and no less than its half
+
+
+@pytest.mark.parametrize(
+    "spells",
+    [
+        [],
+        [Spell(fault, 6.0, 9.0) for fault in Fault],
+        [cut_off(12, 6.0, 9.0)],
+    ],
+    ids=["well", "all faults", "cut"],
+)
 def test_fleet_calls_a_tenth_as_often_within_quotas_and_never_over_a_ceiling(spells: list[Spell]) -> None:
     """On the virtual clock of the scale tests, short terms, and gateways that start anew in the middle."""
 
@@ -235,8 +246,17 @@
         return Gateway(replace(made, lease=5 * SECOND), seed, now)
 
     of_each, of_leases = (
-        simulate(12, 140, 1200.0, seconds=12.0, after=4.0, spells=spells,
-                 restarts=[(7.0, i) for i in range(3)], make=make) for make in (Gateway, leased)
+        simulate(
+            12,
+            140,
+            1200.0,
+            seconds=12.0,
+            after=4.0,
+            spells=spells,
+            restarts=[(7.0, i) for i in range(3)],
+            make=make,
+        )
+        for make in (Gateway, leased)
     )
     assert of_leases.calls <= 0.2 * of_each.calls
     assert of_leases.granted >= 0.9 and of_leases.price <= 0.03 and of_leases.over_ceiling == 0
--- a/tests/test_left_out.py
+++ b/tests/test_left_out.py
@@ -39,12 +39,17 @@
     assert 1 in {asked(g, n, START + (6 + n) * SECOND) for n in range(60, 70)}
 
 
-@pytest.mark.parametrize("said", [
-    [full_list(backend(2)), full_list(backend(1), backend(2))],
-    [full_list(backend(1, Health.GONE), kind=ListKind.DELTA),
-     full_list(backend(1, booted=START), kind=ListKind.DELTA)],
-    [full_list(backend(1, booted=START + 1), backend(2))],
-])
+@pytest.mark.parametrize(
+    "said",
+    [
+        [full_list(backend(2)), full_list(backend(1), backend(2))],
+        [
+            full_list(backend(1, Health.GONE), kind=ListKind.DELTA),
+            full_list(backend(1, booted=START), kind=ListKind.DELTA),
+        ],
+        [full_list(backend(1, booted=START + 1), backend(2))],
+    ],
+)
 def test_what_discovery_says_does_not_lift_it(said: list[object]) -> None:
     g = gateway(1, 2)
     g.handle(START, LeaveOut(1, True))
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -110,7 +110,7 @@
             model.fit(now + tick * TICK, 3, [])
         risen.append(model.risen)
     assert any(risen[66:90])
-    assert not any(risen[3 * 36:])
+    assert not any(risen[3 * 36 :])
 
 
 def test_rise_is_not_kept_when_no_answers_come_any_more() -> None:
--- a/tests/test_net_backends.py
+++ b/tests/test_net_backends.py
@@ -14,7 +14,14 @@
 from badgerspindle.net import backends
 from badgerspindle.net.figures import Figures
 from badgerspindle.net.backends import (
-    Ages, Attempt, Backends, Report, Sink, monotonic_unix_ns, read_answer, read_report,
+    Ages,
+    Attempt,
+    Backends,
+    Report,
+    Sink,
+    monotonic_unix_ns,
+    read_answer,
+    read_report,
 )
 from badgerspindle.net.resp import AnswerFrames
 
@@ -32,14 +39,23 @@
         self.ends: asyncio.Queue[Ended] = asyncio.Queue()
         self.figures = Figures(())
         self.pools = Backends(
-            most, connect, idle, grace, CLOCK,
-            lambda attempt, *end: self.ends.put_nowait((attempt.request, *end)), self.figures,
+            most,
+            connect,
+            idle,
+            grace,
+            CLOCK,
+            lambda attempt, *end: self.ends.put_nowait((attempt.request, *end)),
+            self.figures,
             lambda attempt, length, flow: self.sink,
         )
         self.sink: Sink | None = None
 
     def start(
-        self, request: int, body: bytes = b"B", timeout: float | None = None, backend: int = 7,
+        self,
+        request: int,
+        body: bytes = b"B",
+        timeout: float | None = None,
+        backend: int = 7,
         before: int = 0,
     ) -> Attempt:
         now = CLOCK()
@@ -54,8 +70,12 @@
 
 @asynccontextmanager
 async def bench(
-    backend: Backend | None = None, most: int = 100, connect: float = 20.0, idle: float = 30.0,
-    grace: float = 20.0, port: int = 0,
+    backend: Backend | None = None,
+    most: int = 100,
+    connect: float = 20.0,
+    idle: float = 30.0,
+    grace: float = 20.0,
+    port: int = 0,
 ) -> AsyncIterator[Bench]:
     made = Bench(most, connect, idle, grace)
     try:
@@ -79,8 +99,7 @@
         (b"-ERR failed\r\n", Outcome.ERROR, None, {}),
         (b"-ERR failed util=0.9,inflight=2\r\n", Outcome.ERROR, None, {"util": 0.9, "inflight": 2.0}),
         (b"-ERR failed used=37 util=0.9\r\n", Outcome.ERROR, None, {"used": 37.0, "util": 0.9}),
-        (b"*3\r\n$1\r\nv\r\n$14\r\nused=37,cost=4\r\n$-1\r\n", Outcome.OK, b"v",
-         {"used": 37.0, "cost": 4.0}),
+        (b"*3\r\n$1\r\nv\r\n$14\r\nused=37,cost=4\r\n$-1\r\n", Outcome.OK, b"v", {"used": 37.0, "cost": 4.0}),
         (b"-BUSY used=0\r\n", Outcome.FULL, None, {"used": 0.0}),
         (b"-BUSY\r\n", Outcome.FULL, None, {}),
         (b"-BUSY util=1\r\n", Outcome.FULL, None, {"util": 1.0}),
@@ -91,9 +110,7 @@
         (b"*3\r\n$1\r\nv\r\n-odd\r\n+odd\r\n", Outcome.OK, b"v", {}),
     ],
 )
-def test_outcome_of_each_answer(
-    answer: bytes, outcome: Outcome, value: bytes | None, report: Report
-) -> None:
+def test_outcome_of_each_answer(answer: bytes, outcome: Outcome, value: bytes | None, report: Report) -> None:
     async def test() -> None:
         backend = Backend()
         async with bench(backend) as b:
@@ -111,15 +128,39 @@
 @pytest.mark.parametrize(
     "answer",
     [
-        b"-SYNTAX\r\n", b"-ERRfailed\r\n", b"-BUSYBODY\r\n", b"-\r\n", b"-\xff\xfe\r\n",
-        b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", b"*3\r\n:1\r\n$-1\r\n$-1\r\n", b"*3\r\n*1\r\n$1\r\nv\r\n",
-        b"*0\r\n", b"*-1\r\n", b"*2\r\n$1\r\nv\r\n$-1\r\n", b"*4\r\n$1\r\nv\r\n", b"*100000000\r\n",
-        b"$1\r\nx\r\n", b"$-1\r\n", b"+OK\r\n", b":7\r\n", b"_\r\n", b"%1\r\n+a\r\n:1\r\n", b">3\r\n",
-        b"!not resp\r\n", b"x" * 4096, b"-" + b"e" * 4096,
-        b"*3\r\n$3000000000\r\n" + b"x" * 90_000, b"*3\r\n$4194305\r\n", b"*3\r\n$+1\r\nv\r\n",
-        b"*3\r\n$1\r\nvXX$-1\r\n$-1\r\n", b"*3\r\n$4\r\nv\r\n$-1\r\n$-1\r\n", b"*3\n$1\nv\n$-1\n$-1\n",
-        b"*3\r\n$1\r\nv\r\n*100000000\r\n", b"*3\r\n$1\r\nv\r\n*1\r\n*1\r\n*1\r\n",
-        b"*3\r\n$1\r\nv\r\n$-1\r\n$70000\r\n", b"*3\r\n$5\r\nhal",
+        b"-SYNTAX\r\n",
+        b"-ERRfailed\r\n",
+        b"-BUSYBODY\r\n",
+        b"-\r\n",
+        b"-\xff\xfe\r\n",
+        b"*3\r\n$-1\r\n$-1\r\n$-1\r\n",
+        b"*3\r\n:1\r\n$-1\r\n$-1\r\n",
+        b"*3\r\n*1\r\n$1\r\nv\r\n",
+        b"*0\r\n",
+        b"*-1\r\n",
+        b"*2\r\n$1\r\nv\r\n$-1\r\n",
+        b"*4\r\n$1\r\nv\r\n",
+        b"*100000000\r\n",
+        b"$1\r\nx\r\n",
+        b"$-1\r\n",
+        b"+OK\r\n",
+        b":7\r\n",
+        b"_\r\n",
+        b"%1\r\n+a\r\n:1\r\n",
+        b">3\r\n",
+        b"!not resp\r\n",
+        b"x" * 4096,
+        b"-" + b"e" * 4096,
+        b"*3\r\n$3000000000\r\n" + b"x" * 90_000,
+        b"*3\r\n$4194305\r\n",
+        b"*3\r\n$+1\r\nv\r\n",
+        b"*3\r\n$1\r\nvXX$-1\r\n$-1\r\n",
+        b"*3\r\n$4\r\nv\r\n$-1\r\n$-1\r\n",
+        b"*3\n$1\nv\n$-1\n$-1\n",
+        b"*3\r\n$1\r\nv\r\n*100000000\r\n",
+        b"*3\r\n$1\r\nv\r\n*1\r\n*1\r\n*1\r\n",
+        b"*3\r\n$1\r\nv\r\n$-1\r\n$70000\r\n",
+        b"*3\r\n$5\r\nhal",
     ],
 )
 @pytest.mark.parametrize("pieces", [False, True])
@@ -137,7 +178,7 @@
             head = answer[:3] if pieces else b""
             connection.send(head)
             await asyncio.sleep(0)
-            connection.send(answer[len(head):])
+            connection.send(answer[len(head) :])
             assert await b.end() == (1, Outcome.RESET, None, {})
             await until(lambda: backend.ended == 1)
             assert b.pools.open == 0 and b.ends.empty()
@@ -172,7 +213,7 @@
 def test_answer_in_pieces_is_read_whole(size: int) -> None:
     async def test() -> None:
         frames, whole = AnswerFrames(), served(b"\r\n$1\r\n" * 20)
-        ends = [frames.scan(whole[at:at + size], 0) for at in range(0, len(whole), size)]
+        ends = [frames.scan(whole[at : at + size], 0) for at in range(0, len(whole), size)]
         assert ends[:-1] == [-1] * (len(ends) - 1) and ends[-1] == (len(whole) - 1) % size + 1
         assert not frames.midway
 
@@ -180,7 +221,7 @@
 
 
 def test_no_answer_has_places_set_aside_before_its_elements_have_come(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What hiredis is given is bounded: an array of a hundred million places stalls every collection."""
     fed: list[bytes] = []
@@ -204,7 +245,7 @@
 
 
 def test_second_copy_in_a_later_packet_is_never_taken_for_the_next_answer(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(backends, "SETTLE", 0.0)
 
@@ -412,7 +453,7 @@
 
 
 def test_connections_are_reused_last_in_first_out_with_one_request_each(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(backends, "SETTLE", 0.0)
 
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -10,8 +10,23 @@
 import pytest
 
 from badgerspindle.interface import (
-    Action, Arrival, AttemptEnded, Cancel, ClientLeft, CloseIdle, Event, Fail, Outcome, Probe, Probed, Refuse,
-    Send, SetTimer, Tell, TimerFired, Topology,
+    Action,
+    Arrival,
+    AttemptEnded,
+    Cancel,
+    ClientLeft,
+    CloseIdle,
+    Event,
+    Fail,
+    Outcome,
+    Probe,
+    Probed,
+    Refuse,
+    Send,
+    SetTimer,
+    Tell,
+    TimerFired,
+    Topology,
 )
 
 from badgerspindle.net import clients
@@ -72,7 +87,9 @@
             left = int(words[3].split(b",d=")[1].split(b",")[0])
             assert 500 < left < 1500
             assert words == [
-                b"CALL.POST", CUSTOMER, b"0000000000009b1f",
+                b"CALL.POST",
+                CUSTOMER,
+                b"0000000000009b1f",
                 b"c=submit,t=team,d=%d,k=5c0f6e1a2b3d4c59,units=1,spread=2,first=0,r=1,odd=\xc3\xbf" % left,
                 body,
             ]
@@ -101,10 +118,15 @@
     run(test)
 
 
-@pytest.mark.parametrize(("figures", "used"), [
-    (b"$7\r\nused=85\r\n", 86), (b"$6\r\nused=0\r\n", 1), (b"$9\r\nused=1e50\r\n", USED_MOST + 1),
-    (b"$-1\r\n", 0),
-])
+@pytest.mark.parametrize(
+    ("figures", "used"),
+    [
+        (b"$7\r\nused=85\r\n", 86),
+        (b"$6\r\nused=0\r\n", 1),
+        (b"$9\r\nused=1e50\r\n", USED_MOST + 1),
+        (b"$-1\r\n", 0),
+    ],
+)
 def test_module_is_told_the_use_of_the_quota_that_an_answer_carries(figures: bytes, used: int) -> None:
     async def test() -> None:
         async with world() as w:
@@ -133,8 +155,16 @@
     async def test() -> None:
         async with world() as w:
             module, backends = w.node.module, w.node.backends
-            endings = [served(b"v"), b"-ERR failed\r\n", b"-BUSY\r\n", b"*100000000\r\n", served(b"v") * 2,
-                       b"", None, served(b"v")]
+            endings = [
+                served(b"v"),
+                b"-ERR failed\r\n",
+                b"-BUSY\r\n",
+                b"*100000000\r\n",
+                served(b"v") * 2,
+                b"",
+                None,
+                served(b"v"),
+            ]
             for number, ending in enumerate(endings):
                 client = await w.client()
                 client.send(call("charge", number, wait_ms=1500))
@@ -231,8 +261,11 @@
     async def test() -> None:
         async with world() as w:
             backend = only_backend(w)
-            s = script(w, lambda a: [Fail(a.request), Send(a.request, backend, 0)],
-                       lambda a: [Send(a.request, backend, 0)])
+            s = script(
+                w,
+                lambda a: [Fail(a.request), Send(a.request, backend, 0)],
+                lambda a: [Send(a.request, backend, 0)],
+            )
             client = await w.client()
             client.send(call(number=1))
             assert str(await client.next()) == "ERR failed"
@@ -416,8 +449,11 @@
     async def test() -> None:
         async with world() as w:
             backend = only_backend(w)
-            s = script(w, lambda a: [Send(a.request, backend, 0)],
-                       lambda a: [Cancel(a.request - 1, 0), Refuse(a.request, 0)])
+            s = script(
+                w,
+                lambda a: [Send(a.request, backend, 0)],
+                lambda a: [Cancel(a.request - 1, 0), Refuse(a.request, 0)],
+            )
             client = await w.client()
             client.send(call(number=1) + call(number=2))
             await until(lambda: bool(s.of(AttemptEnded)))
@@ -431,8 +467,11 @@
     async def test() -> None:
         async with world() as w:
             backend = only_backend(w)
-            script(w, lambda a: [Send(a.request, backend, 0)],
-                   lambda a: [CloseIdle(backend), Refuse(a.request, 0)])
+            script(
+                w,
+                lambda a: [Send(a.request, backend, 0)],
+                lambda a: [CloseIdle(backend), Refuse(a.request, 0)],
+            )
             client = await w.client()
             client.send(call(number=1))
             connection, _ = await w.backend.command()
@@ -499,16 +538,34 @@
         ((b"CALL.GET", CUSTOMER, b"1", b"c=look up,t=team,d=5,units=nan,spread=1,first=0"), "bad units"),
         ((b"CALL.GET", CUSTOMER, b"1", b"c=look up,t=team,d=5,spread=9,first=0"), "bad or missing spread"),
         ((b"CALL.GET", CUSTOMER, b"1", b"c=look up,t=team,d=5,spread=1,first=2"), "bad or missing first"),
-        *[((b"CALL.GET", customer, b"1", b"c=look up,t=team,d=5"), "bad customer") for customer in (
-            b"0x000000b4d65521", b"+0000000b4d65521", b"00000000b4d6_521", b" 0000000b4d65521", b"b4d65521")],
-        *[((b"CALL.GET", CUSTOMER, id_, b"c=look up,t=team,d=5"), "bad request id") for id_ in (
-            b"a b", b"\xff", b"c=look", b"x" * 65)],
-        *[((b"CALL.GET", CUSTOMER, b"1", b"c=look up,t=team,d=5,spread=1,first=0,units=" + units),
-           "bad units")
-          for units in (b"", b"0", b"-1", b"+1", b"1_0", b" 1", b"1e0", b"inf", b"2", b"9" * 11, b"0x1")],
-        *[((b"CALL.GET", CUSTOMER, b"1", b"c=look up,t=team,units=1,spread=1,first=0,d=" + d),
-           "bad or missing d")
-          for d in (b"", b"1.5", b"+5", b"5_0", b"soon", b"99999999999999", "\u0665".encode())],
+        *[
+            ((b"CALL.GET", customer, b"1", b"c=look up,t=team,d=5"), "bad customer")
+            for customer in (
+                b"0x000000b4d65521",
+                b"+0000000b4d65521",
+                b"00000000b4d6_521",
+                b" 0000000b4d65521",
+                b"b4d65521",
+            )
+        ],
+        *[
+            ((b"CALL.GET", CUSTOMER, id_, b"c=look up,t=team,d=5"), "bad request id")
+            for id_ in (b"a b", b"\xff", b"c=look", b"x" * 65)
+        ],
+        *[
+            (
+                (b"CALL.GET", CUSTOMER, b"1", b"c=look up,t=team,d=5,spread=1,first=0,units=" + units),
+                "bad units",
+            )
+            for units in (b"", b"0", b"-1", b"+1", b"1_0", b" 1", b"1e0", b"inf", b"2", b"9" * 11, b"0x1")
+        ],
+        *[
+            (
+                (b"CALL.GET", CUSTOMER, b"1", b"c=look up,t=team,units=1,spread=1,first=0,d=" + d),
+                "bad or missing d",
+            )
+            for d in (b"", b"1.5", b"+5", b"5_0", b"soon", b"99999999999999", "\u0665".encode())
+        ],
         ((b"CALL.GET", CUSTOMER, b"1", b"c=look up,t=team,d=5,odd"), "name=value"),
         ((b"CALL.GET", CUSTOMER, b"1", b""), "name=value"),
         ((b"CALL.GET", CUSTOMER, b"1", b"c=look up,t=team,d=5", b"BODY"), "takes no value"),
@@ -534,11 +591,26 @@
 @pytest.mark.parametrize("behind", [b"", call()])
 @pytest.mark.parametrize(
     "data",
-    [b"GET / HTTP/1.1\r\n\r\n", b"*1\r\n:5\r\n", b"*x\r\n", b"$4\r\nPING\r\n", b"*1000000\r\n", b"*-1\r\n",
-     b"*0\r\n", b"*" + b"1" * 4096, b"x" * 4096, b"*1\r\n$-1\r\n", b"*1\r\n$3\r\nPING\r\n", b"*+1\r\n",
-     b"*1\r\n$-9223372036854775808\r\n", b"*1\r\n*1\r\n", b"*1\r\n_\r\n", b"PING\r\n",
-     b"*2\r\n$65536\r\n" + b"x" * 65536 + b"\r\n$65536\r\n",
-     b"*2\r\n$4\r\nPING\r\n$60000000\r\n" + b"x" * 300_000],
+    [
+        b"GET / HTTP/1.1\r\n\r\n",
+        b"*1\r\n:5\r\n",
+        b"*x\r\n",
+        b"$4\r\nPING\r\n",
+        b"*1000000\r\n",
+        b"*-1\r\n",
+        b"*0\r\n",
+        b"*" + b"1" * 4096,
+        b"x" * 4096,
+        b"*1\r\n$-1\r\n",
+        b"*1\r\n$3\r\nPING\r\n",
+        b"*+1\r\n",
+        b"*1\r\n$-9223372036854775808\r\n",
+        b"*1\r\n*1\r\n",
+        b"*1\r\n_\r\n",
+        b"PING\r\n",
+        b"*2\r\n$65536\r\n" + b"x" * 65536 + b"\r\n$65536\r\n",
+        b"*2\r\n$4\r\nPING\r\n$60000000\r\n" + b"x" * 300_000,
+    ],
 )
 def test_broken_resp_is_told_and_closes_the_connection_and_no_other(data: bytes, behind: bytes) -> None:
     async def test() -> None:
@@ -648,10 +720,10 @@
                 assert len(w.node._requests) <= clients.PIPELINE
                 before = len(arrived)
                 w.node._act(Refuse(arrived[before - 1], 7 * MS))  # out of order: the last of them first
-                for request in arrived[before - clients.PIPELINE:before - 1]:
+                for request in arrived[before - clients.PIPELINE : before - 1]:
                     w.node._act(Refuse(request, 7 * MS))
                 await until(lambda before=before: len(arrived) > before)  # type: ignore[misc]
-            for request in arrived[-clients.PIPELINE:]:
+            for request in arrived[-clients.PIPELINE :]:
                 w.node._act(Refuse(request, 7 * MS))
             assert {str(await client.next()) for _ in range(number)} == {"BUSY 7"}
             assert await client.next() == b"PONG"
@@ -696,7 +768,7 @@
 
 
 def test_resting_clients_are_closed_early_only_where_connections_are_few(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(clients, "IDLE_CROWDED", 0.0)
 
@@ -753,7 +825,7 @@
             client = await w.client()
             data = call("charge", body=b"y" * 2000)
             for at in range(0, len(data), 700):
-                client.send(data[at:at + 700])
+                client.send(data[at : at + 700])
                 await soon(client.writer.drain())
                 await asyncio.sleep(0)
             assert str(await client.next()) == "BUSY"
--- a/tests/test_net_counter.py
+++ b/tests/test_net_counter.py
@@ -15,6 +15,7 @@
 
 from .fakes import LOCAL, Tally, call, listening, nested_settings, raw_config, run, served, soon, until, world
 
+
 @pytest.fixture(autouse=True)
 def patient(monkeypatch: pytest.MonkeyPatch) -> None:
     """No verdict hangs on how soon this machine answers."""
@@ -52,18 +53,21 @@
             caller.counter.close()
 
 
-@pytest.mark.parametrize(("line", "read"), [
-    (b"ok 12", (Outcome.OK, 12.0)),
-    (b"ok -2.5", (Outcome.OK, -2.5)),
-    (b"ok 1.5e+04", (Outcome.OK, 15000.0)),
-    (b"busy", (Outcome.FULL, 0.0)),
-    (b"error", (Outcome.ERROR, 0.0)),
-    (b"ok", None),
-    (b"ok nan", None),
-    (b"ok 1_0", None),
-    (b"pong", None),
-    (b"", None),
-])
+@pytest.mark.parametrize(
+    ("line", "read"),
+    [
+        (b"ok 12", (Outcome.OK, 12.0)),
+        (b"ok -2.5", (Outcome.OK, -2.5)),
+        (b"ok 1.5e+04", (Outcome.OK, 15000.0)),
+        (b"busy", (Outcome.FULL, 0.0)),
+        (b"error", (Outcome.ERROR, 0.0)),
+        (b"ok", None),
+        (b"ok nan", None),
+        (b"ok 1_0", None),
+        (b"pong", None),
+        (b"", None),
+    ],
+)
 def test_answers(line: bytes, read: tuple[Outcome, float] | None) -> None:
     assert read_answer(line) == read
 
@@ -195,10 +199,16 @@
 def test_gateway_asks_the_counter_and_goes_by_its_answer() -> None:
     async def test() -> None:
         tally = Tally()
-        async with listening(tally), world(
-            counter=f"{LOCAL}:{tally.port}", familyInfo__counter=True, familyInfo__counterTimeout=LIFE,
-            limits__peerMessages=False, packages=[{**nested_settings()["packages"][0], "parallel": 5}],
-        ) as w:
+        async with (
+            listening(tally),
+            world(
+                counter=f"{LOCAL}:{tally.port}",
+                familyInfo__counter=True,
+                familyInfo__counterTimeout=LIFE,
+                limits__peerMessages=False,
+                packages=[{**nested_settings()["packages"][0], "parallel": 5}],
+            ) as w,
+        ):
             client = await w.client()
             client.send(call(number=1))
             asked = await tally.call()
--- a/tests/test_net_descriptors.py
+++ b/tests/test_net_descriptors.py
@@ -19,7 +19,19 @@
 from badgerspindle.net.listener import Listener
 
 from .fakes import (
-    LOCAL, Agent, Backend, Connection, Tally, call, host, listening, listing, raw_config, run, served, soon,
+    LOCAL,
+    Agent,
+    Backend,
+    Connection,
+    Tally,
+    call,
+    host,
+    listening,
+    listing,
+    raw_config,
+    run,
+    served,
+    soon,
     until,
 )
 from .test_net_process import COMMAND
@@ -39,7 +51,9 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
 
     process = await asyncio.create_subprocess_exec(
-        *COMMAND, stderr=asyncio.subprocess.PIPE, env={**os.environ, "ROUTER_CONFIG": str(path)},
+        *COMMAND,
+        stderr=asyncio.subprocess.PIPE,
+        env={**os.environ, "ROUTER_CONFIG": str(path)},
         preexec_fn=limit,
     )
     assert process.stderr is not None
@@ -80,7 +94,8 @@
 
 
 @pytest.mark.parametrize(
-    ("word", "again"), [(PING, False), (PING, True), (b"", True), (HALF, True)],
+    ("word", "again"),
+    [(PING, False), (PING, True), (b"", True), (HALF, True)],
     ids=["rest", "come again", "say nothing", "half a command"],
 )
 def test_idle_clients_that_fill_the_descriptors_while_discovery_is_down_keep_nobody_out(
@@ -98,8 +113,12 @@
             with socket.socket() as free:
                 free.bind((LOCAL, 0))
                 counter = free.getsockname()[1]
-            raw = raw_config(agent.port, familyInfo__counter=True, familyInfo__counterTimeout=50_000_000,
-                             limits__peerMessages=False)
+            raw = raw_config(
+                agent.port,
+                familyInfo__counter=True,
+                familyInfo__counterTimeout=50_000_000,
+                limits__peerMessages=False,
+            )
             raw |= {"limits": {"sockets": DESCRIPTORS}, "counter": f"{LOCAL}:{counter}"}
             async with limited(tmp_path, raw, DESCRIPTORS) as port:
                 discovery.close()
--- a/tests/test_net_large.py
+++ b/tests/test_net_large.py
@@ -34,7 +34,7 @@
                 connection, _ = await w.backend.command()
                 answer = served(value(size))
                 for at in range(0, len(answer), piece):
-                    connection.send(answer[at:at + piece])
+                    connection.send(answer[at : at + piece])
                     await soon(connection.writer.drain())
                 assert await client.next() == value(size)
             client.send(call(number=2) + call(number=3))
@@ -195,7 +195,7 @@
             connection, _ = await w.backend.command()
             answer, heard = served(b"v" * 30), 0.0
             for at in range(0, len(answer) - 9, 9):
-                connection.send(answer[at:at + 9])
+                connection.send(answer[at : at + 9])
                 (link,) = w.node.backends._pools[only_backend(w)].links
                 await until(lambda link=link: link.heard_at > 0.0)  # type: ignore[misc]
                 heard = link.heard_at
@@ -217,8 +217,8 @@
 def test_frames_tell_where_a_large_value_begins() -> None:
     frames, answer = AnswerFrames(), served(value(70_000))
     head = answer.index(b"\r\n", 5) + 2
-    assert frames.scan(answer[:head - 3], 0) == -1 and not frames.large
-    assert frames.scan(answer[head - 3:5000], 0) == -1
+    assert frames.scan(answer[: head - 3], 0) == -1 and not frames.large
+    assert frames.scan(answer[head - 3 : 5000], 0) == -1
     assert (frames.large, frames.large_at) == (70_000, 3)
     with pytest.raises(FrameError):
         AnswerFrames().scan(b"*3\r\n$%d\r\n" % (LARGE_MOST + 1), 0)
--- a/tests/test_net_left.py
+++ b/tests/test_net_left.py
@@ -105,10 +105,15 @@
 def test_request_that_waits_for_the_counter_is_not_sent_on_once_its_client_has_left() -> None:
     async def test() -> None:
         tally = Tally()
-        async with listening(tally), world(
-            counter=f"127.0.0.1:{tally.port}", familyInfo__counter=True, limits__peerMessages=False,
-            familyInfo__counterTimeout=15_000_000_000,
-        ) as w:
+        async with (
+            listening(tally),
+            world(
+                counter=f"127.0.0.1:{tally.port}",
+                familyInfo__counter=True,
+                limits__peerMessages=False,
+                familyInfo__counterTimeout=15_000_000_000,
+            ) as w,
+        ):
             await until(lambda: len(tally.connections) > 0)
             gone, stays = await w.client(), await w.client()
             gone.send(call(number=1))
--- a/tests/test_net_lists.py
+++ b/tests/test_net_lists.py
@@ -19,7 +19,19 @@
 from badgerspindle.net.peers import Peers
 
 from .fakes import (
-    LOCAL, Agent, call, config, host, listening, listing, raw_config, run, served, soon, until, world,
+    LOCAL,
+    Agent,
+    call,
+    config,
+    host,
+    listening,
+    listing,
+    raw_config,
+    run,
+    served,
+    soon,
+    until,
+    world,
 )
 from .test_net_clients import Script
 
@@ -79,8 +91,13 @@
 @pytest.mark.parametrize(
     "raw",
     [
-        [], {}, {"seq": 1, "whole": True}, listing(1, {"host": "s"}), listing(1, host("s", 1, "odd")),
-        {"seq": "x", "whole": True, "hosts": []}, listing(1, host("s", 1) | {"dial": "nowhere"}),
+        [],
+        {},
+        {"seq": 1, "whole": True},
+        listing(1, {"host": "s"}),
+        listing(1, host("s", 1, "odd")),
+        {"seq": "x", "whole": True, "hosts": []},
+        listing(1, host("s", 1) | {"dial": "nowhere"}),
     ],
 )
 def test_unreadable_list_is_an_error_not_a_crash(raw: Any) -> None:
@@ -187,14 +204,17 @@
     run(test)
 
 
-@pytest.mark.parametrize("junk", [
-    b'{"seq": 42,\n"whole": tru, "hosts": []}\n',
-    b'{"seq": 42,\n\n',
-    b'{\n"seq": 42, "hosts": [\n{"seq": 43}\n{}\n',
-    b"]\n",
-    b"[]\n",
-    b"7\n",
-])
+@pytest.mark.parametrize(
+    "junk",
+    [
+        b'{"seq": 42,\n"whole": tru, "hosts": []}\n',
+        b'{"seq": 42,\n\n',
+        b'{\n"seq": 42, "hosts": [\n{"seq": 43}\n{}\n',
+        b"]\n",
+        b"[]\n",
+        b"7\n",
+    ],
+)
 def test_list_that_cannot_be_read_changes_nothing_and_is_logged(
     junk: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
@@ -391,7 +411,7 @@
 
 
 def test_stopping_gateway_has_word_for_its_peers_up_to_the_longest_deadline(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Or they would hold its slices of the quotas back for one that fell silent, while its customers lean
     on them."""
--- a/tests/test_net_operators.py
+++ b/tests/test_net_operators.py
@@ -84,7 +84,7 @@
         desk = Desk()
         async with door(desk) as d:
             whole = post("/ops/order-servers/down", b"s-1\n")
-            status, _ = await say(d.port, *(whole[i:i + 1] for i in range(len(whole))))
+            status, _ = await say(d.port, *(whole[i : i + 1] for i in range(len(whole))))
             assert status == 200 and desk.asked == [("s-1", True)]
             assert (await say(d.port, post("/ops/order-servers/up", b"s-1")))[0] == 200
             assert desk.asked[1:] == [("s-1", False)]
@@ -95,18 +95,21 @@
     run(test)
 
 
-@pytest.mark.parametrize(("said", "status"), [
-    (b"junk\r\n\r\n", 400),
-    (get("/ops/other"), 404),
-    (get("/ops/order-servers/down"), 405),
-    (post("/ops/stats", b""), 405),
-    (b"HEAD /ops/stats HTTP/1.1\r\nHost: x\r\n\r\n", 405),
-    (b"GET /ops/stats HTTP/1.1\r\n\r\n", 400),  # no host
-    (post("/ops/order-servers/down", b""), 400),
-    (post("/ops/order-servers/down", b"\xff\xfe"), 400),
-    (post("/ops/order-servers/down", b"s" * 300), 413),
-    (b"GET /ops/stats HTTP/1.1\r\nHost: x\r\nX: " + b"y" * 20_000, 431),
-])
+@pytest.mark.parametrize(
+    ("said", "status"),
+    [
+        (b"junk\r\n\r\n", 400),
+        (get("/ops/other"), 404),
+        (get("/ops/order-servers/down"), 405),
+        (post("/ops/stats", b""), 405),
+        (b"HEAD /ops/stats HTTP/1.1\r\nHost: x\r\n\r\n", 405),
+        (b"GET /ops/stats HTTP/1.1\r\n\r\n", 400),  # no host
+        (post("/ops/order-servers/down", b""), 400),
+        (post("/ops/order-servers/down", b"\xff\xfe"), 400),
+        (post("/ops/order-servers/down", b"s" * 300), 413),
+        (b"GET /ops/stats HTTP/1.1\r\nHost: x\r\nX: " + b"y" * 20_000, 431),
+    ],
+)
 def test_what_is_no_call_gets_a_plain_no(said: bytes, status: int) -> None:
     async def test() -> None:
         desk = Desk()
@@ -131,8 +134,9 @@
 def test_callers_who_finish_no_call_do_not_starve_the_door() -> None:
     async def test() -> None:
         async with door(Desk()) as d:
-            idle = [await soon(asyncio.open_connection(LOCAL, d.port))
-                    for _ in range(3 * operators.CALLERS_MOST)]
+            idle = [
+                await soon(asyncio.open_connection(LOCAL, d.port)) for _ in range(3 * operators.CALLERS_MOST)
+            ]
             assert (await say(d.port, get("/ops/readiness")))[0] == 200
             await until(lambda: len(d._callers) <= operators.CALLERS_MOST)
             for _, writer in idle:
@@ -234,8 +238,9 @@
             while not w.backend.commands.qsize():
                 client.send(call(number=4))
                 answered = asyncio.ensure_future(client.next())
-                await asyncio.wait((answered, asyncio.ensure_future(asyncio.sleep(0.1))),
-                                   return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait(
+                    (answered, asyncio.ensure_future(asyncio.sleep(0.1))), return_when=asyncio.FIRST_COMPLETED
+                )
                 if not answered.done():
                     connection, _ = await w.backend.command()
                     connection.send(served(b"back"))
--- a/tests/test_net_process.py
+++ b/tests/test_net_process.py
@@ -19,8 +19,20 @@
 from badgerspindle.net.config import ConfigError, flatten, load, needs_restart, parse, reload
 
 from .fakes import (
-    LOCAL, Agent, Backend, Connection, call, host, listening, listing, nested_settings, raw_config, run,
-    served, soon, until,
+    LOCAL,
+    Agent,
+    Backend,
+    Connection,
+    call,
+    host,
+    listening,
+    listing,
+    nested_settings,
+    raw_config,
+    run,
+    served,
+    soon,
+    until,
 )
 
 COMMAND = (sys.executable, "-m", "badgerspindle")
@@ -62,9 +74,16 @@
     path = folder / "config.json"
     path.write_text(json.dumps(raw_config(agent.port)))
     process = await asyncio.create_subprocess_exec(
-        *COMMAND, stderr=asyncio.subprocess.PIPE, pass_fds=(sock.fileno(),),
-        env={**os.environ, "ROUTER_CONFIG": str(path), "ROUTER_PASSED_SOCKET": str(sock.fileno()),
-             "ROUTER_OPERATOR": f"{LOCAL}:0", "TMPDIR": str(folder)},
+        *COMMAND,
+        stderr=asyncio.subprocess.PIPE,
+        pass_fds=(sock.fileno(),),
+        env={
+            **os.environ,
+            "ROUTER_CONFIG": str(path),
+            "ROUTER_PASSED_SOCKET": str(sock.fileno()),
+            "ROUTER_OPERATOR": f"{LOCAL}:0",
+            "TMPDIR": str(folder),
+        },
     )
     try:
         made = Process(process, sock.getsockname()[1], backend, path)
@@ -185,10 +204,19 @@
     run(test)
 
 
-@pytest.mark.parametrize("said", [
-    None, b"", b"{", b"\xff\n", b'{"v":2,"state":{}}\n', b'{"v":1,"state":{}}\n', b'{"v":1,"state":7}\n',
-    b'{"v":1,"state":{"list":null,"clients":1,"backends":1,"decisions":{"accounts":[[1]]}}}\n',
-])
+@pytest.mark.parametrize(
+    "said",
+    [
+        None,
+        b"",
+        b"{",
+        b"\xff\n",
+        b'{"v":2,"state":{}}\n',
+        b'{"v":1,"state":{}}\n',
+        b'{"v":1,"state":7}\n',
+        b'{"v":1,"state":{"list":null,"clients":1,"backends":1,"decisions":{"accounts":[[1]]}}}\n',
+    ],
+)
 def test_process_before_that_says_nothing_or_nonsense_costs_a_bounded_moment(
     tmp_path: Path, said: bytes | None
 ) -> None:
@@ -252,7 +280,8 @@
     path = folder / "config.json"
     path.write_text(json.dumps(raw_config(agent.port)))
     process = await asyncio.create_subprocess_exec(
-        *COMMAND, stderr=asyncio.subprocess.PIPE,
+        *COMMAND,
+        stderr=asyncio.subprocess.PIPE,
         env={**os.environ, "ROUTER_CONFIG": str(path), "ROUTER_DISCOVERY": f"{LOCAL}:{agent.port}", **more},
     )
     try:
@@ -423,8 +452,10 @@
         if raw is not None:
             path.write_text(raw if isinstance(raw, str) else json.dumps(raw))
         process = await asyncio.create_subprocess_exec(
-            *COMMAND, env={**os.environ, "ROUTER_CONFIG": str(path)},
-            stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
+            *COMMAND,
+            env={**os.environ, "ROUTER_CONFIG": str(path)},
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE,
         )
         out, err = await soon(process.communicate())
         assert process.returncode == 2 and out == b""
@@ -455,10 +486,14 @@
 def test_environment_comes_before_the_file(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw_config(1)))
-    config = load({
-        "ROUTER_CONFIG": str(path), "ROUTER_NAME": "n7", "ROUTER_LISTEN": "127.0.0.9:1",
-        "ROUTER_DISCOVERY": "127.0.0.8:2",
-    })
+    config = load(
+        {
+            "ROUTER_CONFIG": str(path),
+            "ROUTER_NAME": "n7",
+            "ROUTER_LISTEN": "127.0.0.9:1",
+            "ROUTER_DISCOVERY": "127.0.0.8:2",
+        }
+    )
     assert (config.name, config.listen, config.discovery) == ("n7", ("127.0.0.9", 1), ("127.0.0.8", 2))
     assert config.seed == 0x8C1F30D27A5BE964
     with pytest.raises(ConfigError):
@@ -480,7 +515,12 @@
 def test_nested_settings_become_the_start_messages_lines() -> None:
     nested = {"a": [{"name": "look up, twice", "on": True}], "b": {"c": [1, 2.5], "d": []}, "e": 10**12}
     assert list(flatten(nested)) == [
-        "a.count=1", "a.0.name=look_up__twice", "a.0.on=true", "b.c=1,2.5", "b.d=", "e=1000000000000",
+        "a.count=1",
+        "a.0.name=look_up__twice",
+        "a.0.on=true",
+        "b.c=1,2.5",
+        "b.d=",
+        "e=1000000000000",
     ]
 
 
--- a/tests/test_net_stop.py
+++ b/tests/test_net_stop.py
@@ -136,8 +136,12 @@
             path.write_text(json.dumps(raw_config(agent.port)))
             line = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
             process = await asyncio.create_subprocess_exec(
-                "/bin/sh", "-c", line.replace(".venv/bin/python", sys.executable), cwd=ROOT,
-                stderr=asyncio.subprocess.DEVNULL, env={**os.environ, "ROUTER_CONFIG": str(path)},
+                "/bin/sh",
+                "-c",
+                line.replace(".venv/bin/python", sys.executable),
+                cwd=ROOT,
+                stderr=asyncio.subprocess.DEVNULL,
+                env={**os.environ, "ROUTER_CONFIG": str(path)},
             )
             try:
                 words = Path(f"/proc/{process.pid}/cmdline")
--- a/tests/test_net_told.py
+++ b/tests/test_net_told.py
@@ -99,15 +99,17 @@
     waits = waits_after([*before, mood, mood, mood], monkeypatch)
     assert len(waits) >= len(before) + 3
     latest = LATEST if before else discovery.FIRST_TOLD - IN_FORCE
-    assert max(waits[len(before):]) <= latest
+    assert max(waits[len(before) :]) <= latest
     assert waits[0] <= discovery.BACKOFF_FIRST or not before
     if mood in ("429", "503"):
-        assert min(waits[len(before) + 1:]) >= discovery.CROWD_EARLIEST * (latest - 0.5)
+        assert min(waits[len(before) + 1 :]) >= discovery.CROWD_EARLIEST * (latest - 0.5)
 
 
 def test_without_any_list_a_crowded_discovery_is_called_three_times_within_the_time_to_be_ready() -> None:
-    waits = [Pacing(1.0, random.Random(seed)).after_refusal(0.0, 0.0, 30.0, discovery.FIRST_TOLD)
-             for seed in range(99)]
+    waits = [
+        Pacing(1.0, random.Random(seed)).after_refusal(0.0, 0.0, 30.0, discovery.FIRST_TOLD)
+        for seed in range(99)
+    ]
     assert 3 * max(waits) < 10.0 - 2 * IN_FORCE
 
 
@@ -119,8 +121,13 @@
 )
 
 
-@given(st.lists(FAILURES, min_size=1, max_size=12), st.integers(0, 2**32), st.floats(0.0, SILENCE),
-       st.sampled_from([0.0, 1.0, 5.0, 30.0, 86400.0]), st.floats(0.05, 60.0))
+@given(
+    st.lists(FAILURES, min_size=1, max_size=12),
+    st.integers(0, 2**32),
+    st.floats(0.0, SILENCE),
+    st.sampled_from([0.0, 1.0, 5.0, 30.0, 86400.0]),
+    st.floats(0.05, 60.0),
+)
 @hypothesis_settings(max_examples=300, deadline=None, derandomize=True)
 def test_calls_are_never_further_apart_than_a_change_may_wait(
     failures: list[Failure], seed: int, quiet: float, advice: float, grace: float
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -142,8 +142,9 @@
     assert max(g.quota.pace for g in front.gateways) < 1.0
 
 
-@pytest.mark.parametrize(("outcome", "slower"), [(Outcome.TIMEOUT, True), (Outcome.FULL, True),
-                                                 (Outcome.RESET, False)])
+@pytest.mark.parametrize(
+    ("outcome", "slower"), [(Outcome.TIMEOUT, True), (Outcome.FULL, True), (Outcome.RESET, False)]
+)
 def test_answer_lost_on_one_connection_is_no_crowd_at_the_counter(outcome: Outcome, slower: bool) -> None:
     g = Gateway(settings(gateways=MANY, may_message=False, counter=True), 7, 0)
     g.handle(0, full_list(backend(1)))
@@ -445,17 +446,24 @@
     ManyBench(may_message=False, counter=True).play(steps)
 
 
-
-
-CEILING = plan(
-    rate=5.5, burst=11.0, over_cost=0.5, ceiling_rate=13.0, ceiling_burst=26.0, ceiling_slack=3.0
-)
+CEILING = plan(rate=5.5, burst=11.0, over_cost=0.5, ceiling_rate=13.0, ceiling_burst=26.0, ceiling_slack=3.0)
 
 
 def many_slices(position: int = 0, customer_plan: Any = None, **changes: Any) -> Gateway:
     plans = (customer_plan or plan(rate=0.4, burst=2.0, over_cost=0.5),)
-    made = Gateway(settings(gateways=40, position=position, may_message=False, counter=True, plans=plans,
-                            meter_period=SECOND // 2, **changes), position + 7, 0)
+    made = Gateway(
+        settings(
+            gateways=40,
+            position=position,
+            may_message=False,
+            counter=True,
+            plans=plans,
+            meter_period=SECOND // 2,
+            **changes,
+        ),
+        position + 7,
+        0,
+    )
     made.handle(0, full_list(*(backend(i) for i in range(1, 9))))
     return made
 
@@ -569,7 +577,8 @@
 
 @pytest.mark.parametrize(("cls", "resent"), [(0, True), (UNSAFE, False)])
 def test_zone_without_an_answer_is_left_out_whole_and_its_idle_connections_are_closed(
-    cls: int, resent: bool,
+    cls: int,
+    resent: bool,
 ) -> None:
     g, sent, actions = two_zones(6, cls)
     lost = {server for server in sent.values() if server % 2}
--- a/tests/test_scale_counts.py
+++ b/tests/test_scale_counts.py
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize("lost", [None, ZONES[0]])
 def test_at_the_design_size_a_gateway_holds_few_order_servers_and_each_has_ten_or_eleven_gateways(
-    lost: str | None
+    lost: str | None,
 ) -> None:
     h = held(DESIGN.gateways, DESIGN.order_servers, lost)
     most = 124 if lost else 148
