--- a/badgerspindle/__main__.py
+++ b/qos_gateway/__main__.py
@@ -13,11 +13,11 @@
 import uvloop
 
 from . import BEGUN
-from .net.config import Config, ConfigError, load, reload
-from .net.gateway import Node
+from .server.config import Config, ConfigError, load, reload
+from .server.gateway import Node
 
 HANGUP = {signal.SIGHUP}  # held back, never at its default, wherever no handler is in place: that would kill
-log = logging.getLogger("badgerspindle")
+log = logging.getLogger("qos_gateway")
 
 
 async def serve(config: Config, imported: float) -> None:
@@ -71,7 +71,7 @@
     try:
         uvloop.run(serve(load(os.environ), imported))
     except ConfigError as error:
-        print(f"badgerspindle: {error}", file=sys.stderr)
+        print(f"qos_gateway: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/badgerspindle/logic.py
+++ b/qos_gateway/decisions/engine.py
@@ -1,6 +1,6 @@
 """Every decision of a gateway: which customers' requests go on, to which backend, and which are refused.
 
-Read `interface.py` first, for types, events and actions. The mechanism is a QoS broker's: a table of
+Read `types.py` first, for types, events and actions. The mechanism is a QoS broker's: a table of
 commitments, a closed queuing model and seven cases that grant each customer a cap on requests in flight.
 """
 
@@ -9,8 +9,8 @@
 import random
 from math import ceil
 
-from .fleet import Fleet, repeat_filter, repeat_until
-from .interface import (
+from .load_balancer import Fleet, repeat_filter, repeat_until
+from ..types import (
     NEVER_RAN,
     Action,
     Arrival,
@@ -38,11 +38,11 @@
     Topology,
     Watch,
 )
-from .mail import Kind
-from .model import TARGET, QueueModel, seven_cases
-from .model import TICK as TICK
+from ..peer_messages import Kind
+from .queue_model import TARGET, QueueModel, seven_cases
+from .queue_model import TICK as TICK
 from .quota import EVALUATE_EVERY, FRESH, OPEN, Quota
-from .state import LONG, SECOND, Account, Mean, Open
+from ..state.entities import LONG, SECOND, Account, Mean, Open
 
 # Tuned values: unit and reason behind each; times are chosen against aims of the order of a second.
 IDLE = 10 * SECOND  # a commitment without requests ends; outlasts the lulls of a steady customer
--- a/badgerspindle/lease.py
+++ b/qos_gateway/decisions/lease.py
@@ -5,8 +5,8 @@
 import random
 from collections import deque
 
-from .interface import Action, AddToCounter, Counted, Outcome
-from .state import SECOND, Account
+from ..types import Action, AddToCounter, Counted, Outcome
+from ..state.entities import SECOND, Account
 
 FLOOR = 0.5  # part of each quota that stays in even slices: most customers use less, and need no call
 POOL = 0.6  # ... and the part that is leased: a tenth too much in all, as leases are seldom all used at once
--- a/badgerspindle/fleet.py
+++ b/qos_gateway/decisions/load_balancer.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable
 from math import ceil, log
 
-from .interface import (
+from ..types import (
     AttemptEnded,
     Backend,
     Group,
@@ -19,7 +19,7 @@
     Settings,
     Topology,
 )
-from .state import LONG, MEMORY, SECOND, Mean, Open, Server
+from ..state.entities import LONG, MEMORY, SECOND, Mean, Open, Server
 
 Filter = Callable[[Backend], bool]
 
--- a/badgerspindle/model.py
+++ b/qos_gateway/decisions/queue_model.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from math import ceil
 
-from .interface import Settings
-from .state import LONG, MEMORY, SECOND, Latency, Mean, decayed
+from ..types import Settings
+from ..state.entities import LONG, MEMORY, SECOND, Latency, Mean, decayed
 
 Goal = Callable[[int], bool]
 
--- a/badgerspindle/quota.py
+++ b/qos_gateway/decisions/quota.py
@@ -6,14 +6,14 @@
 from collections import deque
 from math import ceil
 
-from .interface import Action, AddToCounter, Counted, Outcome, PeerMessage, Settings, Tell
+from ..types import Action, AddToCounter, Counted, Outcome, PeerMessage, Settings, Tell
 from .lease import FLOOR, SAVED, Leases
-from .mail import TOTALS, Draw, Kind, pack_draw, pack_totals, unpack_draw, unpack_totals
-from .state import LONG, MEMORY, SECOND, Account, Mean
+from ..peer_messages import TOTALS, Draw, Kind, pack_draw, pack_totals, unpack_draw, unpack_totals
+from ..state.entities import LONG, MEMORY, SECOND, Account, Mean
 
 Word = tuple[int, bool | None, list[Action]]  # number of the ask answered, the answer, what to send
 
-# Tuned values, as in logic.py.
+# Tuned values, as in engine.py.
 EVALUATE_EVERY = 2 * SECOND  # a commitment's cap is looked at anew; long enough for a fit, short for a burst
 OVERTAKEN = 50  # tenths of a second by which word of a peer may be overtaken by newer word on its way
 FRESH = 1 * SECOND  # word of others' use counts in full until this old ...
--- a/badgerspindle/net/backends.py
+++ b/qos_gateway/server/backends.py
@@ -14,9 +14,9 @@
 
 import hiredis
 
-from ..interface import Outcome
+from ..types import Outcome
 from .config import Address
-from .figures import Figures
+from .metrics import Figures
 from .logs import RateLimitFilter
 from .resp import AnswerFrames, FrameError
 
--- a/badgerspindle/net/clients.py
+++ b/qos_gateway/server/clients.py
@@ -15,7 +15,7 @@
 
 import hiredis
 
-from ..interface import Repeat
+from ..types import Repeat
 from .backends import Flow
 from .config import Config
 from .listener import Listener, bound_socket, passed_socket
--- a/badgerspindle/net/config.py
+++ b/qos_gateway/server/config.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 from typing import Any
 
-from ..interface import Settings
-from ..wire import SettingsError, parse_settings
+from ..types import Settings
+from ..simulator.protocol import SettingsError, parse_settings
 
 Address = tuple[str, int]
 
--- a/badgerspindle/net/counter.py
+++ b/qos_gateway/server/counter.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from ..interface import Counted, Outcome
+from ..types import Counted, Outcome
 from .config import Address
 from .logs import RateLimitFilter
 
--- a/badgerspindle/net/discovery.py
+++ b/qos_gateway/server/discovery.py
@@ -13,7 +13,7 @@
 
 import h11
 
-from ..interface import Backend, Health, ListKind, Topology
+from ..types import Backend, Health, ListKind, Topology
 from .config import Address, ConfigError, address
 
 log = logging.getLogger(__name__)
--- a/badgerspindle/net/gateway.py
+++ b/qos_gateway/server/gateway.py
@@ -8,8 +8,8 @@
 from itertools import count
 from typing import Any, cast
 
-from .. import heritage
-from ..interface import (
+from ..state import capture as heritage
+from ..types import (
     Action,
     AddToCounter,
     Arrival,
@@ -37,16 +37,16 @@
     Topology,
     Watch,
 )
-from ..logic import NEW, OLD, Gateway
+from ..decisions.engine import NEW, OLD, Gateway
 from .backends import Attempt, Backends, Flow, ProbeAttempt, Report, monotonic_unix_ns
 from .clients import BadCall, Call, Clients, Relay, Slot
 from .config import Address, Config, needs_restart
 from .counter import Counter as QuotaCounter
 from .discovery import Discovery, ListError, Update, backend_id, parse_update
-from .figures import Ended, Figures, Standing, render
-from .operators import Door
+from .metrics import Ended, Figures, Standing, render
+from .admin import Door
 from .peers import Peers
-from .succession import Succession
+from .handover_channel import Succession
 
 log = logging.getLogger(__name__)
 
--- a/badgerspindle/net/peers.py
+++ b/qos_gateway/server/peers.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from ..mail import MESSAGE
+from ..peer_messages import MESSAGE
 from .config import Address
 
 log = logging.getLogger(__name__)
--- /dev/null
+++ b/qos_gateway/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""The same decisions on the wire of the simulator, over standard input and output."""
--- a/badgerspindle/wirehost.py
+++ b/qos_gateway/simulator/host.py
@@ -6,9 +6,9 @@
 import sys
 from typing import BinaryIO
 
-from .logic import Gateway
-from .wire import DIE, Down, SettingsError, Up, WireError, decode, encode, encode_action
-from .wire import parse_settings, text_record
+from ..decisions.engine import Gateway
+from .protocol import DIE, Down, SettingsError, Up, WireError, decode, encode, encode_action
+from .protocol import parse_settings, text_record
 
 
 def _answer(instances: dict[int, Gateway], body: bytes, base: int) -> bytes:
--- a/badgerspindle/wire.py
+++ b/qos_gateway/simulator/protocol.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from .interface import (
+from ..types import (
     Action,
     AddToCounter,
     Arrival,
--- a/badgerspindle/heritage.py
+++ b/qos_gateway/state/capture.py
@@ -7,9 +7,9 @@
 
 from typing import Any
 
-from .handover import pack_mean, read
-from .interface import Health, Settings
-from .logic import NEW, OLD, Gateway
+from .snapshot import pack_mean, read
+from ..types import Health, Settings
+from ..decisions.engine import NEW, OLD, Gateway
 
 
 def bequeath(gateway: Gateway, now: int) -> dict[str, Any]:
--- a/badgerspindle/state.py
+++ b/qos_gateway/state/entities.py
@@ -1,11 +1,11 @@
-"""What a gateway remembers: plain state and one helper, for `logic.py`. Nothing here decides anything."""
+"""What a gateway remembers: plain state and one helper for the decisions. Nothing here decides anything."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from math import exp, inf
 
-from .interface import Arrival, Backend, Plan
+from ..types import Arrival, Backend, Plan
 
 SECOND = 1_000_000_000
 # Time constants of recent means.
--- a/badgerspindle/handover.py
+++ b/qos_gateway/state/snapshot.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from .state import Mean
+from .entities import Mean
 
 
 @dataclass(frozen=True, slots=True)
--- a/badgerspindle/interface.py
+++ b/qos_gateway/types.py
@@ -1,4 +1,4 @@
-"""Types that pass between a gateway program and the decision module (`logic.py`).
+"""Types that pass between a gateway program and the decision module (`decisions/engine.py`).
 
 Times are integer nanoseconds, on any clock that never goes backwards. Everything is immutable;
 nothing here decides anything.
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -11,8 +11,8 @@
 import hiredis
 import uvloop
 
-from badgerspindle.net.config import Config, parse
-from badgerspindle.net.gateway import Node
+from qos_gateway.server.config import Config, parse
+from qos_gateway.server.gateway import Node
 
 WAIT = 20.0  # s: only a hang reaches it, no verdict hangs on it
 LOCAL = "127.0.0.1"
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from typing import Any
 
-from badgerspindle.interface import (
+from qos_gateway.types import (
     Arrival,
     AttemptEnded,
     Backend,
--- a/tests/scale/added.py
+++ b/tests/scale/added.py
@@ -176,7 +176,7 @@
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "badgerspindle",
+            "qos_gateway",
             stderr=asyncio.subprocess.PIPE,
             env={**os.environ, "ROUTER_CONFIG": str(path), "TMPDIR": folder},
         )
--- a/tests/scale/counter.py
+++ b/tests/scale/counter.py
@@ -14,7 +14,7 @@
 from itertools import count
 from math import ceil
 
-from badgerspindle.interface import (
+from qos_gateway.types import (
     AddToCounter,
     Arrival,
     AttemptEnded,
@@ -29,7 +29,7 @@
     Settings,
     TimerFired,
 )
-from badgerspindle.logic import Gateway
+from qos_gateway.decisions.engine import Gateway
 
 from ..helpers import CLASSES, arrival, backend, full_list, plan, settings
 from .common import DESIGN, MS, SECOND, at, progress, table
--- a/tests/scale/customers.py
+++ b/tests/scale/customers.py
@@ -13,7 +13,7 @@
 from itertools import count
 from statistics import median
 
-from badgerspindle.interface import (
+from qos_gateway.types import (
     AddToCounter,
     Arrival,
     AttemptEnded,
@@ -25,7 +25,7 @@
     SetTimer,
     TimerFired,
 )
-from badgerspindle.logic import Gateway
+from qos_gateway.decisions.engine import Gateway
 
 from ..helpers import CLASSES, arrival, backend, full_list, settings
 from .common import DESIGN, MS, SECOND, progress, rss_kb, timed
--- a/tests/scale/instances.py
+++ b/tests/scale/instances.py
@@ -8,8 +8,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from badgerspindle.interface import TimerFired, Topology
-from badgerspindle.logic import EVERY_TICK
+from qos_gateway.types import TimerFired, Topology
+from qos_gateway.decisions.engine import EVERY_TICK
 
 from .common import DESIGN, SECOND, START, cpu, line, progress, rss_kb, servers, timed, whole
 from .lists import instance, read
--- a/tests/scale/leases.py
+++ b/tests/scale/leases.py
@@ -9,8 +9,8 @@
 from concurrent.futures import Future, ProcessPoolExecutor
 from dataclasses import dataclass, replace
 
-from badgerspindle.interface import Settings
-from badgerspindle.logic import Gateway
+from qos_gateway.types import Settings
+from qos_gateway.decisions.engine import Gateway
 
 from .common import DESIGN, SECOND, progress, table
 from .counter import COLUMNS, LIMIT, SIZES, Fault, Result, Spell, cut_off, extrapolated, row, simulate
--- a/tests/scale/lists.py
+++ b/tests/scale/lists.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, replace
 from itertools import count
 
-from badgerspindle.interface import AttemptEnded, ListKind, Outcome, Send, TimerFired, Topology
-from badgerspindle.logic import EVERY_TICK, Gateway
-from badgerspindle.net.discovery import Update, parse_update
+from qos_gateway.types import AttemptEnded, ListKind, Outcome, Send, TimerFired, Topology
+from qos_gateway.decisions.engine import EVERY_TICK, Gateway
+from qos_gateway.server.discovery import Update, parse_update
 
 from ..helpers import arrival, plan, settings
 from .common import (
--- a/tests/scale/waves.py
+++ b/tests/scale/waves.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, replace
 from statistics import mean, median
 
-from badgerspindle.interface import Health, ListKind, Topology
-from badgerspindle.logic import Gateway
+from qos_gateway.types import Health, ListKind, Topology
+from qos_gateway.decisions.engine import Gateway
 
 from ..helpers import settings
 from .common import DESIGN, SECOND, START, ZONES, change, cpu, line, progress, servers, table, timed, whole
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from badgerspindle.fleet import Fleet
-from badgerspindle.interface import (
+from qos_gateway.decisions.load_balancer import Fleet
+from qos_gateway.types import (
     AttemptEnded,
     Backend,
     Cancel,
@@ -26,8 +26,8 @@
     TimerFired,
     Topology,
 )
-from badgerspindle.logic import Gateway
-from badgerspindle.state import Server
+from qos_gateway.decisions.engine import Gateway
+from qos_gateway.state.entities import Server
 
 from .helpers import MS, SECOND, arrival, plan, settings
 
--- a/tests/test_fixtures.py
+++ b/tests/test_fixtures.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from badgerspindle import heritage
-from badgerspindle.logic import Gateway
-from badgerspindle.mail import Draw, pack_draw, pack_totals, unpack_draw, unpack_totals
+from qos_gateway.state import capture as heritage
+from qos_gateway.decisions.engine import Gateway
+from qos_gateway.peer_messages import Draw, pack_draw, pack_totals, unpack_draw, unpack_totals
 
 from .helpers import SECOND, backend, full_list, plan, settings
 
--- a/tests/test_fleet_list.py
+++ b/tests/test_fleet_list.py
@@ -9,8 +9,8 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from badgerspindle.fleet import Fleet
-from badgerspindle.interface import Backend, Health, ListKind
+from qos_gateway.decisions.load_balancer import Fleet
+from qos_gateway.types import Backend, Health, ListKind
 
 from .helpers import SECOND, backend, full_list, settings
 
--- a/tests/test_fleet_quota.py
+++ b/tests/test_fleet_quota.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from badgerspindle.interface import (
+from qos_gateway.types import (
     AddToCounter,
     Counted,
     Event,
@@ -18,7 +18,7 @@
     SetTimer,
     TimerFired,
 )
-from badgerspindle.logic import Gateway
+from qos_gateway.decisions.engine import Gateway
 
 from .helpers import MS, SECOND, arrival, backend, ended, full_list, plan, settings
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -10,7 +10,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from badgerspindle.interface import (
+from qos_gateway.types import (
     NEVER_RAN,
     Action,
     Cancel,
@@ -26,8 +26,8 @@
     Tell,
     TimerFired,
 )
-from badgerspindle.logic import EVERY_TICK, TICK, Gateway
-from badgerspindle.mail import pack_totals
+from qos_gateway.decisions.engine import EVERY_TICK, TICK, Gateway
+from qos_gateway.peer_messages import pack_totals
 
 from .helpers import (
     CLASSES,
--- a/tests/test_heritage.py
+++ b/tests/test_heritage.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from badgerspindle import heritage
-from badgerspindle.interface import Counted, LeaveOut, Outcome, Send
-from badgerspindle.logic import Gateway
+from qos_gateway.state import capture as heritage
+from qos_gateway.types import Counted, LeaveOut, Outcome, Send
+from qos_gateway.decisions.engine import Gateway
 
 from .helpers import SECOND, arrival, backend, ended, full_list, plan, settings
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -12,11 +12,11 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from badgerspindle import heritage
-from badgerspindle.interface import Action, AddToCounter, Counted, ListKind, Outcome, Refuse, Send, Settings
-from badgerspindle.lease import FLOOR, LEAD, POOL, SAVED
-from badgerspindle.logic import Gateway
-from badgerspindle.net.config import LEASE_MOST, ConfigError, parse
+from qos_gateway.state import capture as heritage
+from qos_gateway.types import Action, AddToCounter, Counted, ListKind, Outcome, Refuse, Send, Settings
+from qos_gateway.decisions.lease import FLOOR, LEAD, POOL, SAVED
+from qos_gateway.decisions.engine import Gateway
+from qos_gateway.server.config import LEASE_MOST, ConfigError, parse
 
 from .fakes import raw_config
 from .helpers import MS, SECOND, arrival, backend, ended, full_list, plan, settings
--- a/tests/test_left_out.py
+++ b/tests/test_left_out.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from badgerspindle.interface import Health, LeaveOut, ListKind, Outcome, Send
-from badgerspindle.logic import Gateway
+from qos_gateway.types import Health, LeaveOut, ListKind, Outcome, Send
+from qos_gateway.decisions.engine import Gateway
 
 from .helpers import MS, SECOND, arrival, backend, ended, full_list, settings
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -15,11 +15,11 @@
 
 
 def test_no_line_is_longer_than_110_characters() -> None:
-    sources = [*ROOT.glob("badgerspindle/**/*.py"), *ROOT.glob("tests/*.py")]
+    sources = [*ROOT.glob("qos_gateway/**/*.py"), *ROOT.glob("tests/*.py")]
     assert len(sources) > 5
     assert [p.name for p in sources for line in p.read_text().splitlines() if len(line) > 110] == []
 
 
 def test_decision_module_names_its_interface_at_the_top() -> None:
-    text = (ROOT / "badgerspindle" / "logic.py").read_text()
-    assert "interface.py" in text[:400]
+    text = (ROOT / "qos_gateway" / "decisions" / "engine.py").read_text()
+    assert "types.py" in text[:400]
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from badgerspindle.model import TICK, Goal, QueueModel, mean_values, seven_cases
+from qos_gateway.decisions.queue_model import TICK, Goal, QueueModel, mean_values, seven_cases
 
 from .helpers import MS, SECOND, settings
 
--- a/tests/test_net_backends.py
+++ b/tests/test_net_backends.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from badgerspindle.interface import Outcome
-from badgerspindle.net import backends
-from badgerspindle.net.figures import Figures
-from badgerspindle.net.backends import (
+from qos_gateway.types import Outcome
+from qos_gateway.server import backends
+from qos_gateway.server.metrics import Figures
+from qos_gateway.server.backends import (
     Ages,
     Attempt,
     Backends,
@@ -23,7 +23,7 @@
     read_answer,
     read_report,
 )
-from badgerspindle.net.resp import AnswerFrames
+from qos_gateway.server.resp import AnswerFrames
 
 from .fakes import LOCAL, Backend, Connection, bulk, listening, run, served, soon, until
 
--- a/tests/test_net_clients.py
+++ b/tests/test_net_clients.py
@@ -9,7 +9,7 @@
 import hiredis
 import pytest
 
-from badgerspindle.interface import (
+from qos_gateway.types import (
     Action,
     Arrival,
     AttemptEnded,
@@ -29,8 +29,8 @@
     Topology,
 )
 
-from badgerspindle.net import clients
-from badgerspindle.net.gateway import USED_MOST
+from qos_gateway.server import clients
+from qos_gateway.server.gateway import USED_MOST
 
 from .fakes import CUSTOMER, World, bulk, call, host, listing, run, served, soon, until, world
 
--- a/tests/test_net_counter.py
+++ b/tests/test_net_counter.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from badgerspindle.interface import Counted, Outcome
-from badgerspindle.net import counter
-from badgerspindle.net.config import parse
-from badgerspindle.net.counter import Counter, read_answer
+from qos_gateway.types import Counted, Outcome
+from qos_gateway.server import counter
+from qos_gateway.server.config import parse
+from qos_gateway.server.counter import Counter, read_answer
 
 from .fakes import LOCAL, Tally, call, listening, nested_settings, raw_config, run, served, soon, until, world
 
--- a/tests/test_net_descriptors.py
+++ b/tests/test_net_descriptors.py
@@ -15,8 +15,8 @@
 
 import pytest
 
-from badgerspindle.net import listener
-from badgerspindle.net.listener import Listener
+from qos_gateway.server import listener
+from qos_gateway.server.listener import Listener
 
 from .fakes import (
     LOCAL,
--- a/tests/test_net_large.py
+++ b/tests/test_net_large.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from badgerspindle.interface import AttemptEnded, Begun, ClientLeft, Outcome, Send
-from badgerspindle.net import backends, clients
-from badgerspindle.net.resp import LARGE_MOST, VALUE_MOST, AnswerFrames, FrameError
+from qos_gateway.types import AttemptEnded, Begun, ClientLeft, Outcome, Send
+from qos_gateway.server import backends, clients
+from qos_gateway.server.resp import LARGE_MOST, VALUE_MOST, AnswerFrames, FrameError
 
 from .fakes import LOCAL, World, call, run, served, soon, until, world
 from .test_net_clients import SECOND, let_time_pass, only_backend, script
--- a/tests/test_net_left.py
+++ b/tests/test_net_left.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from badgerspindle.interface import Action, Arrival, AttemptEnded, ClientLeft, Outcome, Refuse, Send
-from badgerspindle.net import backends, clients
-from badgerspindle.net.gateway import Node
+from qos_gateway.types import Action, Arrival, AttemptEnded, ClientLeft, Outcome, Refuse, Send
+from qos_gateway.server import backends, clients
+from qos_gateway.server.gateway import Node
 
 from .fakes import Tally, World, call, listening, run, served, soon, until, world
 from .test_net_clients import Script, only_backend, script
--- a/tests/test_net_lists.py
+++ b/tests/test_net_lists.py
@@ -10,13 +10,13 @@
 
 import pytest
 
-from badgerspindle.interface import Backend, Health, ListKind, PeerMessage
-from badgerspindle.net import discovery, gateway
-from badgerspindle.net.clients import Clients
-from badgerspindle.net.config import Address, parse
-from badgerspindle.net.discovery import Discovery, ListError, Update, backend_id, parse_update
-from badgerspindle.net.gateway import Node
-from badgerspindle.net.peers import Peers
+from qos_gateway.types import Backend, Health, ListKind, PeerMessage
+from qos_gateway.server import discovery, gateway
+from qos_gateway.server.clients import Clients
+from qos_gateway.server.config import Address, parse
+from qos_gateway.server.discovery import Discovery, ListError, Update, backend_id, parse_update
+from qos_gateway.server.gateway import Node
+from qos_gateway.server.peers import Peers
 
 from .fakes import (
     LOCAL,
@@ -320,8 +320,8 @@
 
 def test_old_list_serves_while_discovery_is_down(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr("badgerspindle.net.gateway.KNOWN_LIST", 0.01)
-        monkeypatch.setattr("badgerspindle.net.gateway.FIRST_LIST", 600.0)  # only without a list
+        monkeypatch.setattr("qos_gateway.server.gateway.KNOWN_LIST", 0.01)
+        monkeypatch.setattr("qos_gateway.server.gateway.FIRST_LIST", 600.0)  # only without a list
         node = Node(config(1, listing(5, host("s-1", 1))))
         assert node.ready()
         await soon(node.start())
@@ -347,7 +347,7 @@
 
 def test_word_of_the_agent_counts_though_the_starting_loop_lagged(monkeypatch: pytest.MonkeyPatch) -> None:
     """What the agent has binds from the first moment: the list last known must not serve beside it."""
-    monkeypatch.setattr("badgerspindle.net.gateway.KNOWN_LIST", 0.5)
+    monkeypatch.setattr("qos_gateway.server.gateway.KNOWN_LIST", 0.5)
     ready: list[bool] = []
 
     async def test() -> None:
@@ -370,7 +370,7 @@
 
 def test_without_any_list_a_ping_is_not_answered_with_pong(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr("badgerspindle.net.gateway.FIRST_LIST", 0.01)
+        monkeypatch.setattr("qos_gateway.server.gateway.FIRST_LIST", 0.01)
         async with world() as w:
             w.agent.tell(listing(2))
             await until(lambda: not w.node.ready())
--- a/tests/test_net_logs.py
+++ b/tests/test_net_logs.py
@@ -6,16 +6,16 @@
 
 import pytest
 
-from badgerspindle.net.backends import log as backends_log
-from badgerspindle.net.clients import log as clients_log
-from badgerspindle.net.logs import LINES_MOST, SPAN, RateLimitFilter
+from qos_gateway.server.backends import log as backends_log
+from qos_gateway.server.clients import log as clients_log
+from qos_gateway.server.logs import LINES_MOST, SPAN, RateLimitFilter
 
 
 def test_a_flood_of_lines_is_cut_and_counted(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     clock = [1000.0]
-    monkeypatch.setattr("badgerspindle.net.logs.time.monotonic", lambda: clock[0])
+    monkeypatch.setattr("qos_gateway.server.logs.time.monotonic", lambda: clock[0])
     log = logging.getLogger("test.flood")
     log.addFilter(RateLimitFilter())
     for number in range(500):
--- a/tests/test_net_operators.py
+++ b/tests/test_net_operators.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from badgerspindle.net import operators
-from badgerspindle.net.figures import Ended, Figures, Standing, render
-from badgerspindle.net.operators import Door
+from qos_gateway.server import admin as operators
+from qos_gateway.server.metrics import Ended, Figures, Standing, render
+from qos_gateway.server.admin import Door
 
 from .fakes import LOCAL, call, host, listing, run, served, soon, until, world
 
--- a/tests/test_net_process.py
+++ b/tests/test_net_process.py
@@ -15,8 +15,8 @@
 
 import pytest
 
-from badgerspindle.net.clients import QUIET
-from badgerspindle.net.config import ConfigError, flatten, load, needs_restart, parse, reload
+from qos_gateway.server.clients import QUIET
+from qos_gateway.server.config import ConfigError, flatten, load, needs_restart, parse, reload
 
 from .fakes import (
     LOCAL,
@@ -35,7 +35,7 @@
     until,
 )
 
-COMMAND = (sys.executable, "-m", "badgerspindle")
+COMMAND = (sys.executable, "-m", "qos_gateway")
 
 
 class Process:
@@ -460,7 +460,7 @@
         out, err = await soon(process.communicate())
         assert process.returncode == 2 and out == b""
         (line,) = err.decode().splitlines()
-        assert line.startswith("badgerspindle: ") and words in line
+        assert line.startswith("qos_gateway: ") and words in line
 
     run(test)
 
@@ -477,7 +477,7 @@
             )
             _, err = await soon(process.communicate())
             assert process.returncode == 2
-            assert err.decode().splitlines()[-1].startswith("badgerspindle: cannot listen: ")
+            assert err.decode().splitlines()[-1].startswith("qos_gateway: cannot listen: ")
             assert b"Traceback" not in err
 
     run(test)
--- a/tests/test_net_stop.py
+++ b/tests/test_net_stop.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from badgerspindle.interface import Arrival, Send
-from badgerspindle.net import clients, gateway
+from qos_gateway.types import Arrival, Send
+from qos_gateway.server import clients, gateway
 
 from .fakes import Agent, Backend, call, listening, raw_config, run, served, soon, until, world
 from .test_net_clients import only_backend, script
--- a/tests/test_net_told.py
+++ b/tests/test_net_told.py
@@ -14,8 +14,8 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from badgerspindle.net import discovery
-from badgerspindle.net.discovery import CONNECT, IN_FORCE, MOVED, SILENCE, TOLD, Discovery, Pacing, Update
+from qos_gateway.server import discovery
+from qos_gateway.server.discovery import CONNECT, IN_FORCE, MOVED, SILENCE, TOLD, Discovery, Pacing, Update
 
 from .fakes import LOCAL, Agent, host, listing, run, soon
 from .test_net_lists import KINDS, ZONES, fast
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 
-from badgerspindle.interface import (
+from qos_gateway.types import (
     Action,
     AddToCounter,
     Cancel,
@@ -28,9 +28,9 @@
     Tell,
     TimerFired,
 )
-from badgerspindle.logic import EVERY_TICK, HOLD, TICK, Gateway
-from badgerspindle.mail import Draw, Kind, pack_draw, unpack_draw
-from badgerspindle.quota import OPEN
+from qos_gateway.decisions.engine import EVERY_TICK, HOLD, TICK, Gateway
+from qos_gateway.peer_messages import Draw, Kind, pack_draw, unpack_draw
+from qos_gateway.decisions.quota import OPEN
 
 from .helpers import MS, SECOND, UNSAFE, arrival, backend, ended, full_list, plan, settings
 from .test_gateway import EVENTS, Bench
--- a/tests/test_scale_counts.py
+++ b/tests/test_scale_counts.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from badgerspindle.interface import ListKind
+from qos_gateway.types import ListKind
 
 from .scale.common import DESIGN, ZONES, at, cell, line, servers, slope, whole
 from .scale.counter import Fault, Result, Spell, Store, cut_off, simulate, uses
--- a/tests/test_too_late.py
+++ b/tests/test_too_late.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from badgerspindle.interface import Action, Arrival, Begun, Cancel, Fail, Outcome, Refuse, Send, TimerFired
-from badgerspindle.logic import EVERY_TICK, TICK, Gateway
+from qos_gateway.types import Action, Arrival, Begun, Cancel, Fail, Outcome, Refuse, Send, TimerFired
+from qos_gateway.decisions.engine import EVERY_TICK, TICK, Gateway
 
 from .helpers import KEYED, MS, SAFE, SECOND, UNSAFE, arrival, backend, ended, full_list, settings
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from badgerspindle import wire
-from badgerspindle.interface import Arrival, AttemptEnded, Backend, LogLine, Outcome, Send, SetTimer, Topology
+from qos_gateway.simulator import protocol as wire
+from qos_gateway.types import Arrival, AttemptEnded, Backend, LogLine, Outcome, Send, SetTimer, Topology
 
 ROOT = Path(__file__).parent.parent
 SETTINGS_TEXT = "\n".join(
@@ -87,7 +87,7 @@
 
 
 def run(data: bytes) -> subprocess.CompletedProcess[bytes]:
-    command = [sys.executable, "-m", "badgerspindle.wirehost"]
+    command = [sys.executable, "-m", "qos_gateway.simulator.host"]
     return subprocess.run(command, input=data, capture_output=True, cwd=ROOT, check=False, timeout=60)
 
 
