--- a/tests/scale/__main__.py
+++ b/benchmarks/__main__.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from . import added, counter, customers, instances, leases, lists, waves
-from .common import progress
+from benchmarks import added, counter, customers, instances, leases, lists, waves
+from benchmarks.common import progress
 
 
 def main() -> None:
--- a/tests/scale/added.py
+++ b/benchmarks/added.py
@@ -19,9 +19,9 @@
 import hiredis
 import uvloop
 
-from ..fakes import nested_settings
-from .common import DESIGN, KINDS, ZONES, progress, rss_kb, timed
-from .stand_in import LOCAL
+from benchmarks.common import DESIGN, KINDS, ZONES, progress, rss_kb, timed
+from benchmarks.stand_in import LOCAL
+from tests.support.servers import nested_settings
 
 RATE = 200.0  # requests a second
 SECONDS = 15.0
@@ -104,7 +104,7 @@
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        "tests.scale.stand_in",
+        "benchmarks.stand_in",
         str(n),
         stdin=asyncio.subprocess.PIPE,
         stdout=asyncio.subprocess.PIPE,
--- a/tests/scale/counter.py
+++ b/benchmarks/counter.py
@@ -14,12 +14,14 @@
 from itertools import count
 from math import ceil
 
+from benchmarks.common import DESIGN, MS, SECOND, at, progress, table
+from qos_gateway.decisions.engine import DecisionEngine
 from qos_gateway.types import (
     AddToCounter,
     Arrival,
     AttemptEnded,
-    Cancel,
-    Counted,
+    CancelAttempt,
+    CounterReplied,
     Event,
     ListKind,
     Outcome,
@@ -29,10 +31,7 @@
     Settings,
     TimerFired,
 )
-from qos_gateway.decisions.engine import Gateway
-
-from ..helpers import CLASSES, arrival, backend, full_list, plan, settings
-from .common import DESIGN, MS, SECOND, at, progress, table
+from tests.support.builders import CLASSES, arrival, backend, full_list, plan, settings
 
 SPREAD = 10  # gateways of a tenant's set
 WORK = 100 * MS  # ns: mean time of an attempt
@@ -44,20 +43,20 @@
 SHARES = (0.6, 0.3, 0.1)  # of the tenants, by plan
 PLANS = (
     # A tenant's mean quota is 14.2/s: with the uses below, 11,000 of them offer 97,000 requests a second.
-    plan(name="basic", rate=6.7, burst=26.8, over_cost=0.5),
+    plan(name="basic", rate=6.7, burst=26.8, excess_cost=0.5),
     plan(
         name="limited",
         rate=16.1,
         burst=64.4,
-        open_limit=ceil(2.6 * 16.1 * WORK / SECOND),
-        over_worth=0.2,
-        over_cost=0.0,
+        max_in_flight=ceil(2.6 * 16.1 * WORK / SECOND),
+        excess_weight=0.2,
+        excess_cost=0.0,
     ),
     plan(
         name="ceiled",
         rate=53.6,
         burst=107.2,
-        over_cost=0.5,
+        excess_cost=0.5,
         ceiling_rate=117.9,
         ceiling_burst=235.8,
         ceiling_slack=11.8,
@@ -93,7 +92,7 @@
 
 ANY = -1  # whichever process runs there
 Due = tuple[int, int, int, int, Event]  # when (ns), order, gateway, its process, what
-Make = Callable[[Settings, int, int], Gateway]  # settings, seed, now (ns)
+Make = Callable[[Settings, int, int], DecisionEngine]  # settings, seed, now (ns)
 
 
 @dataclass
@@ -134,7 +133,7 @@
 
     @property
     def unpaid(self) -> int:
-        return sum(n for n, p in zip(self.beyond, self.plans, strict=True) if p.over_worth < p.over_cost)
+        return sum(n for n, p in zip(self.beyond, self.plans, strict=True) if p.excess_weight < p.excess_cost)
 
 
 class Store:
@@ -207,7 +206,7 @@
         self.room -= free
         return free
 
-    def call(self, now: int, gateway: int, action: AddToCounter) -> Counted:
+    def call(self, now: int, gateway: int, action: AddToCounter) -> CounterReplied:
         """What the gateway is told, and after how long."""
         on = {
             spell.fault
@@ -219,15 +218,15 @@
                 self.emptied.add(spell)
                 self.numbers.clear()
         if Fault.REFUSED in on:
-            return Counted(REFUSED, Outcome.CONNECT_FAILED, action.name, 0.0)
+            return CounterReplied(REFUSED, Outcome.CONNECT_FAILED, action.key, 0.0)
         if Fault.SILENT in on:
-            return Counted(TIMEOUT, Outcome.TIMEOUT, action.name, 0.0)
+            return CounterReplied(TIMEOUT, Outcome.TIMEOUT, action.key, 0.0)
         if not self._free(now):
-            return Counted(CALL, Outcome.FULL, action.name, 0.0)
-        self.numbers[action.name] += action.amount * (2 if Fault.TWICE in on else 1)
+            return CounterReplied(CALL, Outcome.OVERLOADED, action.key, 0.0)
+        self.numbers[action.key] += action.amount * (2 if Fault.TWICE in on else 1)
         if Fault.LATE in on:
-            return Counted(TIMEOUT, Outcome.TIMEOUT, action.name, 0.0)
-        return Counted(CALL, Outcome.OK, action.name, self.numbers[action.name])
+            return CounterReplied(TIMEOUT, Outcome.TIMEOUT, action.key, 0.0)
+        return CounterReplied(CALL, Outcome.OK, action.key, self.numbers[action.key])
 
 
 class Judge:
@@ -250,7 +249,7 @@
     after: float = 3.0,
     seed: int = 1,
     spells: Sequence[Spell] = (),
-    make: Make = Gateway,
+    make: Make = DecisionEngine,
     spread: int = SPREAD,
     plans: Sequence[Plan] = PLANS,
     restarts: Sequence[tuple[float, int]] = (),
@@ -261,11 +260,11 @@
     """
     rng, spread = random.Random(seed), min(spread, gateways)
     base = settings(
-        gateways=gateways,
+        gateway_count=gateways,
         may_message=False,
-        counter=True,
+        has_counter=True,
         plans=tuple(plans),
-        meter_period=METER if meter else 0,
+        usage_period=METER if meter else 0,
     )
     fleet = [make(replace(base, position=i), i + 7, 0) for i in range(gateways)]
     clients = tenants(gateways, n_tenants, requests_per_s, plans, rng)
@@ -295,7 +294,15 @@
         position = (who.first + rng.choices(places, weights[who.number])[0]) % gateways
         cls = rng.choices(classes, CLASS_SHARES)[0]
         asked[number] = who.number
-        made = arrival(number, now, cls, who.number + 1, plan=who.plan, spread=spread, first=who.first)
+        made = arrival(
+            number,
+            now,
+            cls,
+            who.number + 1,
+            plan_index=who.plan,
+            gateway_spread=spread,
+            first_gateway=who.first,
+        )
         heappush(events, (now, next(order), position, ANY, made))
 
     def used(now: int, judge: Judge, each: Plan) -> int:
@@ -315,17 +322,17 @@
         _, _, position, process, event = heappop(events)
         if process not in (born[position], ANY):
             if isinstance(event, AttemptEnded):
-                judges[asked[event.request]].open -= 1
+                judges[asked[event.request_id]].open -= 1
             continue
         process, counts = born[position], now >= measured
         if isinstance(event, AttemptEnded):
-            who = clients[asked[event.request]]
+            who = clients[asked[event.request_id]]
             judges[who.number].open -= 1
-            event = replace(event, used=used(now, judges[who.number], plans[who.plan]))
+            event = replace(event, quota_usage=used(now, judges[who.number], plans[who.plan]))
         actions = fleet[position].handle(now, event)
         if isinstance(event, Arrival):
             next_arrival()
-            who = clients[asked[event.request]]
+            who = clients[asked[event.request_id]]
             room = judges[who.number].ideal.take(now)
             result.offered += counts
             result.within[who.plan] += room and counts
@@ -342,12 +349,12 @@
                         result.beyond[who.plan] += counts and not inside
                         if each.ceiling_rate:
                             result.over_ceiling += counts and not judge.ceiling.take(now)
-                    result.over_open += counts and 0 < each.open_limit <= judge.open
+                    result.over_open += counts and 0 < each.max_in_flight <= judge.open
                     judge.open += 1
                     span = int(WORK * rng.uniform(0.6, 1.4))
                     over = AttemptEnded(request, True, 0, server, 0, Outcome.OK, span, attempt, ())
                     heappush(events, (now + span, next(order), position, process, over))
-                case Cancel():
+                case CancelAttempt():
                     raise AssertionError("no attempt of these lasts so long that it is called off")
                 case SetTimer(after_ns, token):
                     heappush(events, (now + after_ns, next(order), position, process, TimerFired(token)))
@@ -356,8 +363,8 @@
                     if counts:
                         result.calls += 1
                         result.answered += word.outcome is Outcome.OK
-                        result.turned_away += word.outcome is Outcome.FULL
-                        result.unanswered += word.outcome not in (Outcome.OK, Outcome.FULL)
+                        result.turned_away += word.outcome is Outcome.OVERLOADED
+                        result.unanswered += word.outcome not in (Outcome.OK, Outcome.OVERLOADED)
                     heappush(events, (now + word.elapsed, next(order), position, process, word))
     return result
 
--- a/tests/scale/customers.py
+++ b/benchmarks/customers.py
@@ -13,11 +13,14 @@
 from itertools import count
 from statistics import median
 
+from benchmarks.common import DESIGN, MS, SECOND, progress, rss_kb, timed
+from benchmarks.counter import CALL, CLASS_SHARES, PLANS, SHARES, SPREAD
+from qos_gateway.decisions.engine import DecisionEngine
 from qos_gateway.types import (
     AddToCounter,
     Arrival,
     AttemptEnded,
-    Counted,
+    CounterReplied,
     Event,
     ListKind,
     Outcome,
@@ -25,11 +28,7 @@
     SetTimer,
     TimerFired,
 )
-from qos_gateway.decisions.engine import Gateway
-
-from ..helpers import CLASSES, arrival, backend, full_list, settings
-from .common import DESIGN, MS, SECOND, progress, rss_kb, timed
-from .counter import CALL, CLASS_SHARES, PLANS, SHARES, SPREAD
+from tests.support.builders import CLASSES, arrival, backend, full_list, settings
 
 TENANTS = (100, 1_000, 4_000, 11_000)
 WORK = 100 * MS  # ns
@@ -52,7 +51,9 @@
 def measure(n: int, seconds: float = 60.0, requests_per_s: float = DESIGN.each, seed: int = 1) -> Cost:
     """All tenants come alike, through `seconds` of the virtual clock; no call to the counter is refused."""
     rng, order = random.Random(seed), count()
-    gateway = Gateway(settings(gateways=SPREAD, may_message=False, counter=True, plans=PLANS), 7, 0)
+    gateway = DecisionEngine(
+        settings(gateway_count=SPREAD, may_message=False, has_counter=True, plans=PLANS), 7, 0
+    )
     kinds, numbers = rng.choices(range(len(PLANS)), SHARES, k=n), dict[int, float]()
     events, ticks = list[tuple[int, int, Event]](), list[float]()
     listed = full_list(*map(backend, range(1, SERVERS + 1)), kind=ListKind.CACHED)
@@ -62,7 +63,7 @@
     def come(number: int) -> None:
         now, who = int(number / requests_per_s * SECOND), rng.randrange(n)
         cls = rng.choices(range(len(CLASSES)), CLASS_SHARES)[0]
-        made = arrival(number, now, cls, who + 1, plan=kinds[who], spread=SPREAD)
+        made = arrival(number, now, cls, who + 1, plan_index=kinds[who], gateway_spread=SPREAD)
         heappush(events, (now, next(order), made))
 
     come(1)
@@ -79,23 +80,25 @@
             spent += took
             arrived += isinstance(event, Arrival)
         if isinstance(event, Arrival):
-            come(event.request + 1)
+            come(event.request_id + 1)
         for action in actions:
             match action:
                 case Send():
-                    end = AttemptEnded(action.request, True, 0, action.backend, 0, Outcome.OK, WORK, 0, ())
+                    end = AttemptEnded(
+                        action.request_id, True, 0, action.endpoint, 0, Outcome.OK, WORK, 0, ()
+                    )
                     heappush(events, (now + WORK, next(order), end))
                 case SetTimer(after, token):
                     heappush(events, (now + after, next(order), TimerFired(token)))
                 case AddToCounter(name, _, amount):
                     numbers[name] = numbers.get(name, 0.0) + amount
-                    word = Counted(CALL, Outcome.OK, name, numbers[name])
+                    word = CounterReplied(CALL, Outcome.OK, name, numbers[name])
                     heappush(events, (now + CALL, next(order), word))
     numbers.clear()
     gc.collect()
     return Cost(
         len(gateway.quota.accounts),
-        len(gateway.active),
+        len(gateway.commitments),
         1e6 * spent / max(1, arrived),
         1000 * median(ticks),
         1000 * max(ticks),
@@ -105,7 +108,7 @@
 
 def measured(n: int, seed: int) -> Cost:
     """In a process of its own, or memory from before would be taken for new."""
-    code = f"from tests.scale.customers import measure; print(*vars(measure({n}, seed={seed})).values())"
+    code = f"from benchmarks.customers import measure; print(*vars(measure({n}, seed={seed})).values())"
     done = subprocess.run([sys.executable, "-c", code], check=True, capture_output=True, text=True)
     accounts, commitments, request, tick, most, memory = done.stdout.split()
     return Cost(int(accounts), int(commitments), float(request), float(tick), float(most), int(memory))
--- a/tests/scale/instances.py
+++ b/benchmarks/instances.py
@@ -8,11 +8,10 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
+from benchmarks.common import DESIGN, SECOND, START, cpu, line, progress, rss_kb, servers, timed, whole
+from benchmarks.lists import instance, read
+from qos_gateway.decisions.engine import TICK_TIMER
 from qos_gateway.types import TimerFired, Topology
-from qos_gateway.decisions.engine import EVERY_TICK
-
-from .common import DESIGN, SECOND, START, cpu, line, progress, rss_kb, servers, timed, whole
-from .lists import instance, read
 
 INSTANCES = (1, 8, 60, 240, 480)
 TICKS = 10
@@ -50,7 +49,7 @@
         for _ in range(TICKS):
             ticks += 1
             for gateway in gateways:
-                gateway.handle(START + ticks * BEAT, TimerFired(EVERY_TICK))
+                gateway.handle(START + ticks * BEAT, TimerFired(TICK_TIMER))
 
     spent = cpu(start, 1)
     gc.collect()
@@ -60,7 +59,7 @@
 
 def measured(n: int) -> Cost:
     """In a process of its own."""
-    code = f"from tests.scale.instances import measure; print(*vars(measure({n})).values())"
+    code = f"from benchmarks.instances import measure; print(*vars(measure({n})).values())"
     done = subprocess.run([sys.executable, "-c", code], check=True, capture_output=True, text=True)
     shared, *rest = done.stdout.split()
     return Cost(int(shared), *map(float, rest))
--- a/tests/scale/leases.py
+++ b/benchmarks/leases.py
@@ -1,6 +1,6 @@
 """Calls to the counter and what passes with quotas leased for terms, beside each request counted.
 
-`python -m tests.scale.leases` plays a whole term after the first one, which takes minutes of processor time.
+`python -m benchmarks.leases` plays a whole term after the first one, which takes minutes of processor time.
 """
 
 from __future__ import annotations
@@ -9,11 +9,21 @@
 from concurrent.futures import Future, ProcessPoolExecutor
 from dataclasses import dataclass, replace
 
+from benchmarks.common import DESIGN, SECOND, progress, table
+from benchmarks.counter import (
+    COLUMNS,
+    LIMIT,
+    SIZES,
+    Fault,
+    Result,
+    Spell,
+    cut_off,
+    extrapolated,
+    row,
+    simulate,
+)
+from qos_gateway.decisions.engine import DecisionEngine
 from qos_gateway.types import Settings
-from qos_gateway.decisions.engine import Gateway
-
-from .common import DESIGN, SECOND, progress, table
-from .counter import COLUMNS, LIMIT, SIZES, Fault, Result, Spell, cut_off, extrapolated, row, simulate
 
 TERM = 50  # s: the longest that the configuration takes
 BEFORE, END = 60.0, 110.0  # s of the virtual clock: counted over a whole term, after the first
@@ -27,8 +37,8 @@
 
     term: float
 
-    def __call__(self, made: Settings, seed: int, now: int) -> Gateway:
-        return Gateway(replace(made, lease=int(self.term * SECOND)), seed, now)
+    def __call__(self, made: Settings, seed: int, now: int) -> DecisionEngine:
+        return DecisionEngine(replace(made, lease_term=int(self.term * SECOND)), seed, now)
 
 
 def play(
--- a/tests/scale/lists.py
+++ b/benchmarks/lists.py
@@ -9,12 +9,7 @@
 from dataclasses import dataclass, replace
 from itertools import count
 
-from qos_gateway.types import AttemptEnded, ListKind, Outcome, Send, TimerFired, Topology
-from qos_gateway.decisions.engine import EVERY_TICK, Gateway
-from qos_gateway.server.discovery import Update, parse_update
-
-from ..helpers import arrival, plan, settings
-from .common import (
+from benchmarks.common import (
     DESIGN,
     KINDS,
     MS,
@@ -30,6 +25,10 @@
     timed,
     whole,
 )
+from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
+from qos_gateway.server.discovery import Update, parse_update
+from qos_gateway.types import AttemptEnded, ListKind, Outcome, Send, TimerFired, Topology
+from tests.support.builders import arrival, plan, settings
 
 LENGTHS = (200, 800, 1_800, 3_500, 7_100)
 GATEWAYS = DESIGN.gateways
@@ -42,9 +41,11 @@
     return parse_update(json.loads(data), ZONES, KINDS)
 
 
-def instance(position: int = 0, gateways: int = GATEWAYS) -> Gateway:
+def instance(position: int = 0, gateways: int = GATEWAYS) -> DecisionEngine:
     """A hollow instance: the decisions without sockets."""
-    return Gateway(settings(gateways=gateways, position=position, may_message=False, plans=(PLAN,)), 7, START)
+    return DecisionEngine(
+        settings(gateway_count=gateways, position=position, may_message=False, plans=(PLAN,)), 7, START
+    )
 
 
 @dataclass(frozen=True)
@@ -79,13 +80,13 @@
     tick: float
 
 
-def requests(gateway: Gateway, n: int, now: int, numbers: count[int]) -> int:
+def requests(gateway: DecisionEngine, n: int, now: int, numbers: count[int]) -> int:
     """So many requests that arrive and are answered, 5 ms apart; when the last was over (ns)."""
     for number in (next(numbers) for _ in range(n)):
         now += 5 * MS
-        a = arrival(number, now, customer=number % 23 + 1, spread=10)
+        a = arrival(number, now, customer_id=number % 23 + 1, gateway_spread=10)
         (sent,) = (action for action in gateway.handle(now, a) if isinstance(action, Send))
-        end = AttemptEnded(number, True, 0, sent.backend, 0, Outcome.OK, MS, 0, ())
+        end = AttemptEnded(number, True, 0, sent.endpoint, 0, Outcome.OK, MS, 0, ())
         gateway.handle(now + MS, end)
     return now
 
@@ -117,7 +118,7 @@
 
     def ticks() -> None:
         for _ in range(10):
-            gateway.handle(now, TimerFired(EVERY_TICK))
+            gateway.handle(now, TimerFired(TICK_TIMER))
 
     return Times(
         *(
@@ -148,7 +149,7 @@
 
 def grown(n: int) -> int:
     """The same in a fresh process: kB."""
-    code = f"from tests.scale.lists import grown_kb; print(grown_kb({n}))"
+    code = f"from benchmarks.lists import grown_kb; print(grown_kb({n}))"
     done = subprocess.run([sys.executable, "-c", code], check=True, capture_output=True, text=True)
     return int(done.stdout)
 
--- a/tests/scale/stand_in.py
+++ b/benchmarks/stand_in.py
@@ -1,6 +1,6 @@
 """Discovery, order servers that answer at once and a quota counter, in one process of its own.
 
-`python -m tests.scale.stand_in N` lists N order servers, all reached at one port, and writes its ports as a
+`python -m benchmarks.stand_in N` lists N order servers, all reached at one port, and writes its ports as a
 line of JSON to stdout. Once its stdin ends it writes what it counted as another line.
 """
 
@@ -14,7 +14,7 @@
 import hiredis
 import uvloop
 
-from .common import line, servers, whole
+from benchmarks.common import line, servers, whole
 
 LOCAL = "127.0.0.1"
 BEAT = 2.0  # s between empty lines of a watch
--- a/tests/scale/waves.py
+++ b/benchmarks/waves.py
@@ -6,13 +6,25 @@
 from dataclasses import dataclass, replace
 from statistics import mean, median
 
+from benchmarks.common import (
+    DESIGN,
+    SECOND,
+    START,
+    ZONES,
+    change,
+    cpu,
+    line,
+    progress,
+    servers,
+    table,
+    timed,
+    whole,
+)
+from benchmarks.counter import SIZES, Result, simulate
+from benchmarks.lists import instance, read
+from qos_gateway.decisions.engine import DecisionEngine
 from qos_gateway.types import Health, ListKind, Topology
-from qos_gateway.decisions.engine import Gateway
-
-from ..helpers import settings
-from .common import DESIGN, SECOND, START, ZONES, change, cpu, line, progress, servers, table, timed, whole
-from .counter import SIZES, Result, simulate
-from .lists import instance, read
+from tests.support.builders import settings
 
 DAY = 86_400  # s
 REPEATS = 3
@@ -63,19 +75,19 @@
     """`without`: a zone that is lost, so that the rest of the ring is dealt out anew."""
     lost = ZONES.index(without) if without else -1
     entries = tuple(
-        replace(entry, health=Health.GONE) if entry.zone == lost else entry
+        replace(entry, health=Health.REMOVED) if entry.zone == lost else entry
         for entry in read(line(whole(servers(n)))).topology.entries
     )
-    made = Gateway(settings(gateways=gateways, may_message=False), 7, START)
+    made = DecisionEngine(settings(gateway_count=gateways, may_message=False), 7, START)
     made.handle(START, Topology(ListKind.FULL, 1, entries))
-    by_gateway, by_server = [], dict.fromkeys(made.fleet.ring, 0)
+    by_gateway, by_server = [], dict.fromkeys(made.load_balancer.ring, 0)
     for position in range(gateways):
         # The ring is the same at every gateway; only the place on it differs.
-        made.fleet.s = replace(made.fleet.s, position=position)
-        mine = made.fleet.held(START)
+        made.load_balancer.settings = replace(made.load_balancer.settings, position=position)
+        mine = made.load_balancer.subset(START)
         by_gateway.append(len(mine))
         for server in mine:
-            by_server[server.entry.id] += 1
+            by_server[server.endpoint.id] += 1
     return Held(by_gateway, list(by_server.values()))
 
 
--- a/qos_gateway/__main__.py
+++ b/qos_gateway/__main__.py
@@ -23,7 +23,8 @@
 async def serve(config: Config, imported: float) -> None:
     """Run until SIGTERM or SIGINT, then end in good order; SIGHUP has the configuration read again.
 
-    `imported`: when the program had been read (s of the monotonic clock)."""
+    `imported`: when the program had been read (s of the monotonic clock).
+    """
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/qos_gateway/server/backends.py
+++ b/qos_gateway/server/backends.py
@@ -16,8 +16,8 @@
 
 from ..types import Outcome
 from .config import Address
-from .metrics import Figures
 from .logs import RateLimitFilter
+from .metrics import Figures
 from .resp import AnswerFrames, FrameError
 
 log = logging.getLogger(__name__)
@@ -234,18 +234,18 @@
             self.drop()
             if attempt is not None:
                 self.pool.finish(attempt, Outcome.CONNECT_FAILED)
-            return
+            return None
         try:
             end = self.frames.scan(data, 0)
             if not self.frames.large:
                 self.reader.feed(data if end < 0 else data[:end])
             elif not self._pass_on(attempt, data if end < 0 else data[:end]):
-                return
+                return None
             if end < 0:
                 self.heard_at = self.pool.owner.time()
                 if self.timer is None:
                     self.timer = self.pool.owner.loop.call_later(STALL, self._look)
-                return
+                return None
             ending = attempt.read(self.reader.gets())
         except (FrameError, Spoilt, hiredis.ProtocolError, ValueError) as error:
             return self._spoilt(str(error))
@@ -310,7 +310,8 @@
 
     def clean(self) -> bool:
         """Whether neither bytes nor an end lie unread in the socket: a second copy would be taken for the
-        next answer, and a request written behind an end may be thought to have run."""
+        next answer, and a request written behind an end may be thought to have run.
+        """
         transport = cast(asyncio.Transport, self.transport)
         if transport.is_closing():
             return False
@@ -368,12 +369,13 @@
 def read_answer(answer: object) -> Ending:
     """What a whole answer means: outcome, the value if it was served, figures on use and load report.
 
-    Value and framing must be right; a report or figures that can't be read spoil nothing."""
+    Value and framing must be right; a report or figures that can't be read spoil nothing.
+    """
     if isinstance(answer, list) and isinstance(answer[0], bytes):
         return Outcome.OK, answer[0], _read_all(answer[1:])
     if isinstance(answer, hiredis.ReplyError):
         line = str(answer)
-        for words, outcome in (("ERR failed", Outcome.ERROR), ("BUSY", Outcome.FULL)):
+        for words, outcome in (("ERR failed", Outcome.ERROR), ("BUSY", Outcome.OVERLOADED)):
             if line == words:
                 return outcome, None, {}
             if line.startswith(words + " "):
@@ -441,7 +443,7 @@
             return
         if not self.owner.wanted(attempt):
             link.drop()
-            self.finish(attempt, Outcome.MOOT)
+            self.finish(attempt, Outcome.NOT_SENT)
             return
         link.write(attempt, now)
 
@@ -557,7 +559,7 @@
     def spare(self, attempt: Attempt) -> None:
         """Nobody waits for it any more: it ends here unless its last byte is out."""
         if self._unsent(attempt):
-            self._abandon(attempt, Outcome.MOOT)
+            self._abandon(attempt, Outcome.NOT_SENT)
 
     def _unsent(self, attempt: Attempt) -> bool:
         return attempt.link is None or attempt.link.unsent
--- a/qos_gateway/server/clients.py
+++ b/qos_gateway/server/clients.py
@@ -15,7 +15,7 @@
 
 import hiredis
 
-from ..types import Repeat
+from ..types import Idempotence
 from .backends import Flow
 from .config import Config
 from .listener import Listener, bound_socket, passed_socket
@@ -107,11 +107,14 @@
 
     def __init__(self, config: Config) -> None:
         self._classes = {
-            name: (i, c.repeat)
+            name: (i, c.idempotence)
             for i, (name, c) in enumerate(zip(config.classes, config.settings.classes, strict=True))
         }
         self._plans = {name: i for i, name in enumerate(config.plans)}
-        self._gateways, self._largest = config.settings.gateways, max(1.0, config.settings.largest)
+        self._gateways, self._largest = (
+            config.settings.gateway_count,
+            max(1.0, config.settings.largest_request_units),
+        )
 
     def read(self, args: list[bytes]) -> Call:
         """A call from a command's words; raises `BadCall` with a plain reason."""
@@ -129,17 +132,17 @@
             raise BadCall("a name stands twice")
         if not all(name and equals for name, equals, _ in pairs):
             raise BadCall("expected a list of name=value")
-        cls, repeat = self._classes.get(named.get(b"c", b""), (-1, Repeat.SAFE))
+        cls, repeat = self._classes.get(named.get(b"c", b""), (-1, Idempotence.IDEMPOTENT))
         if cls < 0:
             raise BadCall("unknown class")
         plan = self._plans.get(named.get(b"t", b""), -1)
         if plan < 0:
             raise BadCall("unknown plan")
-        if (args[0].upper() == b"CALL.GET") != (repeat is Repeat.SAFE):
+        if (args[0].upper() == b"CALL.GET") != (repeat is Idempotence.IDEMPOTENT):
             raise BadCall("the class is not served by this command")
-        if repeat is Repeat.SAFE and len(args) == 5:
+        if repeat is Idempotence.IDEMPOTENT and len(args) == 5:
             raise BadCall("the class takes no value")
-        if repeat is Repeat.KEYED and not _KEY.fullmatch(named.get(b"k", b"")):
+        if repeat is Idempotence.KEYED and not _KEY.fullmatch(named.get(b"k", b"")):
             raise BadCall("k missing: the class wants an idempotency key")
         if b"d" not in named:
             raise BadCall("d missing")
@@ -196,7 +199,8 @@
 
 class Relay:
     """A large value on its way to a client: goes out as it comes once it is its turn, and the order server
-    is read no faster than the client takes it."""
+    is read no faster than the client takes it.
+    """
 
     __slots__ = ("_flow", "_head", "_kept", "live", "slot")
 
@@ -313,7 +317,7 @@
                 self._reader.feed(data[at:end] if end >= 0 else data[at:])
                 if end < 0:
                     self._half = self._half or self._owner.time()
-                    return
+                    return None
                 words = self._reader.gets()
             except (FrameError, hiredis.ProtocolError) as error:
                 return self._broken(str(error))
@@ -360,7 +364,8 @@
 
     def gone(self) -> bool:
         """Whether the client has ended its sending, told by the system itself: unread input hides that from
-        whoever does not read, and a loop that lags has not read it yet."""
+        whoever does not read, and a loop that lags has not read it yet.
+        """
         if self.closing():
             return True
         if self._end is None:
@@ -416,7 +421,8 @@
 
     def cut(self, slot: Slot, answer: bytes) -> None:
         """A large value breaks off. Where part of it is out, the connection's end shows that it is not whole;
-        what was taken behind it can't be answered any more."""
+        what was taken behind it can't be answered any more.
+        """
         relay, slot.relay = slot.relay, None
         if relay is None or not relay.live:
             return self.answer(slot, answer)
@@ -427,7 +433,8 @@
 
     def _broken(self, reason: str) -> None:
         """Where the next command begins can't be known any more; what was taken before is still answered,
-        or closing at once would lose it (rule 1)."""
+        or closing at once would lose it (rule 1).
+        """
         log.warning("client sent broken RESP: %s", reason)
         self._last(b"-ERR Protocol error: %b\r\n" % _line(reason))
 
@@ -489,7 +496,8 @@
 
     def _linger(self) -> None:
         """Half-close: to close on bytes that came unread is to reset, and a reset may take answers along that
-        the client has not read yet."""
+        the client has not read yet.
+        """
         transport = cast(asyncio.Transport, self._transport)
         if not self._lingering and not transport.is_closing():
             self._lingering = self._owner.time() + LINGER
@@ -528,7 +536,8 @@
 
     def end(self) -> None:
         """The gateway stops: half a command, or one in the socket, gets its answer unheard. Whoever is owed
-        one comes to rest by itself, as requests end with their time."""
+        one comes to rest by itself, as requests end with their time.
+        """
         owed = self.slots or self._rest or self._ending
         if not (owed or cast(asyncio.Transport, self._transport).is_closing()):
             self._last(b"-BUSY\r\n")
@@ -609,7 +618,8 @@
         """Whether one more connection can be kept. Descriptors are few: whoever never said anything, or else
         rests longest, makes room, as a gateway may close between requests; then who is in the middle of a
         command for long. None of them at once, or clients that come again and again would leave nobody the
-        time for a word."""
+        time for a word.
+        """
         if self.count() + cast(Listener, self._listener).coming < self.bound:
             return True
         now = self.time()
@@ -663,7 +673,8 @@
     async def drain(self) -> None:
         """Take what comes until new connections cease, answer all of it, close what rests. Where the
         platform holds the listening socket, what is not accepted yet is the next process's. Whoever is
-        still owed an answer is waited for: each request ends with its own time, and the rest soon after."""
+        still owed an answer is waited for: each request ends with its own time, and the rest soon after.
+        """
         own, start = self._passed is None, self.time()
         self._stopping, self._last_came = True, start
         rest_from = start + QUIET * own
--- a/qos_gateway/server/config.py
+++ b/qos_gateway/server/config.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 from typing import Any
 
-from ..types import Settings
 from ..simulator.protocol import SettingsError, parse_settings
+from ..types import Settings
 
 Address = tuple[str, int]
 
@@ -115,7 +115,8 @@
 
 def reload(environment: Mapping[str, str]) -> Config:
     """The configuration as it is now. The environment is as old as the process: the file's `discovery`,
-    which is what moves under a running gateway, comes before it here."""
+    which is what moves under a running gateway, comes before it here.
+    """
     return load({key: value for key, value in environment.items() if key != "ROUTER_DISCOVERY"})
 
 
@@ -150,7 +151,7 @@
     peers = tuple(address(peer, "peers") for peer in raw.get("peers") or [])
     peer_listen, peers_all = raw.get("peer_listen"), raw.get("peers_all")
     known, family = raw.get("known"), _part(nested, "familyInfo", dict, "settings.")
-    counter = address(raw["counter"], "counter") if settings.counter and raw.get("counter") else None
+    counter = address(raw["counter"], "counter") if settings.has_counter and raw.get("counter") else None
     operator, passed = environment.get("ROUTER_OPERATOR") or raw.get("operator"), None
     if text := environment.get("ROUTER_PASSED_SOCKET"):
         if not (text.isascii() and text.isdigit() and len(text) < 6):
@@ -170,9 +171,9 @@
         # Without a counter's address the module goes by its even slices.
         settings=replace(
             settings,
-            counter=counter is not None,
+            has_counter=counter is not None,
             may_message=settings.may_message and bool(peer_listen),
-            lease=_lease(raw),
+            lease_term=_lease(raw),
         ),
         classes=_name_keys(nested, "classes"),
         plans=_name_keys(nested, "packages"),
--- a/qos_gateway/server/counter.py
+++ b/qos_gateway/server/counter.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from ..types import Counted, Outcome
+from ..types import CounterReplied, Outcome
 from .config import Address
 from .logs import RateLimitFilter
 
@@ -49,7 +49,7 @@
 def read_answer(line: bytes) -> tuple[Outcome, float] | None:
     """What an answer to a call means; None where it tells neither a total nor that nothing was added."""
     if line in (b"busy", b"error"):
-        return (Outcome.FULL if line == b"busy" else Outcome.ERROR), 0.0
+        return (Outcome.OVERLOADED if line == b"busy" else Outcome.ERROR), 0.0
     word, _, total = line.partition(b" ")
     return (Outcome.OK, float(total)) if word == b"ok" and _TOTAL.fullmatch(total) else None
 
@@ -109,10 +109,11 @@
 
 class Counter:
     """Keeps a few connections open. Each call's end is told exactly once, within the time-out, for each name
-    in the order of the calls, and never before `call` returns."""
+    in the order of the calls, and never before `call` returns.
+    """
 
     def __init__(
-        self, address: Address, timeout: float, connect_timeout: float, told: Callable[[Counted], None]
+        self, address: Address, timeout: float, connect_timeout: float, told: Callable[[CounterReplied], None]
     ) -> None:
         self._address, self._timeout, self._connect_timeout = address, timeout, connect_timeout
         self._told = told
@@ -207,7 +208,7 @@
             else:
                 del self._at[bump.name]
         if not self._closed:
-            self._told(Counted(max(0, int((self.time() - bump.at) * 1e9)), outcome, bump.name, total))
+            self._told(CounterReplied(max(0, int((self.time() - bump.at) * 1e9)), outcome, bump.name, total))
 
     def _expire(self) -> None:
         """The oldest calls' time is up; a late answer is known by its place in the line."""
@@ -225,7 +226,8 @@
 
     def _overtaken(self, line: _Line) -> bool:
         """Later calls were answered on other connections: what lacks here past its time is no crowd's doing,
-        but an answer that got lost, and all behind it would wait for it in vain."""
+        but an answer that got lost, and all behind it would wait for it in vain.
+        """
         first = line.waiting[0] if line.waiting else None
         if first is None or self.time() - first.at < self._timeout or first.at >= self._newest:
             return False
--- a/qos_gateway/server/discovery.py
+++ b/qos_gateway/server/discovery.py
@@ -13,7 +13,7 @@
 
 import h11
 
-from ..types import Backend, Health, ListKind, Topology
+from ..types import Endpoint, Health, ListKind, Topology
 from .config import Address, ConfigError, address
 
 log = logging.getLogger(__name__)
@@ -30,7 +30,7 @@
 LINE = 4 << 20  # bytes of one object: some 20,000 entries; more is no list
 LEAVING_MOST = 1024  # backends that are remembered as leaving: several whole fleets
 MILLISECOND = 1_000_000
-_HEALTH = {"in_service": Health.READY, "terminating": Health.DRAINING, "terminated": Health.GONE}
+_HEALTH = {"in_service": Health.READY, "terminating": Health.DRAINING, "terminated": Health.REMOVED}
 
 
 class ListError(ValueError):
@@ -60,10 +60,10 @@
         entries = []
         for host in raw["hosts"]:
             number, health = backend_id(host["host"]), _HEALTH[host["health"]]
-            if health is not Health.GONE:
+            if health is not Health.REMOVED:
                 addresses[number] = address(host["dial"], "dial")
             entries.append(
-                Backend(
+                Endpoint(
                     number,
                     _index(zones, host.get("site")),
                     _index(kinds, host.get("class")),
@@ -87,7 +87,8 @@
 class Pacing:
     """When discovery is called next. Every call is begun early enough that one which succeeds is in force
     before a change counts as told, counted from what was last known, or from the start of a failed call.
-    Times are seconds of the loop's clock, waits seconds."""
+    Times are seconds of the loop's clock, waits seconds.
+    """
 
     __slots__ = ("_backoff", "_backoff_most", "_due", "_rng")
 
@@ -102,7 +103,8 @@
 
     def after_break(self) -> float:
         """The wait before a watch that was well is opened anew. Jitter, or gateways whose agents broke
-        together would come back together."""
+        together would come back together.
+        """
         return BACKOFF_FIRST * self._rng.uniform(0.5, 1.0)
 
     def after_failure(self, called_at: float, now: float, told: float = TOLD) -> float:
@@ -114,14 +116,16 @@
 
     def after_refusal(self, called_at: float, now: float, retry_after: float, told: float = TOLD) -> float:
         """The wait after a call that a crowded discovery turned away (429, 503): the longest that the next
-        may take, as a whole fleet that calls at once serves nobody."""
+        may take, as a whole fleet that calls at once serves nobody.
+        """
         left = max(BACKOFF_FIRST, self._left(called_at, now, told))
         earliest = min(CROWD_ADVISED, max(CROWD_EARLIEST, retry_after / left))
         return left * self._rng.uniform(earliest, 1.0)
 
     def _left(self, called_at: float, now: float, told: float) -> float:
         """Until the next call is due. What a watch missed binds by when it was last well, and once; after
-        that a change can have come no sooner than the call that failed."""
+        that a change can have come no sooner than the call that failed.
+        """
         due, self._due = self._due, None
         if due is None or due - now < BACKOFF_FIRST:
             due = called_at + told - IN_FORCE
@@ -199,9 +203,12 @@
 
     def _behind(self, update: Update) -> Update:
         """A whole list that is older than what is known, as of an agent that lags behind the one before it:
-        followed, as the changes after it come in order, but a drain once told holds (rule 3)."""
+        followed, as the changes after it come in order, but a drain once told holds (rule 3).
+        """
         entries = tuple(
-            replace(entry, health=Health.DRAINING) if self._leaving.get(entry.id) == entry.booted else entry
+            replace(entry, health=Health.DRAINING)
+            if self._leaving.get(entry.id) == entry.started_at
+            else entry
             for entry in update.topology.entries
         )
         return Update(replace(update.topology, entries=entries), update.addresses)
@@ -239,7 +246,7 @@
         for entry in update.topology.entries:
             self._leaving.pop(entry.id, None)
             if entry.health is not Health.READY:
-                self._leaving[entry.id] = entry.booted
+                self._leaving[entry.id] = entry.started_at
         while len(self._leaving) > LEAVING_MOST:
             del self._leaving[next(iter(self._leaving))]
         self._index = update.topology.version
@@ -293,7 +300,7 @@
             while not self.ended.done():
                 event = self._http.next_event()
                 if event is h11.NEED_DATA or event is h11.PAUSED:
-                    return
+                    return None
                 if isinstance(event, h11.Response) and event.status_code != 200:
                     self.turned_away = event.status_code in (429, 503)
                     self.retry_after = read_seconds(dict(event.headers).get(b"retry-after", b""))
--- a/qos_gateway/server/gateway.py
+++ b/qos_gateway/server/gateway.py
@@ -8,45 +8,45 @@
 from itertools import count
 from typing import Any, cast
 
+from ..decisions.engine import INCOMING_FRACTION, OUTGOING_FRACTION, DecisionEngine
 from ..state import capture as heritage
 from ..types import (
     Action,
     AddToCounter,
     Arrival,
     AttemptEnded,
-    Begun,
-    Cancel,
-    ClientLeft,
-    CloseIdle,
-    Counted,
+    CancelAttempt,
+    ClientDisconnected,
+    CloseIdleConnections,
+    CounterReplied,
     Event,
     Fail,
     Health,
-    LeaveOut,
     ListKind,
     LogLine,
     Outcome,
     PeerMessage,
     Probe,
-    Probed,
-    Refuse,
+    ProbeEnded,
+    Reject,
+    ResponseStarted,
     Send,
+    SendPeerMessage,
+    SetEndpointEnabled,
     SetTimer,
-    Tell,
     TimerFired,
     Topology,
-    Watch,
+    WatchEndpoints,
 )
-from ..decisions.engine import NEW, OLD, Gateway
+from .admin import Door
 from .backends import Attempt, Backends, Flow, ProbeAttempt, Report, monotonic_unix_ns
 from .clients import BadCall, Call, Clients, Relay, Slot
 from .config import Address, Config, needs_restart
 from .counter import Counter as QuotaCounter
 from .discovery import Discovery, ListError, Update, backend_id, parse_update
+from .handover_channel import Succession
 from .metrics import Ended, Figures, Standing, render
-from .admin import Door
 from .peers import Peers
-from .handover_channel import Succession
 
 log = logging.getLogger(__name__)
 
@@ -88,7 +88,7 @@
         self.config = config
         self._loop = asyncio.get_running_loop()
         self.now = monotonic_unix_ns()
-        self.module = Gateway(config.settings, config.seed, self.now())
+        self.module = DecisionEngine(config.settings, config.seed, self.now())
         self._numbers = count(1)
         self._requests: dict[int, Request] = {}
         self._ids: set[bytes] = set()  # of the requests that still owe an answer
@@ -196,7 +196,7 @@
             self._teller.cancel()
         await self.discovery.close()
         self.backends.close()
-        if settings.may_message and settings.gateways > 1:
+        if settings.may_message and settings.gateway_count > 1:
             # The module's beat goes on telling that nothing is used here. Its peers, on which the customers
             # now lean, would hold this gateway's slices of the quotas back for one that fell silent.
             await asyncio.sleep(max(0.0, end - self._loop.time()))
@@ -236,7 +236,7 @@
             else:
                 self._addresses.pop(entry.id, None)
             self._reach(entry.id)
-            (self._seen.discard if entry.health is Health.GONE else self._seen.add)(entry.id)
+            (self._seen.discard if entry.health is Health.REMOVED else self._seen.add)(entry.id)
         self._handle(update.topology)
 
     def _reach(self, backend: int) -> None:
@@ -249,7 +249,7 @@
         return self.clients.taking()
 
     def figures(self) -> bytes:
-        skipped = self.module.skipped(self.now())
+        skipped = self.module.excluded_endpoints(self.now())
         return render(self._figures, Standing(len(self._ids), len(self._seen), skipped))
 
     async def leave_out(self, name: str, out: bool) -> bool:
@@ -263,7 +263,7 @@
 
     def told(self, backend: int, out: bool) -> None:
         (self._out.add if out else self._out.discard)(backend)
-        self._handle(LeaveOut(backend, out))
+        self._handle(SetEndpointEnabled(backend, not out))
         self._reach(backend)
 
     # Upgrades.
@@ -271,13 +271,13 @@
     def bequeath(self) -> dict[str, Any]:
         """For the process that takes over; what this one holds open stays its own until it ends."""
         clients, backends = self.clients.count() + OLD_CLIENTS, self.backends.open + OLD_BACKENDS
-        self.clients.share(clients, OLD)
+        self.clients.share(clients, OUTGOING_FRACTION)
         self.backends.share(backends)
         return {
             "list": self.discovery.known(),
             "clients": clients,
             "backends": backends,
-            "decisions": heritage.bequeath(self.module, self.now()),
+            "decisions": heritage.capture(self.module, self.now()),
         }
 
     def _inherit(self, state: dict[str, Any]) -> None:
@@ -285,13 +285,13 @@
             if not self._told.is_set() and state["list"] is not None:
                 self._learn(self.discovery.adopt(state["list"]))
             clients, backends = int(state["clients"]), int(state["backends"])
-            heritage.inherit(self.module, self.now(), state["decisions"], self.config.settings)
+            heritage.restore(self.module, self.now(), state["decisions"], self.config.settings)
         except (KeyError, TypeError, ValueError) as error:
             log.error("upgrade: starting without the state of the process before: %s", error)
             return
-        self.clients.share(self.clients.bound - clients, NEW)
+        self.clients.share(self.clients.bound - clients, INCOMING_FRACTION)
         self.backends.share(self.backends.most - backends)
-        for backend in self.module.fleet.banned:
+        for backend in self.module.load_balancer.admin_disabled:
             self._out.add(backend)
             self._reach(backend)
         log.info("upgrade: taken over, %d order servers left out", len(self._out))
@@ -299,12 +299,12 @@
     def alone(self) -> None:
         self.clients.share(None, 1.0)
         self.backends.share(None)
-        heritage.alone(self.module)
+        heritage.complete(self.module)
 
     def heard(self, sender: int, data: bytes) -> None:
         self._handle(PeerMessage(sender, data))
 
-    def counted(self, event: Counted) -> None:
+    def counted(self, event: CounterReplied) -> None:
         self._counts[event.outcome] += 1
         self._handle(event)
 
@@ -346,7 +346,7 @@
         request = self._requests.get(number)
         if request is not None and not request.closed:
             self._close(number, request)
-            self._handle(ClientLeft(number))
+            self._handle(ClientDisconnected(number))
             if request.bound is not None:
                 self.backends.cancel(request.bound)
             # What still connects would be written long after its client went.
@@ -367,7 +367,7 @@
         if not request.closed:
             # The module left it open, perhaps after a fault: a failure promises nothing.
             self._answer(number, request, b"-ERR out of time\r\n", Ended.FAILED)
-            self._handle(ClientLeft(number))
+            self._handle(ClientDisconnected(number))
 
     # Answers.
 
@@ -380,7 +380,8 @@
 
     def _forget(self, number: int, request: Request) -> None:
         """Once its last attempt is over too. Until then the timer stays: a silent backend would hold the
-        connection of an attempt that nobody waits for, and its place in the module's count, for good."""
+        connection of an attempt that nobody waits for, and its place in the module's count, for good.
+        """
         if request.closed and not request.out:
             if request.timer is not None:
                 request.timer.cancel()
@@ -406,7 +407,7 @@
             attempt.timer.cancel()
         relay = request.slot.client.relay(request.slot, length, flow)
         elapsed = max(0, attempt.begun - attempt.started)
-        self._handle(Begun(number, elapsed, attempt.index, attempt.backend), number)
+        self._handle(ResponseStarted(number, elapsed, attempt.index, attempt.backend), number)
         return None if request.closed else relay
 
     def _attempt_ended(self, attempt: Attempt, outcome: Outcome, value: bytes | None, report: Report) -> None:
@@ -414,7 +415,7 @@
         names = self.config.settings.report_names
         load = tuple(report[name] for name in names) if report and report.keys() >= set(names) else ()
         if isinstance(attempt, ProbeAttempt):
-            self._handle(Probed(outcome, attempt.backend, elapsed, load))
+            self._handle(ProbeEnded(outcome, attempt.backend, elapsed, load))
             return
         self._ends[outcome] += 1
         number = attempt.request
@@ -464,13 +465,13 @@
         request = self._requests.get(number)
         if request is not None and not request.closed:
             self._answer(number, request, b"-ERR internal fault\r\n", Ended.FAILED)
-            self._handle(ClientLeft(number))
+            self._handle(ClientDisconnected(number))
 
     def _act(self, action: Action) -> None:
         match action:
             case Send():
                 self._send(action)
-            case Refuse(number, retry_in):
+            case Reject(number, retry_in):
                 if (request := self._requests.get(number)) is not None and not request.closed:
                     wait = -(-retry_in // MILLISECOND)
                     answer = b"-BUSY %d\r\n" % wait if wait else b"-BUSY\r\n"
@@ -480,28 +481,28 @@
                     self._answer(number, request, b"-ERR failed\r\n", Ended.FAILED)
             case SetTimer(after, token):
                 self._loop.call_later(after / SECOND, self._handle, TimerFired(token))
-            case Tell(to, data):
+            case SendPeerMessage(to, data):
                 self.peers.tell(to, data)
             case AddToCounter(name, lifetime, amount) if self.counter is not None:
                 self.counter.call(name, lifetime, amount)
-            case Cancel(number, index):
+            case CancelAttempt(number, index):
                 request = self._requests.get(number)
                 if request is not None and (attempt := request.out.get(index)) is not None:
                     self._loop.call_soon(self._cancel, attempt)
-            case CloseIdle(backend):
+            case CloseIdleConnections(backend):
                 self.backends.close_idle(backend)
             case LogLine(text):
                 log.info("%s", text)
             case Probe(backend) if self.config.settings.may_probe:
                 now, wait = self.now(), self.config.connect_timeout
                 self.backends.start(ProbeAttempt(backend, now, now + wait), wait / SECOND)
-            case Watch():
+            case WatchEndpoints():
                 pass  # the watch is open from the start
             case _:
                 log.error("%s is not possible on sockets", type(action).__name__)
 
     def _send(self, action: Send) -> None:
-        request, now = self._requests.get(action.request), self.now()
+        request, now = self._requests.get(action.request_id), self.now()
         if request is None:
             # The module counts it as out all the same, until it is told that it is not.
             log.error("attempt for a request that is over")
@@ -518,20 +519,21 @@
         expires = now + (action.timeout if timeout is not None else left)
         call = request.call
         attempt = Attempt(
-            action.request,
+            action.request_id,
             index,
-            action.backend,
+            action.endpoint,
             now,
             expires,
             (call.front, call.head, call.tail, call.body),
-            action.before,
+            action.send_deadline,
         )
         request.out[index] = attempt
         self.backends.start(attempt, timeout)
 
     def _left_unseen(self, request: Request) -> bool:
         """Whether the client has closed its connection, though the loop may not have come to read that yet:
-        asked before each attempt, as one that begins more than 0.1 s after the close is a break."""
+        asked before each attempt, as one that begins more than 0.1 s after the close is a break.
+        """
         client = request.slot.client
         if not client.gone():
             return False
@@ -543,8 +545,10 @@
         return request is None or not self._left_unseen(request)
 
     def _moot(self, action: Send, index: int, finished: bool) -> None:
-        event = AttemptEnded(action.request, finished, 0, action.backend, 0, Outcome.MOOT, 0, index, ())
-        self._loop.call_soon(self._handle, event, action.request)
+        event = AttemptEnded(
+            action.request_id, finished, 0, action.endpoint, 0, Outcome.NOT_SENT, 0, index, ()
+        )
+        self._loop.call_soon(self._handle, event, action.request_id)
 
     def _cancel(self, attempt: Attempt) -> None:
         """Not within the module's own turn: its outcome is an event of its own."""
--- a/qos_gateway/server/listener.py
+++ b/qos_gateway/server/listener.py
@@ -40,7 +40,8 @@
 
 class Listener:
     """Accepts only what can be kept. A loop that takes whatever comes and closes it again spends descriptors
-    that others need and all of its time, and a client that means it is as likely closed as any."""
+    that others need and all of its time, and a client that means it is as likely closed as any.
+    """
 
     def __init__(
         self, sock: socket.socket, made: Callable[[], asyncio.Protocol], room: Callable[[], bool]
@@ -78,7 +79,7 @@
         for _ in range(BATCH):
             if not self.waiting():
                 self._full_since = None
-                return
+                return None
             shut = False
             if not self._room():
                 now = self._loop.time()
@@ -91,7 +92,7 @@
             try:
                 sock, _ = self._sock.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
-                return
+                return None
             except OSError as error:
                 # The system has no descriptor left, or no memory: to try again at once would spin.
                 log.warning("no connection can be accepted: %s", error)
--- a/qos_gateway/server/peers.py
+++ b/qos_gateway/server/peers.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from ..peer_messages import MESSAGE
+from ..peer_messages import MAX_MESSAGE_BYTES
 from .config import Address
 
 log = logging.getLogger(__name__)
@@ -34,7 +34,7 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         number = self._numbers.get((addr[0], addr[1]))
-        if number is not None and len(data) <= MESSAGE:
+        if number is not None and len(data) <= MAX_MESSAGE_BYTES:
             self._heard(number, data)
 
     def error_received(self, exc: Exception) -> None:
@@ -42,7 +42,7 @@
 
     def tell(self, to: int | None, data: bytes) -> None:
         """To one peer by number, or to all. One that is too long is dropped here."""
-        if len(data) > MESSAGE:
+        if len(data) > MAX_MESSAGE_BYTES:
             log.error("message of %d bytes to a peer dropped", len(data))
             return
         if self._transport is None:
--- a/qos_gateway/simulator/host.py
+++ b/qos_gateway/simulator/host.py
@@ -6,12 +6,22 @@
 import sys
 from typing import BinaryIO
 
-from ..decisions.engine import Gateway
-from .protocol import DIE, Down, SettingsError, Up, WireError, decode, encode, encode_action
-from .protocol import parse_settings, text_record
+from ..decisions.engine import DecisionEngine
+from .protocol import (
+    DIE,
+    Down,
+    SettingsError,
+    Up,
+    WireError,
+    decode,
+    encode,
+    encode_action,
+    parse_settings,
+    text_record,
+)
 
 
-def _answer(instances: dict[int, Gateway], body: bytes, base: int) -> bytes:
+def _answer(instances: dict[int, DecisionEngine], body: bytes, base: int) -> bytes:
     """The whole reply to one batch; a fault of the decision code becomes `die` with its text."""
     now, events = decode(body, base)
     replies: dict[int, list[bytes]] = {}
@@ -19,7 +29,7 @@
         out = replies.setdefault(instance, [])
         try:
             if isinstance(event, Up):
-                instances[instance] = Gateway(parse_settings(event.settings), event.seed, now)
+                instances[instance] = DecisionEngine(parse_settings(event.settings), event.seed, now)
             elif isinstance(event, Down):
                 instances.pop(instance, None)
             elif instance in instances:
@@ -33,7 +43,7 @@
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer batches until the input ends."""
-    instances: dict[int, Gateway] = {}
+    instances: dict[int, DecisionEngine] = {}
     at = 0
     while True:
         header = source.read(4)
--- a/qos_gateway/simulator/protocol.py
+++ b/qos_gateway/simulator/protocol.py
@@ -14,34 +14,34 @@
     AddToCounter,
     Arrival,
     AttemptEnded,
-    Backend,
-    Begun,
-    Cancel,
-    ClientLeft,
-    CloseIdle,
-    Counted,
+    CancelAttempt,
+    ClientDisconnected,
+    CloseIdleConnections,
+    CounterReplied,
+    Endpoint,
     Event,
     Fail,
-    Fetch,
-    Group,
+    FetchEndpoints,
     Health,
+    Idempotence,
+    IdempotencyScope,
     ListKind,
     LogLine,
     Outcome,
     PeerMessage,
     Plan,
     Probe,
-    Probed,
-    Refuse,
-    Repeat,
+    ProbeEnded,
+    Reject,
     RequestClass,
+    ResponseStarted,
     Send,
+    SendPeerMessage,
     SetTimer,
     Settings,
-    Tell,
     TimerFired,
     Topology,
-    Watch,
+    WatchEndpoints,
 )
 
 SELECT, UP, DOWN = 1110, 1000, 1090
@@ -130,7 +130,7 @@
     for backend, zone, machine, cell, health, weight, booted in _ENTRY.iter_unpack(raw):
         if health > max(Health):
             raise WireError(f"unknown health {health} at byte {reader.base + reader.at}")
-        entries.append(Backend(backend, zone, machine, cell, Health(health), weight, booted))
+        entries.append(Endpoint(backend, zone, machine, cell, Health(health), weight, booted))
     return Topology(ListKind(kind), version, tuple(entries))
 
 
@@ -146,10 +146,10 @@
     return AttemptEnded(request, bool(finished), units, backend, used, outcome, elapsed, shot, report)
 
 
-def _probed(reader: _Reader) -> Probed:
+def _probed(reader: _Reader) -> ProbeEnded:
     how, backend, elapsed, count = reader.take(_PROBED, "status_back")
     outcome = _outcome(how, reader)
-    return Probed(outcome, backend, elapsed, _report(reader, count))
+    return ProbeEnded(outcome, backend, elapsed, _report(reader, count))
 
 
 def _mail(reader: _Reader) -> PeerMessage:
@@ -157,9 +157,9 @@
     return PeerMessage(sender, reader.raw(size, "mail"))
 
 
-def _counted(reader: _Reader) -> Counted:
+def _counted(reader: _Reader) -> CounterReplied:
     elapsed, how, name, total = reader.take(_COUNTED, "counter_reply")
-    return Counted(elapsed, _outcome(how, reader), name, total)
+    return CounterReplied(elapsed, _outcome(how, reader), name, total)
 
 
 _DECODERS: dict[int, Callable[[_Reader], Event | Up | Down]] = {
@@ -167,9 +167,9 @@
     DOWN: lambda reader: Down(),
     1010: _topology,
     1020: _arrival,
-    1030: lambda reader: Begun(*reader.take(_BEGUN, "begun")),
+    1030: lambda reader: ResponseStarted(*reader.take(_BEGUN, "begun")),
     1040: _ended,
-    1050: lambda reader: ClientLeft(*reader.take(_U64, "client_left")),
+    1050: lambda reader: ClientDisconnected(*reader.take(_U64, "client_left")),
     1060: lambda reader: TimerFired(*reader.take(_U32, "elapsed")),
     1070: _probed,
     1080: _mail,
@@ -214,25 +214,25 @@
     match action:
         case Send(request, backend, timeout):
             return _SEND.pack(1000, request, backend, timeout)
-        case Refuse(request, retry_in):
+        case Reject(request, retry_in):
             return _REFUSE.pack(1010, request, retry_in)
         case Fail(request):
             return _ONE_U64.pack(1020, request)
-        case Cancel(request, attempt):
+        case CancelAttempt(request, attempt):
             return _CANCEL.pack(1030, request, attempt)
         case SetTimer(after, token):
             return _TIMER.pack(1040, after, token)
         case Probe(backend):
             return _ONE_U32.pack(1050, backend)
-        case CloseIdle(backend):
+        case CloseIdleConnections(backend):
             return _ONE_U32.pack(1060, backend)
-        case Tell(to, data):
+        case SendPeerMessage(to, data):
             return _TELL.pack(1070, EVERY_PEER if to is None else to, len(data)) + data
         case LogLine(text):
             return text_record(1080, text)
-        case Watch(on):
+        case WatchEndpoints(on):
             return _ONE_U8.pack(1100, on)
-        case Fetch():
+        case FetchEndpoints():
             return _U16.pack(1110)
         case AddToCounter(name, lifetime, amount):
             return _ADD.pack(1120, name, lifetime, amount)
@@ -297,13 +297,13 @@
 def _request_class(values: _Values, path: str) -> RequestClass:
     return RequestClass(
         name=values.text(path + "name"),
-        aim=values.whole(path + "aim", 1),
+        latency_objective=values.whole(path + "aim", 1),
         deadline=values.whole(path + "deadline", 1),
-        worth=values.number(path + "points"),
-        late_worth=values.number(path + "lateWorth"),
-        repeat=values.choice(path + "idempotency", Repeat),
-        group=values.choice(path + "group", Group),
-        window=values.whole(path + "window"),
+        priority_weight=values.number(path + "points"),
+        late_priority_weight=values.number(path + "lateWorth"),
+        idempotence=values.choice(path + "idempotency", Idempotence),
+        idempotency_scope=values.choice(path + "group", IdempotencyScope),
+        idempotency_window=values.whole(path + "window"),
     )
 
 
@@ -312,10 +312,10 @@
         name=values.text(path + "name"),
         rate=values.number(path + "quotaRate"),
         burst=values.number(path + "mostAtOnce"),
-        open_limit=values.whole(path + "parallel"),
-        price=values.number(path + "worthFactor"),
-        over_worth=values.number(path + "beyondEarns"),
-        over_cost=values.number(path + "excessCost"),
+        max_in_flight=values.whole(path + "parallel"),
+        weight_factor=values.number(path + "worthFactor"),
+        excess_weight=values.number(path + "beyondEarns"),
+        excess_cost=values.number(path + "excessCost"),
         ceiling_rate=values.number(path + "ceilingRate"),
         ceiling_burst=values.number(path + "hardBurst"),
         ceiling_slack=values.number(path + "ceilingSlack"),
@@ -331,26 +331,26 @@
         plans=tuple(_plan(v, f"packages.{i}.") for i in range(v.whole("packages.count", 1))),
         zone=v.whole("zone"),
         position=v.whole("position"),
-        gateways=v.whole("replicasOfMe", 1),
+        gateway_count=v.whole("replicasOfMe", 1),
         report_names=tuple(name for name in names.split(",") if name),
         max_attempts=v.whole("limits.maxAttempts", 1),
-        second_copies=v.flag("limits.secondCopies"),
+        hedging=v.flag("limits.secondCopies"),
         may_cancel=v.flag("limits.cancel"),
         may_probe=v.flag("limits.probes"),
         may_message=v.flag("limits.peerMessages"),
-        retry_advice=v.flag("limits.retryAfter"),
+        sends_retry_after=v.flag("limits.retryAfter"),
         max_retry_after=v.whole("limits.maxRetryAfter"),
-        counter=v.flag("familyInfo.counter"),
-        meter_period=v.whole("familyInfo.usePeriod"),
-        largest=v.number("familyInfo.largest"),
+        has_counter=v.flag("familyInfo.counter"),
+        usage_period=v.whole("familyInfo.usePeriod"),
+        largest_request_units=v.number("familyInfo.largest"),
         messages_per_s=v.number("familyInfo.mailPerS"),
-        settled_after=v.flag("familyInfo.truedUp"),
-        ask_discovery=v.text("discovery") == "on_request",
-        ask_within=v.whole("rules.askWithin"),
+        settles_actual_units=v.flag("familyInfo.truedUp"),
+        polls_discovery=v.text("discovery") == "on_request",
+        poll_deadline=v.whole("rules.askWithin"),
         drain_grace=v.whole("rules.drainGrace"),
-        fall_window=v.whole("rules.fall", 1),
-        fall_multiple=v.number("rules.fallMultiple"),
-        start_capacity=v.number("rules.startCapacity"),
-        warm_up=v.whole("rules.warmUp"),
-        cross_zone_price=v.number("prices.crossZone"),
+        overload_window=v.whole("rules.fall", 1),
+        overload_multiple=v.number("rules.fallMultiple"),
+        initial_capacity_fraction=v.number("rules.startCapacity"),
+        slow_start_window=v.whole("rules.warmUp"),
+        cross_zone_cost=v.number("prices.crossZone"),
     )
--- a/qos_gateway/state/snapshot.py
+++ b/qos_gateway/state/snapshot.py
@@ -5,72 +5,72 @@
 from dataclasses import dataclass
 from typing import Any
 
-from .entities import Mean
+from .decaying_mean import DecayingMean
 
 
 @dataclass(frozen=True, slots=True)
-class Store:
+class AccountSnapshot:
     """A customer's stores and what was told of it."""
 
-    customer: int
-    plan: int
-    slices: int
+    customer_id: int
+    plan_index: int
+    slice_count: int
     peers: tuple[int, ...]
-    out: int
-    level: float
-    part: float
-    ceiling: float
-    told_at: int
-    seen: Mean
-    granted: Mean
+    in_flight: int
+    tokens: float
+    local_tokens: float
+    ceiling_tokens: float
+    reported_at: int
+    long_demand: DecayingMean
+    grant_ratio: DecayingMean
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class EndpointSnapshot:
     """A server as the old process saw it; it may have been started anew since."""
 
-    server: int
-    booted: int
-    suspended: int
-    pause: int
-    fails: int
-    tokens: float
-    banned_at: int
-    cold_from: int
-    slow: Mean
+    endpoint: int
+    started_at: int
+    ejected_until: int
+    ejection_time: int
+    consecutive_failures: int
+    slow_start_tokens: float
+    disabled_at: int
+    assumed_start: int
+    slowness: DecayingMean
 
 
-def pack_mean(mean: Mean) -> list[float]:
-    return [mean.at, mean.memory, mean.total, mean.weight]
+def encode_mean(mean: DecayingMean) -> list[float]:
+    return [mean.updated_at, mean.time_constant, mean.weighted_sum, mean.weight]
 
 
-def read_mean(raw: Any) -> Mean:
+def decode_mean(raw: Any) -> DecayingMean:
     at, memory, total, weight = raw
-    made = Mean(int(memory))
-    made.at, made.total, made.weight = int(at), float(total), float(weight)
+    made = DecayingMean(int(memory))
+    made.updated_at, made.weighted_sum, made.weight = int(at), float(total), float(weight)
     return made
 
 
 @dataclass(frozen=True, slots=True)
-class Handover:
+class EngineSnapshot:
     """All that is handed over, read and checked."""
 
-    stores: list[Store]
-    servers: list[Seen]
-    banned: dict[int, int]
-    sends: Mean
-    latency: list[Mean]
-    shortest: list[float]
-    pace: float
-    retries: float
-    leases: dict[int, dict[int, float]]  # by customer and term
+    accounts: list[AccountSnapshot]
+    endpoints: list[EndpointSnapshot]
+    admin_disabled: dict[int, int]
+    warm_completions: DecayingMean
+    latency: list[DecayingMean]
+    baseline_latency: list[float]
+    call_rate: float
+    retry_tokens: float
+    lease_fractions: dict[int, dict[int, float]]  # by customer and term
 
 
-def read(raw: dict[str, Any], plans: int, classes: int) -> Handover:
+def decode_snapshot(raw: dict[str, Any], plans: int, classes: int) -> EngineSnapshot:
     """Raises ValueError, with what is wrong, for what does not fit so many plans and classes."""
     try:
         stores = [
-            Store(
+            AccountSnapshot(
                 int(c),
                 int(p),
                 int(n),
@@ -80,20 +80,22 @@
                 float(part),
                 float(ceiling),
                 int(told),
-                read_mean(seen),
-                read_mean(granted),
+                decode_mean(seen),
+                decode_mean(granted),
             )
             for c, p, n, peers, out, level, part, ceiling, told, seen, granted in raw["accounts"]
         ]
-        if any(not 0 <= store.plan < plans for store in stores):
+        if any(not 0 <= store.plan_index < plans for store in stores):
             raise ValueError("a plan that is not in the settings")
         servers = [
-            Seen(int(s), int(b), int(su), int(pause), int(f), float(t), int(at), int(cold), read_mean(slow))
+            EndpointSnapshot(
+                int(s), int(b), int(su), int(pause), int(f), float(t), int(at), int(cold), decode_mean(slow)
+            )
             for s, b, su, pause, f, t, at, cold, slow in raw["servers"]
         ]
         banned = {int(number): int(since) for number, since in raw["banned"]}
-        sends = read_mean(raw["sends"])
-        latency = [read_mean(each) for each in raw["latency"]]
+        sends = decode_mean(raw["sends"])
+        latency = [decode_mean(each) for each in raw["latency"]]
         shortest = [float(each) for each in raw["shortest"]]
         if not len(latency) == len(shortest) == classes:
             raise ValueError("other classes than in the settings")
@@ -102,4 +104,4 @@
         leases = {int(c): {int(t): float(part) for t, part in terms} for c, terms in raw.get("leases", [])}
     except (AttributeError, KeyError, TypeError, ValueError, OverflowError) as error:
         raise ValueError(f"heritage not readable: {type(error).__name__}: {error}") from None
-    return Handover(stores, servers, banned, sends, latency, shortest, pace, retries, leases)
+    return EngineSnapshot(stores, servers, banned, sends, latency, shortest, pace, retries, leases)
--- a/qos_gateway/types.py
+++ b/qos_gateway/types.py
@@ -10,15 +10,15 @@
 from enum import Enum, IntEnum
 
 
-class Repeat(Enum):
+class Idempotence(Enum):
     """What a class allows once an attempt may have run."""
 
-    SAFE = "free"
+    IDEMPOTENT = "free"
     KEYED = "guarded"
-    UNSAFE = "single_shot"
+    NOT_IDEMPOTENT = "single_shot"
 
 
-class Group(Enum):
+class IdempotencyScope(Enum):
     """Which backends drop a keyed request's repeats."""
 
     ALL = "all"
@@ -31,15 +31,15 @@
 
     ERROR = 0
     OK = 1
-    FULL = 2
+    OVERLOADED = 2
     TIMEOUT = 3
     CONNECT_FAILED = 4
     RESET = 5
     CANCELLED = 6
-    MOOT = 7
+    NOT_SENT = 7
 
 
-NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT})
+NOT_EXECUTED = frozenset({Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
 
 
 class ListKind(IntEnum):
@@ -54,7 +54,7 @@
 class Health(IntEnum):
     """A backend's state in the list."""
 
-    GONE = 0
+    REMOVED = 0
     READY = 1
     DRAINING = 2
 
@@ -64,13 +64,13 @@
     """One class of request; `window` is how long a group remembers a key."""
 
     name: str
-    aim: int
+    latency_objective: int
     deadline: int
-    worth: float
-    late_worth: float
-    repeat: Repeat
-    group: Group
-    window: int
+    priority_weight: float
+    late_priority_weight: float
+    idempotence: Idempotence
+    idempotency_scope: IdempotencyScope
+    idempotency_window: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,10 +80,10 @@
     name: str
     rate: float
     burst: float
-    open_limit: int
-    price: float
-    over_worth: float
-    over_cost: float
+    max_in_flight: int
+    weight_factor: float
+    excess_weight: float
+    excess_cost: float
     ceiling_rate: float
     ceiling_burst: float
     ceiling_slack: float
@@ -97,42 +97,44 @@
     plans: tuple[Plan, ...]
     zone: int
     position: int
-    gateways: int
+    gateway_count: int
     report_names: tuple[str, ...]
     max_attempts: int
-    second_copies: bool
+    hedging: bool
     may_cancel: bool
     may_probe: bool
     may_message: bool
-    retry_advice: bool
+    sends_retry_after: bool
     max_retry_after: int
-    counter: bool
-    meter_period: int
-    largest: float
+    has_counter: bool
+    usage_period: int
+    largest_request_units: float
     messages_per_s: float
-    settled_after: bool
-    ask_discovery: bool
-    ask_within: int
+    settles_actual_units: bool
+    polls_discovery: bool
+    poll_deadline: int
     drain_grace: int
-    fall_window: int
-    fall_multiple: float
-    start_capacity: float
-    warm_up: int
-    cross_zone_price: float
-    lease: int = 0  # length of the terms for which parts of quotas are leased; 0: each request is counted
+    overload_window: int
+    overload_multiple: float
+    initial_capacity_fraction: float
+    slow_start_window: int
+    cross_zone_cost: float
+    lease_term: int = (
+        0  # length of the terms for which parts of quotas are leased; 0: each request is counted
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class Backend:
+class Endpoint:
     """One entry of the list; `booted` is 0 for a long time ago."""
 
     id: int
     zone: int
-    kind: int
+    machine_class: int
     cell: int
     health: Health
     weight: float
-    booted: int
+    started_at: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -141,54 +143,54 @@
 
     kind: ListKind
     version: int
-    entries: tuple[Backend, ...]
+    entries: tuple[Endpoint, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
     """A client's request; exactly one final answer is owed before `valid_until`."""
 
-    request: int
-    cls: int
-    plan: int
-    customer: int
-    valid_until: int
+    request_id: int
+    class_index: int
+    plan_index: int
+    customer_id: int
+    deadline: int
     units: float
-    spread: int
-    first: int
+    gateway_spread: int
+    first_gateway: int
     options: int
 
 
 @dataclass(frozen=True, slots=True)
-class Begun:
+class ResponseStarted:
     """A streamed answer has started."""
 
-    request: int
+    request_id: int
     elapsed: int
     attempt: int
-    backend: int
+    endpoint: int
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
     """How one attempt ended; `used` is 1 + percent of the customer's rate in use, or 0."""
 
-    request: int
-    finished: bool
-    true_units: int
-    backend: int
-    used: int
+    request_id: int
+    request_finished: bool
+    actual_units: int
+    endpoint: int
+    quota_usage: int
     outcome: Outcome
     elapsed: int
     attempt: int
-    report: tuple[float, ...]
+    load_report: tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class ClientLeft:
+class ClientDisconnected:
     """The client is gone; no answer is owed any more."""
 
-    request: int
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -199,13 +201,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class ProbeEnded:
     """What one `Probe` found."""
 
     outcome: Outcome
-    backend: int
+    endpoint: int
     elapsed: int
-    report: tuple[float, ...]
+    load_report: tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -217,68 +219,69 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
+class CounterReplied:
     """The answer to one `AddToCounter`."""
 
     elapsed: int
     outcome: Outcome
-    name: int
+    key: int
     total: float
 
 
 @dataclass(frozen=True, slots=True)
-class LeaveOut:
-    """An operator's word: send a backend nothing (`out`), whatever the list says, or use it again."""
+class SetEndpointEnabled:
+    """An operator's order: send an endpoint nothing, whatever the list says, or use it again."""
 
-    backend: int
-    out: bool
+    endpoint: int
+    enabled: bool
 
 
 Event = (
-    LeaveOut
+    SetEndpointEnabled
     | Topology
     | Arrival
-    | Begun
+    | ResponseStarted
     | AttemptEnded
-    | ClientLeft
+    | ClientDisconnected
     | TimerFired
-    | Probed
+    | ProbeEnded
     | PeerMessage
-    | Counted
+    | CounterReplied
 )
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
     """Start an attempt; `timeout` 0 means until the client gives up. Where a connection comes up late, it is
-    not written any more from `before` on; 0 sets no such time."""
+    not written any more from `before` on; 0 sets no such time.
+    """
 
-    request: int
-    backend: int
+    request_id: int
+    endpoint: int
     timeout: int
-    before: int = 0
+    send_deadline: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """Final answer: turned away, trying again is harmless."""
 
-    request: int
-    retry_in: int
+    request_id: int
+    retry_after: int
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
     """Final answer: failed, nothing promised."""
 
-    request: int
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Cancel:
+class CancelAttempt:
     """Stop waiting for one attempt."""
 
-    request: int
+    request_id: int
     attempt: int
 
 
@@ -286,7 +289,7 @@
 class SetTimer:
     """Ask for a `TimerFired` after `after`."""
 
-    after: int
+    delay: int
     token: int
 
 
@@ -294,21 +297,21 @@
 class Probe:
     """Ask a backend how it is."""
 
-    backend: int
+    endpoint: int
 
 
 @dataclass(frozen=True, slots=True)
-class CloseIdle:
+class CloseIdleConnections:
     """Close idle connections to a backend."""
 
-    backend: int
+    endpoint: int
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendPeerMessage:
     """Send up to 256 bytes to one peer, or to all (`to` is None)."""
 
-    to: int | None
+    recipient: int | None
     data: bytes
 
 
@@ -316,20 +319,20 @@
 class AddToCounter:
     """Add to a named number that all gateways share, and get the total."""
 
-    name: int
-    lifetime: int
+    key: int
+    time_to_live: int
     amount: float
 
 
 @dataclass(frozen=True, slots=True)
-class Watch:
+class WatchEndpoints:
     """Subscribe to the list, or stop."""
 
-    on: bool
+    enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Fetch:
+class FetchEndpoints:
     """Ask for the whole list once."""
 
 
@@ -342,15 +345,15 @@
 
 Action = (
     Send
-    | Refuse
+    | Reject
     | Fail
-    | Cancel
+    | CancelAttempt
     | SetTimer
     | Probe
-    | CloseIdle
-    | Tell
+    | CloseIdleConnections
+    | SendPeerMessage
     | AddToCounter
-    | Watch
-    | Fetch
+    | WatchEndpoints
+    | FetchEndpoints
     | LogLine
 )
--- a/tests/test_scale_counts.py
+++ b/tests/benchmarks/test_measures.py
@@ -6,13 +6,12 @@
 
 import pytest
 
+from benchmarks.common import DESIGN, ZONES, at, cell, line, servers, slope, whole
+from benchmarks.counter import Fault, Result, Spell, Store, cut_off, simulate, uses
+from benchmarks.lists import read, sizes
+from benchmarks.waves import held, lost_zone
 from qos_gateway.types import ListKind
 
-from .scale.common import DESIGN, ZONES, at, cell, line, servers, slope, whole
-from .scale.counter import Fault, Result, Spell, Store, cut_off, simulate, uses
-from .scale.lists import read, sizes
-from .scale.waves import held, lost_zone
-
 
 def small(capacity: float | None = None, *spells: Spell) -> Result:
     return simulate(4, 40, 400.0, capacity, seconds=3.0, after=1.0, seed=5, spells=spells)
@@ -52,14 +51,16 @@
 ) -> None:
     h = held(DESIGN.gateways, DESIGN.order_servers, lost)
     most = 124 if lost else 148
-    assert len(h.by_gateway) == DESIGN.gateways and set(h.by_gateway) == {most}
+    assert len(h.by_gateway) == DESIGN.gateways
+    assert set(h.by_gateway) == {most}
     assert set(h.by_server) <= {10, 11}
     assert sum(h.by_server) == most * DESIGN.gateways
 
 
 def test_at_todays_size_every_gateway_holds_every_order_server() -> None:
     h = held(3, 12)
-    assert set(h.by_gateway) == {12} and set(h.by_server) == {3}
+    assert set(h.by_gateway) == {12}
+    assert set(h.by_server) == {3}
 
 
 def test_counter_run_is_the_same_twice_and_another_with_another_seed() -> None:
@@ -76,7 +77,9 @@
     r = small()
     assert r.turned_away == r.unanswered == 0 < r.answered == r.calls
     assert r.per_request < 1.0
-    assert r.granted > 0.99 and r.price < 0.01 and r.over_ceiling == 0
+    assert r.granted > 0.99
+    assert r.price < 0.01
+    assert r.over_ceiling == 0
 
 
 def test_crowded_counter_answers_its_capacity_and_is_called_less() -> None:
@@ -89,7 +92,8 @@
 def test_counter_out_of_reach_answers_nobody_and_quotas_still_hold_roughly() -> None:
     r = small(None, Spell(Fault.REFUSED, 0.0, 3.0))
     assert r.answered == r.turned_away == 0 < r.unanswered == r.calls
-    assert r.granted > 0.85 and r.price < 0.05
+    assert r.granted > 0.85
+    assert r.price < 0.05
 
 
 def test_region_cut_off_from_the_counter_leaves_the_other_its_answers() -> None:
@@ -125,7 +129,8 @@
 
 def test_shares_of_use_are_as_named() -> None:
     made = sorted(uses(1000, random.Random(1)))
-    assert sum(use < 0.5 for use in made) == 780 and made.count(5.0) == 40
+    assert sum(use < 0.5 for use in made) == 780
+    assert made.count(5.0) == 40
 
 
 def test_least_squares_by_hand() -> None:
--- a/tests/test_fleet_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -9,10 +9,9 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from qos_gateway.decisions.load_balancer import Fleet
-from qos_gateway.types import Backend, Health, ListKind
-
-from .helpers import SECOND, backend, full_list, settings
+from qos_gateway.decisions.load_balancer import LoadBalancer
+from qos_gateway.types import Endpoint, Health, ListKind
+from tests.support.builders import SECOND, backend, full_list, settings
 
 START = 1_000 * SECOND
 STARTS = st.sampled_from([0, 990, 999, 1_000])  # s
@@ -31,25 +30,29 @@
 def test_changes_leave_what_a_whole_list_would(
     changes: list[tuple[list[tuple[int, Health, int]], ListKind, int]],
 ) -> None:
-    made, listed = Fleet(settings(), random.Random(1)), dict[int, Backend]()
+    made, listed = LoadBalancer(settings(), random.Random(1)), dict[int, Endpoint]()
     now = START
     for entries, kind, operator in changes:
         now += SECOND
         told = {number: backend(number, health, booted * SECOND) for number, health, booted in entries}
         listed = told if kind is ListKind.FULL else listed | told
-        made.learn(now, full_list(*told.values(), kind=kind))
-        made.leave_out(now, 3, operator == 1)
-        usable = sorted(i for i, b in listed.items() if b.health is Health.READY and i not in made.banned)
+        made.update_list(now, full_list(*told.values(), kind=kind))
+        made.set_enabled(now, 3, operator != 1)
+        usable = sorted(
+            i for i, b in listed.items() if b.health is Health.READY and i not in made.admin_disabled
+        )
         assert made.ring == usable
-        assert made.cold == {i for i in usable if made.warmth(now, made.servers[i]) < 1.0}
-        assert set(made.servers) == {i for i, b in listed.items() if b.health is not Health.GONE}
+        assert made.warming_up == {
+            i for i in usable if made.slow_start_fraction(now, made.endpoints[i]) < 1.0
+        }
+        assert set(made.endpoints) == {i for i, b in listed.items() if b.health is not Health.REMOVED}
         assert made.unlisted == set()  # nothing is out there: forgotten at once
 
 
 def steps(n: int) -> int:
     """Lines run for one change and a look at a list of so many."""
-    made, lines = Fleet(settings(gateways=n // 10), random.Random(1)), 0
-    made.learn(START, full_list(*map(backend, range(1, n + 1))))
+    made, lines = LoadBalancer(settings(gateway_count=n // 10), random.Random(1)), 0
+    made.update_list(START, full_list(*map(backend, range(1, n + 1))))
 
     def trace(frame: object, what: str, arg: object) -> object:
         nonlocal lines
@@ -58,7 +61,7 @@
 
     sys.settrace(trace)  # type: ignore[arg-type]
     try:
-        made.learn(START + SECOND, full_list(backend(n // 2, Health.DRAINING), kind=ListKind.DELTA))
+        made.update_list(START + SECOND, full_list(backend(n // 2, Health.DRAINING), kind=ListKind.DELTA))
     finally:
         sys.settrace(None)
     return lines
--- /dev/null
+++ b/tests/decisions/test_late_requests.py
@@ -0,0 +1,103 @@
+"""What is past its aim while a queue has risen: given up at once, but only at servers that answer."""
+
+from __future__ import annotations
+
+import pytest
+
+from qos_gateway.decisions.engine import TICK, TICK_TIMER, DecisionEngine
+from qos_gateway.types import (
+    Action,
+    Arrival,
+    CancelAttempt,
+    Fail,
+    Outcome,
+    Reject,
+    ResponseStarted,
+    Send,
+    TimerFired,
+)
+from tests.support.builders import (
+    KEYED,
+    MS,
+    SAFE,
+    SECOND,
+    UNSAFE,
+    arrival,
+    backend,
+    ended,
+    full_list,
+    settings,
+)
+
+START = 100 * SECOND
+
+
+def pressed(
+    cls: int = SAFE, risen: bool = True, answered: bool = True
+) -> tuple[DecisionEngine, list[Action]]:
+    """Request 1 went out an aim ago; what the next tick gives."""
+    g = DecisionEngine(settings(may_message=False, gateway_count=1), 7, 0)
+    g.handle(0, full_list(backend(1)))
+    assert isinstance(g.handle(START, arrival(1, START, cls))[0], Send)
+    if answered:
+        g.handle(START + 8 * TICK, arrival(2, START + 8 * TICK, customer_id=2))
+        g.handle(START + 9 * TICK, ended(2, 1, elapsed=TICK))
+    fit = g.model.fit
+
+    def rise(now: int, out: int, outstanding: list[tuple[int, int]]) -> None:
+        fit(now, out, outstanding)
+        g.model.congested = risen
+
+    g.model.fit = rise  # type: ignore[method-assign]
+    early = g.handle(START + 10 * TICK - MS, TimerFired(TICK_TIMER))
+    assert not [a for a in early if isinstance(a, CancelAttempt | Fail | Reject)]
+    return g, g.handle(START + 10 * TICK, TimerFired(TICK_TIMER))
+
+
+@pytest.mark.parametrize(("cls", "end"), [(SAFE, Reject), (KEYED, Fail), (UNSAFE, Fail)])
+def test_it_is_called_off_and_ended_as_its_class_allows(cls: int, end: type) -> None:
+    g, actions = pressed(cls)
+    assert [a for a in actions if isinstance(a, CancelAttempt)] == [CancelAttempt(1, 0)]
+    (final,) = (a for a in actions if isinstance(a, Fail | Reject))
+    assert isinstance(final, end)
+    assert final.request_id == 1
+    again = g.handle(START + 11 * TICK, TimerFired(TICK_TIMER))
+    assert not [a for a in again if isinstance(a, CancelAttempt | Fail | Reject | Send)]
+
+
+@pytest.mark.parametrize(("risen", "answered"), [(False, True), (True, False)])
+def test_it_goes_on_where_nobody_waits_for_its_place_or_the_server_is_silent(
+    risen: bool, answered: bool
+) -> None:
+    _, actions = pressed(risen=risen, answered=answered)
+    assert not [a for a in actions if isinstance(a, CancelAttempt | Fail | Reject)]
+
+
+def test_answer_that_has_begun_to_flow_is_never_called_off() -> None:
+    g = DecisionEngine(settings(may_message=False, gateway_count=1), 7, 0)
+    g.handle(0, full_list(backend(1), backend(2)))
+    (first,) = (a for a in g.handle(START, arrival(1, START)) if isinstance(a, Send))
+    second = g._send(START + MS, g.requests[1], True)
+    assert second is not None
+    assert g.in_flight == 2
+    assert g.handle(START + 2 * MS, ResponseStarted(1, 2 * MS, 0, first.endpoint)) == [CancelAttempt(1, 1)]
+    assert g.in_flight == 0
+    # The one that was called off ends: the other flows on, past its aim, and ends as it does.
+    off = ended(1, second.endpoint, Outcome.CANCELLED, attempt=1, finished=True)
+    assert g.handle(START + 3 * MS, off) == []
+    g.model.congested = True
+    late = g._too_late(START + 3 * SECOND) + g._second_copies(START + 3 * SECOND)
+    assert late == []
+    assert g.handle(START + 4 * SECOND, ended(1, first.endpoint, elapsed=2 * MS)) == []
+    assert g.in_flight == 0
+    assert not g.attempts
+    assert not g.requests
+
+
+def test_calling_off_says_nothing_against_the_server() -> None:
+    g, _ = pressed()
+    g.handle(START + 10 * TICK, ended(1, 1, Outcome.CANCELLED, finished=True))
+    assert g.load_balancer.endpoints[1].consecutive_failures == 0
+    assert g.in_flight == 0
+    sent = g.handle(START + 11 * TICK, Arrival(9, SAFE, 0, 9, START + 40 * TICK, 1.0, 1, 0, 0))
+    assert [a for a in sent if isinstance(a, Send | Reject)]
--- a/tests/test_lease.py
+++ b/tests/decisions/test_leases.py
@@ -12,26 +12,25 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from qos_gateway.state import capture as heritage
-from qos_gateway.types import Action, AddToCounter, Counted, ListKind, Outcome, Refuse, Send, Settings
-from qos_gateway.decisions.lease import FLOOR, LEAD, POOL, SAVED
-from qos_gateway.decisions.engine import Gateway
+from benchmarks.counter import Fault, Spell, cut_off, simulate
+from qos_gateway.decisions.engine import DecisionEngine
+from qos_gateway.decisions.lease import EVEN_FRACTION, LEASED_FRACTION, MAX_SAVED_FRACTION, RENEWAL_LEAD
 from qos_gateway.server.config import LEASE_MOST, ConfigError, parse
-
-from .fakes import raw_config
-from .helpers import MS, SECOND, arrival, backend, ended, full_list, plan, settings
-from .scale.counter import Fault, Spell, cut_off, simulate
+from qos_gateway.state import capture as heritage
+from qos_gateway.types import Action, AddToCounter, CounterReplied, ListKind, Outcome, Reject, Send, Settings
+from tests.support.builders import MS, SECOND, arrival, backend, ended, full_list, plan, settings
+from tests.support.servers import raw_config
 
 TERM, SET = 50 * SECOND, 10
 CEILED = plan(
-    rate=50.0, burst=100.0, over_cost=0.5, ceiling_rate=120.0, ceiling_burst=240.0, ceiling_slack=10.0
+    rate=50.0, burst=100.0, excess_cost=0.5, ceiling_rate=120.0, ceiling_burst=240.0, ceiling_slack=10.0
 )
-PLAN = plan(rate=10.0, burst=40.0, over_cost=0.5)
+PLAN = plan(rate=10.0, burst=40.0, excess_cost=0.5)
 
 
-def gateway(position: int, now: int = 0, seed: int = 0, **changes: object) -> Gateway:
-    changes = {"gateways": SET, "position": position, "plans": (PLAN,), "lease": TERM, **changes}
-    made = Gateway(settings(counter=True, may_message=False, **changes), seed or position + 7, now)
+def gateway(position: int, now: int = 0, seed: int = 0, **changes: object) -> DecisionEngine:
+    changes = {"gateway_count": SET, "position": position, "plans": (PLAN,), "lease_term": TERM, **changes}
+    made = DecisionEngine(settings(has_counter=True, may_message=False, **changes), seed or position + 7, now)
     made.handle(now, full_list(*map(backend, range(1, 9)), kind=ListKind.CACHED))
     return made
 
@@ -45,43 +44,43 @@
     calls: int = 0
     request: int = 0
     waited: int = 0
-    gateways: list[Gateway] = field(default_factory=lambda: [gateway(i) for i in range(SET)])
+    gateways: list[DecisionEngine] = field(default_factory=lambda: [gateway(i) for i in range(SET)])
 
     def ask(self, now: int, position: int) -> bool:
         """One request; whether it was sent on. It has its answer at once."""
         self.request += 1
         made = self.gateways[position]
-        actions = made.handle(now, arrival(self.request, now, spread=SET, first=0))
+        actions = made.handle(now, arrival(self.request, now, gateway_spread=SET, first_gateway=0))
         self.play(now, made, actions)
         sent = any(isinstance(a, Send) for a in actions)
-        self.waited += not (sent or any(isinstance(a, Refuse) for a in actions))
+        self.waited += not (sent or any(isinstance(a, Reject) for a in actions))
         for a in actions:
             if isinstance(a, Send):
-                self.play(now, made, made.handle(now + MS, ended(a.request, a.backend)))
+                self.play(now, made, made.handle(now + MS, ended(a.request_id, a.endpoint)))
         return sent
 
-    def play(self, now: int, made: Gateway, actions: list[Action]) -> None:
+    def play(self, now: int, made: DecisionEngine, actions: list[Action]) -> None:
         for a in actions:
             if isinstance(a, AddToCounter):
                 self.calls += 1
                 made.handle(now + 2 * MS, self.answer(a))
 
-    def answer(self, a: AddToCounter) -> Counted:
+    def answer(self, a: AddToCounter) -> CounterReplied:
         way = self.ways.pop(0) if self.ways else "ok"
         if way in ("refused", "busy"):
-            outcome = Outcome.CONNECT_FAILED if way == "refused" else Outcome.FULL
-            return Counted(2 * MS, outcome, a.name, 0.0)
+            outcome = Outcome.CONNECT_FAILED if way == "refused" else Outcome.OVERLOADED
+            return CounterReplied(2 * MS, outcome, a.key, 0.0)
         if way == "empty":
             self.numbers.clear()
         if way != "lost":
-            self.numbers[a.name] += a.amount * (2 if way == "twice" else 1)
+            self.numbers[a.key] += a.amount * (2 if way == "twice" else 1)
         if way in ("late", "lost"):
-            return Counted(80 * MS, Outcome.TIMEOUT, a.name, 0.0)
-        return Counted(2 * MS, Outcome.OK, a.name, self.numbers[a.name])
+            return CounterReplied(80 * MS, Outcome.TIMEOUT, a.key, 0.0)
+        return CounterReplied(2 * MS, Outcome.OK, a.key, self.numbers[a.key])
 
     def shares(self, now: int) -> list[float]:
         return [
-            made.quota.leases.share(now, made.quota.accounts[1])
+            made.quota.leases.quota_share(now, made.quota.accounts[1])
             for made in self.gateways
             if made.quota.leases and 1 in made.quota.accounts
         ]
@@ -110,7 +109,10 @@
         term = [made.quota.accounts[1] for made in front.gateways if 1 in made.quota.accounts]
         now = (at + 3) * SECOND
         slices = sum(share == 1 / SET for share in front.shares(now))
-        assert sum(front.shares(now)) <= FLOOR + POOL + slices * (1 - FLOOR) / SET + 1e-6
+        assert (
+            sum(front.shares(now))
+            <= EVEN_FRACTION + LEASED_FRACTION + slices * (1 - EVEN_FRACTION) / SET + 1e-6
+        )
         assert len(term) <= SET
     assert front.waited == 0
 
@@ -119,9 +121,11 @@
     front = Set()
     front.press(0.0, 10.0, 9, random.Random(1), 2)  # nine tenths of the quota, more than half at two of ten
     sent = front.press(10.0, 20.0, 9, random.Random(2), 2)
-    assert sent >= 0.85 * 180 and front.waited == 0
+    assert sent >= 0.85 * 180
+    assert front.waited == 0
     busy = sorted(front.shares(30 * SECOND), reverse=True)
-    assert sum(busy[:2]) >= 0.5 and front.calls <= 0.2 * 270
+    assert sum(busy[:2]) >= 0.5
+    assert front.calls <= 0.2 * 270
 
 
 def test_customer_far_beyond_its_quota_gets_it_and_little_more() -> None:
@@ -133,7 +137,8 @@
 
 def test_quiet_customers_floors_need_hardly_a_call() -> None:
     front = Set()
-    assert front.press(0.0, 40.0, 3, random.Random(1)) == 120 and front.calls <= 2
+    assert front.press(0.0, 40.0, 3, random.Random(1)) == 120
+    assert front.calls <= 2
 
 
 def test_lease_is_claimed_ahead_and_each_gateway_at_a_time_of_its_own() -> None:
@@ -146,8 +151,9 @@
     front.press(30.0, change - 30.0, 9, rng, 2)
     now = int(change * SECOND)
     accounts = [made.quota.accounts[1] for made in front.gateways if 1 in made.quota.accounts]
-    ahead = [a for a in accounts if a.leases.get(term, 0.0) > 0.0]
-    assert len(ahead) >= 2 and sum(term + 1 in a.leases for a in ahead) >= 0.5 * len(ahead)
+    ahead = [a for a in accounts if a.lease_fractions.get(term, 0.0) > 0.0]
+    assert len(ahead) >= 2
+    assert sum(term + 1 in a.lease_fractions for a in ahead) >= 0.5 * len(ahead)
     before, after = front.shares(now - 1), front.shares(now + 1)
     assert sum(after) >= 0.75 * sum(before)
     assert front.press(change, 10.0, 9, rng, 2) >= 0.85 * 90
@@ -159,11 +165,12 @@
     made = front.gateways[0]
     leases, account = made.quota.leases, made.quota.accounts[1]
     assert leases is not None
-    account.claim_at, account.part = 0, 0.0
+    account.next_claim_at, account.local_tokens = 0, 0.0
     actions = leases.claim(6 * SECOND, account, 1.0, 1.0)
     for a in actions:
-        assert isinstance(a, AddToCounter) and a.lifetime == 60 * SECOND
-    assert LEASE_MOST * (1 + LEAD) <= 60
+        assert isinstance(a, AddToCounter)
+        assert a.time_to_live == 60 * SECOND
+    assert LEASE_MOST * (1 + RENEWAL_LEAD) <= 60
 
 
 def test_restarted_gateway_claims_what_is_left_and_has_its_floor() -> None:
@@ -173,23 +180,27 @@
     front.gateways[3] = gateway(3, 10 * SECOND, 99)
     front.press(10.0, 5.0, 50, rng)
     shares = front.shares(15 * SECOND)
-    assert shares[3] >= FLOOR / SET and sum(shares) <= total + 1e-6
+    assert shares[3] >= EVEN_FRACTION / SET
+    assert sum(shares) <= total + 1e-6
     # The next term counts it like any other.
     front.press(15.0, 2 * TERM / SECOND, 50, rng)
-    assert sum(front.shares(115 * SECOND)) == pytest.approx(FLOOR + POOL, abs=0.2)
+    assert sum(front.shares(115 * SECOND)) == pytest.approx(EVEN_FRACTION + LEASED_FRACTION, abs=0.2)
 
 
 def test_leases_are_handed_over_and_both_processes_have_no_more_than_one_had() -> None:
     front = Set()
     front.press(0.0, 10.0, 9, random.Random(1), 2)
     old, new = front.gateways[0], gateway(0, 10 * SECOND, 99)
-    before = old.quota.accounts[1].leases
-    heritage.inherit(new, 10 * SECOND, json.loads(json.dumps(heritage.bequeath(old, 10 * SECOND))), old.s)
-    assert before and new.quota.accounts[1].leases == before
-    assert old.quota.kept + new.quota.kept == 1.0
-    of_older = heritage.bequeath(old, 10 * SECOND)
+    before = old.quota.accounts[1].lease_fractions
+    heritage.restore(
+        new, 10 * SECOND, json.loads(json.dumps(heritage.capture(old, 10 * SECOND))), old.settings
+    )
+    assert before
+    assert new.quota.accounts[1].lease_fractions == before
+    assert old.quota.handover_fraction + new.quota.handover_fraction == 1.0
+    of_older = heritage.capture(old, 10 * SECOND)
     del of_older["leases"]
-    heritage.inherit(gateway(0, 10 * SECOND, 98), 10 * SECOND, of_older, old.s)
+    heritage.restore(gateway(0, 10 * SECOND, 98), 10 * SECOND, of_older, old.settings)
 
 
 def test_counter_out_of_reach_for_an_hour_leaves_even_slices_few_calls_and_leases_at_its_return() -> None:
@@ -200,7 +211,8 @@
     assert sum(front.shares(70 * SECOND)) <= 1.0 + 1e-6
     calls = front.calls
     sent = front.press(3550.0, 60.0, 30, rng)
-    assert 0.85 * 600 <= sent <= 600 + SAVED * PLAN.burst and front.calls - calls <= 2 * SET * 60 / 2.5
+    assert 0.85 * 600 <= sent <= 600 + MAX_SAVED_FRACTION * PLAN.burst
+    assert front.calls - calls <= 2 * SET * 60 / 2.5
     front.ways = []
     front.press(3610.0, 60.0, 30, rng)
     assert max(front.shares(3670 * SECOND)) > 1 / SET
@@ -211,11 +223,11 @@
     front.press(0.0, 10.0, 50, rng)
     front.ways = ["empty"]
     for made in front.gateways:
-        made.quota.accounts[1].claim_at = 0  # as if all had run short anew
+        made.quota.accounts[1].next_claim_at = 0  # as if all had run short anew
     front.press(10.0, 10.0, 50, rng)
-    assert sum(front.shares(20 * SECOND)) <= FLOOR + 2 * POOL + 1e-6
+    assert sum(front.shares(20 * SECOND)) <= EVEN_FRACTION + 2 * LEASED_FRACTION + 1e-6
     front.press(20.0, 2 * TERM / SECOND, 50, rng)
-    assert sum(front.shares(120 * SECOND)) <= FLOOR + POOL + 1e-6
+    assert sum(front.shares(120 * SECOND)) <= EVEN_FRACTION + LEASED_FRACTION + 1e-6
 
 
 def test_region_that_is_cut_off_serves_by_even_slices() -> None:
@@ -226,7 +238,7 @@
             front.ways = ["late"] if position >= SET // 2 else []
             front.ask(second * SECOND + i * 20 * MS, position)
     shares = front.shares(100 * SECOND)
-    assert sum(shares[: SET // 2]) <= FLOOR / 2 + POOL + 1e-6
+    assert sum(shares[: SET // 2]) <= EVEN_FRACTION / 2 + LEASED_FRACTION + 1e-6
     assert sum(shares[SET // 2 :]) <= 0.5 + 1e-6  # 1.35 times the quota in all, and no less than its half
 
 
@@ -242,8 +254,8 @@
 def test_fleet_calls_a_tenth_as_often_within_quotas_and_never_over_a_ceiling(spells: list[Spell]) -> None:
     """On the virtual clock of the scale tests, short terms, and gateways that start anew in the middle."""
 
-    def leased(made: Settings, seed: int, now: int) -> Gateway:
-        return Gateway(replace(made, lease=5 * SECOND), seed, now)
+    def leased(made: Settings, seed: int, now: int) -> DecisionEngine:
+        return DecisionEngine(replace(made, lease_term=5 * SECOND), seed, now)
 
     of_each, of_leases = (
         simulate(
@@ -256,24 +268,27 @@
             restarts=[(7.0, i) for i in range(3)],
             make=make,
         )
-        for make in (Gateway, leased)
+        for make in (DecisionEngine, leased)
     )
     assert of_leases.calls <= 0.2 * of_each.calls
-    assert of_leases.granted >= 0.9 and of_leases.price <= 0.03 and of_leases.over_ceiling == 0
+    assert of_leases.granted >= 0.9
+    assert of_leases.price <= 0.03
+    assert of_leases.over_ceiling == 0
 
 
 def test_without_the_setting_each_request_is_counted_as_before() -> None:
-    made = gateway(0, lease=0)
-    actions = made.handle(SECOND, arrival(1, SECOND, spread=SET))
-    assert made.quota.leases is None and any(isinstance(a, AddToCounter) for a in actions)
+    made = gateway(0, lease_term=0)
+    actions = made.handle(SECOND, arrival(1, SECOND, gateway_spread=SET))
+    assert made.quota.leases is None
+    assert any(isinstance(a, AddToCounter) for a in actions)
 
 
 def test_plan_whose_ceiling_has_no_room_for_a_floor_is_counted_at_every_gateway() -> None:
     small = replace(CEILED, ceiling_burst=3.0, burst=2.0)
     for each, leased in ((CEILED, True), (small, False)):
         made = gateway(0, plans=(each,))
-        made.handle(SECOND, arrival(1, SECOND, spread=SET))
-        assert made.quota.by_lease(made.quota.accounts[1]) is leased
+        made.handle(SECOND, arrival(1, SECOND, gateway_spread=SET))
+        assert made.quota.is_leased(made.quota.accounts[1]) is leased
 
 
 @pytest.mark.parametrize("value", [-1, 3, 51, "50", True, None])
@@ -283,5 +298,5 @@
 
 
 def test_length_of_a_term_comes_from_the_configuration() -> None:
-    assert parse(raw_config(1) | {"quota_lease_s": 50}, {}).settings.lease == 50 * SECOND
-    assert parse(raw_config(1), {}).settings.lease == 0
+    assert parse(raw_config(1) | {"quota_lease_s": 50}, {}).settings.lease_term == 50 * SECOND
+    assert parse(raw_config(1), {}).settings.lease_term == 0
--- a/tests/test_model.py
+++ b/tests/decisions/test_queue_model.py
@@ -4,17 +4,16 @@
 
 import pytest
 
-from qos_gateway.decisions.queue_model import TICK, Goal, QueueModel, mean_values, seven_cases
-
-from .helpers import MS, SECOND, settings
+from qos_gateway.decisions.queue_model import TICK, Goal, QueueModel, mean_value_analysis, seven_cases
+from tests.support.builders import MS, SECOND, settings
 
 
 def test_mean_value_analysis_of_one_customer_has_no_queue() -> None:
-    assert mean_values(30.0, 100.0, 1)[1] == pytest.approx(130.0)
+    assert mean_value_analysis(30.0, 100.0, 1)[1] == pytest.approx(130.0)
 
 
 def test_mean_value_analysis_saturates_at_the_demand() -> None:
-    times = mean_values(10.0, 100.0, 400)
+    times = mean_value_analysis(10.0, 100.0, 400)
     assert 400 / times[400] == pytest.approx(1 / 10.0, rel=0.01)
     assert times == sorted(times)
 
@@ -33,19 +32,20 @@
 
 def test_fitted_demand_reproduces_the_recent_mean() -> None:
     model = loaded_model(500 * MS, 20)
-    assert model.risen
-    assert model.response(model.in_flight.value) == pytest.approx(model.mean, rel=0.1)
+    assert model.congested
+    assert model.response_time(model.mean_in_flight.value) == pytest.approx(model.mean_latency, rel=0.1)
 
 
 def test_no_rise_means_no_limit() -> None:
     model = loaded_model(105 * MS, 20)
-    assert not model.risen
-    assert model.limit is None
+    assert not model.congested
+    assert model.concurrency_limit is None
 
 
 def test_more_latency_means_a_lower_limit() -> None:
-    mild, bad = loaded_model(500 * MS, 20).limit, loaded_model(900 * MS, 20).limit
-    assert mild is not None and bad is not None
+    mild, bad = loaded_model(500 * MS, 20).concurrency_limit, loaded_model(900 * MS, 20).concurrency_limit
+    assert mild is not None
+    assert bad is not None
     assert bad < mild
 
 
@@ -55,7 +55,7 @@
         model.latency[0].add(i * 20 * MS, 100 * MS)
     model.fit(SECOND, 5, [])
     model.fit(SECOND, 60, [(0, 2 * SECOND)] * 50)
-    assert model.risen
+    assert model.congested
 
 
 def at_most(limit: int) -> Goal:
@@ -94,8 +94,8 @@
         model.latency[0].add(now, (100 if i < 60 else 700) * MS)
         for tick in range(5):
             model.fit(now + tick * TICK, 2, [])
-    assert model.risen
-    assert model.limit is not None
+    assert model.congested
+    assert model.concurrency_limit is not None
 
 
 def test_rise_that_is_over_is_seen_within_seconds_where_each_class_has_few_answers() -> None:
@@ -108,23 +108,23 @@
         model.latency[i % 3].add(now, (900 if jam else 100) * MS)
         for tick in range(3):
             model.fit(now + tick * TICK, 3, [])
-        risen.append(model.risen)
+        risen.append(model.congested)
     assert any(risen[66:90])
     assert not any(risen[3 * 36 :])
 
 
 def test_rise_is_not_kept_when_no_answers_come_any_more() -> None:
     model = loaded_model(900 * MS, 20)
-    assert model.risen
+    assert model.congested
     model.fit(120 * SECOND, 2, [])
-    assert not model.risen
+    assert not model.congested
 
 
 def test_class_without_answers_takes_its_rest_from_its_aim() -> None:
     model = QueueModel(settings())
-    assert 0.0 < model.rest(0) < model.aims[0]
+    assert 0.0 < model.uncongested_latency(0) < model.latency_objectives[0]
     for i in range(40):
         model.latency[0].add(i * 20 * MS, 100 * MS)
     model.fit(SECOND, 1, [])
-    assert model.rest(0) == pytest.approx(100 * MS)
-    assert model.rest(1) > MS
+    assert model.uncongested_latency(0) == pytest.approx(100 * MS)
+    assert model.uncongested_latency(1) > MS
--- a/tests/test_fleet_quota.py
+++ b/tests/decisions/test_quota_over_gateways.py
@@ -8,9 +8,10 @@
 
 import pytest
 
+from qos_gateway.decisions.engine import DecisionEngine
 from qos_gateway.types import (
     AddToCounter,
-    Counted,
+    CounterReplied,
     Event,
     ListKind,
     Outcome,
@@ -18,12 +19,10 @@
     SetTimer,
     TimerFired,
 )
-from qos_gateway.decisions.engine import Gateway
-
-from .helpers import MS, SECOND, arrival, backend, ended, full_list, plan, settings
+from tests.support.builders import MS, SECOND, arrival, backend, ended, full_list, plan, settings
 
 GATEWAYS, CUSTOMERS, SECONDS = 20, 60, 30
-PLAN = plan(rate=1.0, burst=4.0, over_cost=0.5)
+PLAN = plan(rate=1.0, burst=4.0, excess_cost=0.5)
 LATE = SECOND // 2  # by which the policy that it is held against sees the state
 Try = tuple[int, int, int]  # when, customer, gateway
 
@@ -59,15 +58,17 @@
 
 def sent_on(tries: list[Try], calls_per_s: int) -> list[tuple[int, int]]:
     """When the fleet sent which customer's tries on, with a counter that serves so many calls a second."""
-    made = settings(gateways=GATEWAYS, may_message=False, counter=True, plans=(PLAN,))
-    fleet = [Gateway(made, position + 7, 0) for position in range(GATEWAYS)]
+    made = settings(gateway_count=GATEWAYS, may_message=False, has_counter=True, plans=(PLAN,))
+    fleet = [DecisionEngine(made, position + 7, 0) for position in range(GATEWAYS)]
     numbers, events = dict[int, float](), list[tuple[int, int, int, Event]]()
     order, sent, served = count(), list[tuple[int, int]](), [0] * (SECONDS + 60)
     for position in range(GATEWAYS):
         listed = full_list(*map(backend, range(1, 9)), kind=ListKind.CACHED)
         heappush(events, (0, next(order), position, listed))
     for number, (now, customer, position) in enumerate(tries):
-        a = arrival(number, now, customer=customer, spread=GATEWAYS // 2, first=customer % GATEWAYS)
+        a = arrival(
+            number, now, customer_id=customer, gateway_spread=GATEWAYS // 2, first_gateway=customer % GATEWAYS
+        )
         heappush(events, (now, next(order), position, a))
     while events and (now := events[0][0]) < (SECONDS + 5) * SECOND:
         _, _, position, event = heappop(events)
@@ -81,10 +82,10 @@
                 case AddToCounter(name, _, amount):
                     served[now // SECOND] += 1
                     if busy := served[now // SECOND] > calls_per_s:
-                        word = Counted(2 * MS, Outcome.FULL, name, 0.0)
+                        word = CounterReplied(2 * MS, Outcome.OVERLOADED, name, 0.0)
                     else:
                         numbers[name] = numbers.get(name, 0.0) + amount
-                        word = Counted(2 * MS, Outcome.OK, name, numbers[name])
+                        word = CounterReplied(2 * MS, Outcome.OK, name, numbers[name])
                     assert busy or word.total == numbers[name]
                     heappush(events, (now + 2 * MS, next(order), position, word))
     return sent
@@ -99,7 +100,7 @@
 def price(sent: list[tuple[int, int]], tries: list[Try]) -> float:
     """What the tries sent on beyond their quota take off the result."""
     stores = [Store() for _ in range(CUSTOMERS)]
-    return PLAN.over_cost * sum(not stores[customer].take(now) for now, customer in sent) / within(tries)
+    return PLAN.excess_cost * sum(not stores[customer].take(now) for now, customer in sent) / within(tries)
 
 
 def late_policy(tries: list[Try]) -> list[tuple[int, int]]:
--- a/tests/test_cold_fleet.py
+++ b/tests/decisions/test_slow_start.py
@@ -11,11 +11,13 @@
 
 import pytest
 
-from qos_gateway.decisions.load_balancer import Fleet
+from qos_gateway.decisions.engine import DecisionEngine
+from qos_gateway.decisions.load_balancer import LoadBalancer
+from qos_gateway.state.endpoint import EndpointState
 from qos_gateway.types import (
     AttemptEnded,
-    Backend,
-    Cancel,
+    CancelAttempt,
+    Endpoint,
     Event,
     Health,
     ListKind,
@@ -26,10 +28,7 @@
     TimerFired,
     Topology,
 )
-from qos_gateway.decisions.engine import Gateway
-from qos_gateway.state.entities import Server
-
-from .helpers import MS, SECOND, arrival, plan, settings
+from tests.support.builders import MS, SECOND, arrival, plan, settings
 
 START = 100 * SECOND  # when order servers start; list times of 0 mean a long time ago
 LEAD, WARM_UP, WINDOW = SECOND, 5 * SECOND, 2 * SECOND
@@ -104,12 +103,12 @@
         self.scenario, self.rng = scenario, random.Random(seed)
         self.settings: Settings = settings(
             plans=(plan(rate=0.0, burst=0.0),),
-            gateways=scenario.gateways,
+            gateway_count=scenario.gateways,
             may_message=False,
-            fall_window=WINDOW,
-            fall_multiple=scenario.multiple,
-            start_capacity=scenario.start_capacity,
-            warm_up=WARM_UP,
+            overload_window=WINDOW,
+            overload_multiple=scenario.multiple,
+            initial_capacity_fraction=scenario.start_capacity,
+            slow_start_window=WARM_UP,
         )
         ids = self.rng.sample(range(1, 10_000), scenario.warm + scenario.cold)  # they tell nothing
         self.losing, self.starting = ids[: scenario.lost], ids[scenario.warm :]
@@ -124,12 +123,14 @@
         self.attempts: dict[int, int] = {}
         self.answered = self.asked = 0
 
-    def process(self, position: int) -> Gateway:
-        return Gateway(replace(self.settings, position=position), self.rng.randrange(1 << 30), START - LEAD)
+    def process(self, position: int) -> DecisionEngine:
+        return DecisionEngine(
+            replace(self.settings, position=position), self.rng.randrange(1 << 30), START - LEAD
+        )
 
     def listed(self, kind: ListKind) -> Topology:
         entries = tuple(
-            Backend(i, 0, 0, i % 4, Health.GONE if s.lost else Health.READY, 1.0, s.booted)
+            Endpoint(i, 0, 0, i % 4, Health.REMOVED if s.lost else Health.READY, 1.0, s.booted)
             for i, s in self.servers.items()
         )
         return Topology(kind, 1, entries)
@@ -160,7 +161,14 @@
             (position,) = rng.choices(range(scenario.gateways), cum_weights=shares)
             self.asked += 1
             number = self.asked
-            made = arrival(number, now, cls=number % 3, customer=rng.randrange(50), spread=1, first=position)
+            made = arrival(
+                number,
+                now,
+                class_index=number % 3,
+                customer_id=rng.randrange(50),
+                gateway_spread=1,
+                first_gateway=position,
+            )
             self.act(now, position, made)
 
     def start(self) -> None:
@@ -181,9 +189,9 @@
             self.told[position] = True
             event = self.listed(ListKind.DELTA)
         if isinstance(event, AttemptEnded):
-            if (event.request, event.attempt) not in self.out:
+            if (event.request_id, event.attempt) not in self.out:
                 return
-            del self.out[event.request, event.attempt]
+            del self.out[event.request_id, event.attempt]
             self.answered += event.outcome is Outcome.OK
         self.act(now, position, event)
 
@@ -192,7 +200,7 @@
             match action:
                 case SetTimer(after, token):
                     self.push(now + after, position, TimerFired(token))
-                case Cancel(request, attempt) if (request, attempt) in self.out:
+                case CancelAttempt(request, attempt) if (request, attempt) in self.out:
                     server, since = self.out[request, attempt]
                     self.push(
                         now,
@@ -205,8 +213,8 @@
                     self.send(now, position, action)
 
     def send(self, now: int, position: int, send: Send) -> None:
-        server = self.servers[send.backend]
-        attempt = self.attempts[send.request] = self.attempts.get(send.request, -1) + 1
+        server = self.servers[send.endpoint]
+        attempt = self.attempts[send.request_id] = self.attempts.get(send.request_id, -1) + 1
         if server.booted:
             server.sent.append((now, self.told[position]))
         chance = self.rng.random()
@@ -214,18 +222,18 @@
         if server.lost:
             at, outcome = now + 2 * MS, Outcome.CONNECT_FAILED
         elif (at := server.serve(now, self.rng.uniform(0.5, 1.5))) is None:
-            at, outcome = now + 2 * MS, Outcome.FULL
+            at, outcome = now + 2 * MS, Outcome.OVERLOADED
         else:
             outcome = Outcome.ERROR if chance < self.scenario.broken / 2 else Outcome.OK
         patience = send.timeout or 3 * SECOND
         if at - now > patience or self.scenario.broken / 2 <= chance < self.scenario.broken:
             at, outcome = now + patience, Outcome.TIMEOUT
-        self.out[send.request, attempt] = send.backend, now
+        self.out[send.request_id, attempt] = send.endpoint, now
         finished = outcome is Outcome.OK or (outcome is Outcome.TIMEOUT and not send.timeout)
         self.push(
             at,
             position,
-            AttemptEnded(send.request, finished, 0, send.backend, 0, outcome, at - now, attempt, ()),
+            AttemptEnded(send.request_id, finished, 0, send.endpoint, 0, outcome, at - now, attempt, ()),
         )
 
     def worst(self) -> float:
@@ -280,14 +288,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The bound can be missed."""
-    booked = Fleet.sent
+    booked = LoadBalancer.attempt_started
 
-    def sent(fleet: Fleet, now: int, server: Server) -> None:
+    def sent(fleet: LoadBalancer, now: int, server: EndpointState) -> None:
         booked(fleet, now, server)
-        if fleet.warmth(now, server) >= 1.0:
-            fleet.worked.add(now, 1.0)
+        if fleet.slow_start_fraction(now, server) >= 1.0:
+            fleet.warm_completions.add(now, 1.0)
 
-    monkeypatch.setattr(Fleet, "sent", sent)
+    monkeypatch.setattr(LoadBalancer, "attempt_started", sent)
     assert worst(replace(made(FLEETS[1], 0.9), again=True, lost=9)) > 1.0
 
 
--- a/tests/test_net_operators.py
+++ b/tests/server/test_admin.py
@@ -9,10 +9,9 @@
 import pytest
 
 from qos_gateway.server import admin as operators
-from qos_gateway.server.metrics import Ended, Figures, Standing, render
 from qos_gateway.server.admin import Door
-
-from .fakes import LOCAL, call, host, listing, run, served, soon, until, world
+from qos_gateway.server.metrics import Ended, Figures, Standing, render
+from tests.support.servers import LOCAL, call, host, listing, run, served, soon, until, world
 
 
 class Desk:
@@ -85,7 +84,8 @@
         async with door(desk) as d:
             whole = post("/ops/order-servers/down", b"s-1\n")
             status, _ = await say(d.port, *(whole[i : i + 1] for i in range(len(whole))))
-            assert status == 200 and desk.asked == [("s-1", True)]
+            assert status == 200
+            assert desk.asked == [("s-1", True)]
             assert (await say(d.port, post("/ops/order-servers/up", b"s-1")))[0] == 200
             assert desk.asked[1:] == [("s-1", False)]
             assert (await say(d.port, post("/ops/order-servers/up", b"s-9")))[0] == 404
@@ -233,7 +233,8 @@
             client.send(call(number=3))
             assert str(await client.next()).startswith("BUSY")
             assert read(node.figures())["skipped_order_servers"] == 1
-            assert await node.leave_out("s-1", False) and await node.leave_out("s-1", False)
+            assert await node.leave_out("s-1", False)
+            assert await node.leave_out("s-1", False)
             assert read(node.figures())["skipped_order_servers"] == 0
             while not w.backend.commands.qsize():
                 client.send(call(number=4))
--- a/tests/test_net_backends.py
+++ b/tests/server/test_backends.py
@@ -10,9 +10,7 @@
 
 import pytest
 
-from qos_gateway.types import Outcome
 from qos_gateway.server import backends
-from qos_gateway.server.metrics import Figures
 from qos_gateway.server.backends import (
     Ages,
     Attempt,
@@ -23,9 +21,10 @@
     read_answer,
     read_report,
 )
+from qos_gateway.server.metrics import Figures
 from qos_gateway.server.resp import AnswerFrames
-
-from .fakes import LOCAL, Backend, Connection, bulk, listening, run, served, soon, until
+from qos_gateway.types import Outcome
+from tests.support.servers import LOCAL, Backend, Connection, bulk, listening, run, served, soon, until
 
 SECOND = 1_000_000_000
 CLOCK = monotonic_unix_ns()
@@ -100,9 +99,9 @@
         (b"-ERR failed util=0.9,inflight=2\r\n", Outcome.ERROR, None, {"util": 0.9, "inflight": 2.0}),
         (b"-ERR failed used=37 util=0.9\r\n", Outcome.ERROR, None, {"used": 37.0, "util": 0.9}),
         (b"*3\r\n$1\r\nv\r\n$14\r\nused=37,cost=4\r\n$-1\r\n", Outcome.OK, b"v", {"used": 37.0, "cost": 4.0}),
-        (b"-BUSY used=0\r\n", Outcome.FULL, None, {"used": 0.0}),
-        (b"-BUSY\r\n", Outcome.FULL, None, {}),
-        (b"-BUSY util=1\r\n", Outcome.FULL, None, {"util": 1.0}),
+        (b"-BUSY used=0\r\n", Outcome.OVERLOADED, None, {"used": 0.0}),
+        (b"-BUSY\r\n", Outcome.OVERLOADED, None, {}),
+        (b"-BUSY util=1\r\n", Outcome.OVERLOADED, None, {"util": 1.0}),
         # Good, with what can't be read where no value stands.
         (served(b"v", b"load_share=much"), Outcome.OK, b"v", {}),
         (served(b"v", b"\xff\x00,="), Outcome.OK, b"v", {}),
@@ -116,7 +115,8 @@
         async with bench(backend) as b:
             b.start(1)
             connection, words = await backend.command()
-            assert words[:3] == [b"CALL.POST", b"c", b"i"] and words[4] == b"B"
+            assert words[:3] == [b"CALL.POST", b"c", b"i"]
+            assert words[4] == b"B"
             left = words[3].removeprefix(b"c=x,d=").removesuffix(b",k=y")
             assert 0 < int(left) <= 3000
             connection.send(answer)
@@ -181,7 +181,8 @@
             connection.send(answer[len(head) :])
             assert await b.end() == (1, Outcome.RESET, None, {})
             await until(lambda: backend.ended == 1)
-            assert b.pools.open == 0 and b.ends.empty()
+            assert b.pools.open == 0
+            assert b.ends.empty()
 
     run(test)
 
@@ -204,7 +205,8 @@
             assert (await b.end())[:2] == (1, Outcome.RESET)
             assert link.timer is None
             await asyncio.sleep(2 * backends.STALL)  # nothing is left that could come then
-            assert faults == [] and b.ends.empty()
+            assert faults == []
+            assert b.ends.empty()
 
     run(test)
 
@@ -214,7 +216,8 @@
     async def test() -> None:
         frames, whole = AnswerFrames(), served(b"\r\n$1\r\n" * 20)
         ends = [frames.scan(whole[at : at + size], 0) for at in range(0, len(whole), size)]
-        assert ends[:-1] == [-1] * (len(ends) - 1) and ends[-1] == (len(whole) - 1) % size + 1
+        assert ends[:-1] == [-1] * (len(ends) - 1)
+        assert ends[-1] == (len(whole) - 1) % size + 1
         assert not frames.midway
 
     run(test)
@@ -346,7 +349,8 @@
             assert await b.end() == (1, wanted, None, {})
             # The connection is closed too: an answer that still comes belongs to nobody.
             await until(lambda: backend.ended == 1)
-            assert b.pools.open == 0 and b.ends.empty()
+            assert b.pools.open == 0
+            assert b.ends.empty()
 
     run(test)
 
@@ -585,7 +589,8 @@
             b.start(1)
             b.pools.learn(7, None)
             assert (await b.end())[:2] == (1, Outcome.CONNECT_FAILED)
-            assert backend.commands.empty() and b.pools.open == 0
+            assert backend.commands.empty()
+            assert b.pools.open == 0
 
     run(test)
 
@@ -599,7 +604,8 @@
             b.start(1, before=CLOCK())
             assert (await b.end())[:2] == (1, Outcome.CONNECT_FAILED)
             b.start(2, before=CLOCK() + 60 * SECOND)
-            assert (await backend.command())[1][2] == b"i" and backend.commands.empty()
+            assert (await backend.command())[1][2] == b"i"
+            assert backend.commands.empty()
             assert b.pools.open == 1
 
     run(test)
@@ -611,7 +617,7 @@
             attempt = b.start(1, backend=99)
             b.pools.spare(attempt)
             b.start(2, backend=99)
-            assert (await b.end())[:2] == (1, Outcome.MOOT)
+            assert (await b.end())[:2] == (1, Outcome.NOT_SENT)
             assert (await b.end())[:2] == (2, Outcome.CONNECT_FAILED)
             assert b.ends.empty()
 
--- a/tests/test_net_left.py
+++ b/tests/server/test_client_disconnects.py
@@ -10,12 +10,11 @@
 
 import pytest
 
-from qos_gateway.types import Action, Arrival, AttemptEnded, ClientLeft, Outcome, Refuse, Send
 from qos_gateway.server import backends, clients
 from qos_gateway.server.gateway import Node
-
-from .fakes import Tally, World, call, listening, run, served, soon, until, world
-from .test_net_clients import Script, only_backend, script
+from qos_gateway.types import Action, Arrival, AttemptEnded, ClientDisconnected, Outcome, Reject, Send
+from tests.server.test_clients import Script, only_backend, script
+from tests.support.servers import Tally, World, call, listening, run, served, soon, until, world
 
 
 class HeldDoor:
@@ -41,7 +40,8 @@
     connection, words = await w.backend.command()
     assert words[2] == b"%016x" % 99
     connection.send(served(b"v"))
-    assert await other.next() == b"v" and w.backend.commands.empty()
+    assert await other.next() == b"v"
+    assert w.backend.commands.empty()
 
 
 def hold_door(node: Node) -> HeldDoor:
@@ -64,8 +64,10 @@
             assert words[2] == b"%016x" % 2
             connection.send(served(b"two"))
             assert await stays.next() == b"two"
-            assert w.backend.commands.empty() and not w.node._requests
-            assert w.node.module.out == 0 and w.node.backends.open == 1
+            assert w.backend.commands.empty()
+            assert not w.node._requests
+            assert w.node.module.in_flight == 0
+            assert w.node.backends.open == 1
 
     run(test)
 
@@ -79,11 +81,11 @@
             backend, taken = only_backend(w), list[int]()
 
             def hold(a: Arrival) -> list[Action]:
-                taken.append(a.request)
+                taken.append(a.request_id)
                 return []
 
             w.node.time_is_up = lambda number: None  # type: ignore[method-assign]  # leaving alone ends them
-            s = script(w, *[hold] * clients.PIPELINE, *[lambda a: [Send(a.request, backend, 0)]] * 9)
+            s = script(w, *[hold] * clients.PIPELINE, *[lambda a: [Send(a.request_id, backend, 0)]] * 9)
             client = await w.client()
             client.send(b"".join(call(number=n) for n in range(clients.PIPELINE + 8)))
             await until(lambda: len(taken) == clients.PIPELINE and w.node.clients.held > 0)
@@ -93,10 +95,11 @@
                 sock = client.writer.get_extra_info("socket")
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", how == "reset", 0))
                 client.abort()
-            await until(lambda: len(s.of(ClientLeft)) == clients.PIPELINE)
-            assert w.node.clients.count() == 0 and w.node.clients.held == 0
+            await until(lambda: len(s.of(ClientDisconnected)) == clients.PIPELINE)
+            assert w.node.clients.count() == 0
+            assert w.node.clients.held == 0
             for request in taken:
-                w.node._act(Refuse(request, 0))
+                w.node._act(Reject(request, 0))
             await only_another_is_written(w)
 
     run(test)
@@ -121,13 +124,15 @@
             gone.abort()
             await until(lambda: w.node.clients.count() == 1)
             ask.answer(b"ok 1")
-            await until(lambda: not w.node.module.held)
-            assert w.node.module.out == 0 and not w.node._requests
+            await until(lambda: not w.node.module.awaiting_reservation)
+            assert w.node.module.in_flight == 0
+            assert not w.node._requests
             stays.send(call(number=2))
             connection, words = await w.backend.command()
             assert words[2] == b"%016x" % 2
             connection.send(served(b"two"))
-            assert await stays.next() == b"two" and w.backend.commands.empty()
+            assert await stays.next() == b"two"
+            assert w.backend.commands.empty()
 
     run(test)
 
@@ -146,7 +151,8 @@
             connection, words = await w.backend.command()
             assert words[2] == b"%016x" % 2
             connection.send(served(b"two"))
-            assert await stays.next() == b"two" and w.backend.commands.empty()
+            assert await stays.next() == b"two"
+            assert w.backend.commands.empty()
 
     run(test)
 
@@ -181,36 +187,36 @@
     client.send(1)
     await until(lambda: len(s.of(Arrival)) == 1)
     client.leave(how)
-    w.node._act(Send(s.of(Arrival)[0].request, only_backend(w), 0))
+    w.node._act(Send(s.of(Arrival)[0].request_id, only_backend(w), 0))
     return 0
 
 
 async def retry(w: World, s: Script, client: Raw, how: str) -> int:
     backend = only_backend(w)
-    s.plans[:] = [lambda a: [Send(a.request, backend, 0)]]
+    s.plans[:] = [lambda a: [Send(a.request_id, backend, 0)]]
     client.send(1)
     connection, _ = await w.backend.command()
     connection.send(b"-BUSY\r\n")
     await until(lambda: len(s.of(AttemptEnded)) == 1)
     client.leave(how)
-    w.node._act(Send(s.of(Arrival)[0].request, backend, 0))
+    w.node._act(Send(s.of(Arrival)[0].request_id, backend, 0))
     return 1
 
 
 async def second_copy(w: World, s: Script, client: Raw, how: str) -> int:
     backend = only_backend(w)
-    s.plans[:] = [lambda a: [Send(a.request, backend, 0)]]
+    s.plans[:] = [lambda a: [Send(a.request_id, backend, 0)]]
     client.send(1)
     await w.backend.command()
     client.leave(how)
-    w.node._act(Send(s.of(Arrival)[0].request, backend, 0))
+    w.node._act(Send(s.of(Arrival)[0].request_id, backend, 0))
     return 1
 
 
 async def connecting(w: World, s: Script, client: Raw, how: str) -> int:
     """Its connection comes up in the turn in which the client has gone."""
     backend, door = only_backend(w), hold_door(w.node)
-    s.plans[:] = [lambda a: [Send(a.request, backend, 0)]]
+    s.plans[:] = [lambda a: [Send(a.request_id, backend, 0)]]
     client.send(1)
     await soon(door.asked.wait())
     connected = w.node.backends._pools[backend].connected
@@ -229,12 +235,12 @@
     """Behind as many commands as are worked on at once, in input that is not read: they are answered, and
     the rest would be taken up, in the turn in which the client has gone."""
     backend, most = only_backend(w), clients.PIPELINE
-    s.plans[:] = [hold] * most + [lambda a: [Send(a.request, backend, 0)]] * 8
+    s.plans[:] = [hold] * most + [lambda a: [Send(a.request_id, backend, 0)]] * 8
     client.send(*range(1, most + 9))
     await until(lambda: len(s.of(Arrival)) == most and w.node.clients.held > 0)
     client.leave(how)
     for arrival in s.of(Arrival)[:most]:
-        w.node._act(Refuse(arrival.request, 0))
+        w.node._act(Reject(arrival.request_id, 0))
     await until(lambda: w.node.clients.count() == 0 or len(s.of(Arrival)) > most)
     return 0
 
@@ -242,7 +248,7 @@
 async def warm(w: World, s: Script) -> None:
     """Two connections to the order server at rest, so that an attempt is written in the turn of its start."""
     backend, others = only_backend(w), [await w.client() for _ in range(2)]
-    s.plans[:] = [lambda a: [Send(a.request, backend, 0)]] * 2
+    s.plans[:] = [lambda a: [Send(a.request_id, backend, 0)]] * 2
     for number, other in enumerate(others):
         other.send(call(number=100 + number))
     for connection, _ in [await w.backend.command() for _ in others]:
@@ -270,8 +276,8 @@
             tries = await moment(w, s, client, how)
             # Where its answer was written before its end could be read, a rest may have been taken up.
             await until(lambda: w.node.clients.count() == 0)
-            assert all(e.outcome is Outcome.MOOT for e in s.of(AttemptEnded) if e.attempt >= tries)
-            s.plans.append(lambda a: [Send(a.request, backend, 0)])
+            assert all(e.outcome is Outcome.NOT_SENT for e in s.of(AttemptEnded) if e.attempt >= tries)
+            s.plans.append(lambda a: [Send(a.request_id, backend, 0)])
             await only_another_is_written(w)
             client.sock.close()
 
--- a/tests/test_net_clients.py
+++ b/tests/server/test_clients.py
@@ -9,30 +9,28 @@
 import hiredis
 import pytest
 
+from qos_gateway.server import clients
+from qos_gateway.server.gateway import USED_MOST
 from qos_gateway.types import (
     Action,
     Arrival,
     AttemptEnded,
-    Cancel,
-    ClientLeft,
-    CloseIdle,
+    CancelAttempt,
+    ClientDisconnected,
+    CloseIdleConnections,
     Event,
     Fail,
     Outcome,
     Probe,
-    Probed,
-    Refuse,
+    ProbeEnded,
+    Reject,
     Send,
+    SendPeerMessage,
     SetTimer,
-    Tell,
     TimerFired,
     Topology,
 )
-
-from qos_gateway.server import clients
-from qos_gateway.server.gateway import USED_MOST
-
-from .fakes import CUSTOMER, World, bulk, call, host, listing, run, served, soon, until, world
+from tests.support.servers import CUSTOMER, World, bulk, call, host, listing, run, served, soon, until, world
 
 MS, SECOND = 1_000_000, 1_000_000_000
 
@@ -67,7 +65,7 @@
     """As if the latest request's time were over, however fast the machine is."""
     clock = w.node.now
     w.node.now = lambda: clock() + 60 * SECOND
-    w.node.time_is_up(s.of(Arrival)[-1].request)
+    w.node.time_is_up(s.of(Arrival)[-1].request_id)
     w.node.now = clock
 
 
@@ -103,14 +101,20 @@
 def test_arrival_tells_the_module_what_the_client_said() -> None:
     async def test() -> None:
         async with world() as w:
-            s = script(w, lambda a: [Refuse(a.request, 1_500_001)], lambda a: [Refuse(a.request, 0)])
+            s = script(w, lambda a: [Reject(a.request_id, 1_500_001)], lambda a: [Reject(a.request_id, 0)])
             client = await w.client()
             client.send(call("charge", wait_ms=480, extra=",r=1"))
             answer = await client.next()
-            assert isinstance(answer, hiredis.ReplyError) and str(answer) == "BUSY 2"
+            assert isinstance(answer, hiredis.ReplyError)
+            assert str(answer) == "BUSY 2"
             (arrival,) = s.of(Arrival)
-            assert (arrival.cls, arrival.plan, arrival.customer) == (2, 0, 0xB4D65521)
-            assert (arrival.units, arrival.spread, arrival.first, arrival.options) == (1.0, 2, 0, 2)
+            assert (arrival.class_index, arrival.plan_index, arrival.customer_id) == (2, 0, 0xB4D65521)
+            assert (arrival.units, arrival.gateway_spread, arrival.first_gateway, arrival.options) == (
+                1.0,
+                2,
+                0,
+                2,
+            )
             client.send(call())
             assert str(await client.next()) == "BUSY"
             assert s.of(Arrival)[1].options == 0
@@ -135,7 +139,7 @@
 
             def spy(now: int, event: Event) -> list[Action]:
                 if isinstance(event, AttemptEnded):
-                    told.append(event.used)
+                    told.append(event.quota_usage)
                 return handle(now, event)
 
             w.node.module.handle = spy  # type: ignore[method-assign]
@@ -170,28 +174,36 @@
                 client.send(call("charge", number, wait_ms=1500))
                 connection, _ = await w.backend.command()
                 busy = backends.open - backends.idle()
-                assert module.out == busy == sum(s.out for s in module.fleet.servers.values()) == 1
+                assert (
+                    module.in_flight
+                    == busy
+                    == sum(s.in_flight for s in module.load_balancer.endpoints.values())
+                    == 1
+                )
                 if number == len(endings) - 1:
                     w.agent.tell(listing(2, host("s-1", w.backend.port, "terminating")))
                     await until(lambda: not backends.usable())
                 if ending is None:
                     client.abort()
-                    await until(lambda: not module.open)
+                    await until(lambda: not module.requests)
                     ending = served(b"for nobody")
                 if ending == b"-BUSY\r\n":
                     # Never ran, so it is tried again; there is but one backend to do so.
                     connection.send(ending)
                     connection, _ = await w.backend.command()
-                    assert module.out == 1
+                    assert module.in_flight == 1
                 connection.send(ending) if ending else connection.abort()
-                await until(lambda: module.out == 0)
-                assert not module.attempts and not module.open and not w.node._requests
-                assert backends.open == backends.idle() and not w.node._ids
-                assert all(s.out == 0 for s in module.fleet.servers.values())
-                for server in module.fleet.servers.values():
-                    server.suspended = 0  # symptoms would have it rest
+                await until(lambda: module.in_flight == 0)
+                assert not module.attempts
+                assert not module.requests
+                assert not w.node._requests
+                assert backends.open == backends.idle()
+                assert not w.node._ids
+                assert all(s.in_flight == 0 for s in module.load_balancer.endpoints.values())
+                for server in module.load_balancer.endpoints.values():
+                    server.ejected_until = 0  # symptoms would have it rest
             await until(lambda: backends.open == 0)
-            assert all(a.open == 0 for a in module.quota.accounts.values())
+            assert all(a.in_flight == 0 for a in module.quota.accounts.values())
 
     run(test)
 
@@ -220,7 +232,7 @@
             client = await w.client()
             client.send(call(wait_ms=60))
             assert str(await client.next()).startswith("ERR")
-            assert len(s.of(ClientLeft)) == 1  # the module need not care for it any longer
+            assert len(s.of(ClientDisconnected)) == 1  # the module need not care for it any longer
 
     run(test)
 
@@ -230,7 +242,7 @@
         async with world() as w:
             backend = only_backend(w)
             client = await w.client()
-            s = script(w, lambda a: [Send(a.request, backend, 0)], lambda a: [Fail(a.request)])
+            s = script(w, lambda a: [Send(a.request_id, backend, 0)], lambda a: [Fail(a.request_id)])
             client.send(call())
             connection, _ = await w.backend.command()
             let_time_pass(w, s)
@@ -247,7 +259,11 @@
 def test_second_answer_of_the_module_is_dropped() -> None:
     async def test() -> None:
         async with world() as w:
-            script(w, lambda a: [Fail(a.request), Refuse(a.request, 0)], lambda a: [Refuse(a.request, 0)])
+            script(
+                w,
+                lambda a: [Fail(a.request_id), Reject(a.request_id, 0)],
+                lambda a: [Reject(a.request_id, 0)],
+            )
             client = await w.client()
             client.send(call(number=1))
             assert str(await client.next()) == "ERR failed"
@@ -263,8 +279,8 @@
             backend = only_backend(w)
             s = script(
                 w,
-                lambda a: [Fail(a.request), Send(a.request, backend, 0)],
-                lambda a: [Send(a.request, backend, 0)],
+                lambda a: [Fail(a.request_id), Send(a.request_id, backend, 0)],
+                lambda a: [Send(a.request_id, backend, 0)],
             )
             client = await w.client()
             client.send(call(number=1))
@@ -272,7 +288,7 @@
             client.send(call(number=2))
             _, words = await w.backend.command()
             assert words[2] == b"%016x" % 2  # the first was never written
-            assert not s.of(ClientLeft)
+            assert not s.of(ClientDisconnected)
 
     run(test)
 
@@ -281,17 +297,18 @@
     async def test() -> None:
         async with world() as w:
             backend = only_backend(w)
-            s = script(w, lambda a: [Send(a.request, backend, 0)])
+            s = script(w, lambda a: [Send(a.request_id, backend, 0)])
             client = await w.client()
             client.send(call())
             connection, _ = await w.backend.command()
             client.abort()
-            await until(lambda: bool(s.of(ClientLeft)))
+            await until(lambda: bool(s.of(ClientDisconnected)))
             connection.send(served(b"for nobody"))
             await until(lambda: bool(s.of(AttemptEnded)))
             (ended,) = s.of(AttemptEnded)
-            assert ended.finished and ended.outcome is Outcome.OK
-            assert len(s.of(ClientLeft)) == 1
+            assert ended.request_finished
+            assert ended.outcome is Outcome.OK
+            assert len(s.of(ClientDisconnected)) == 1
 
     run(test)
 
@@ -299,12 +316,12 @@
 def test_fault_in_one_event_costs_one_failure(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         async with world() as w:
-            s = script(w, KeyError("broken"), lambda a: [Refuse(a.request, 0)])
+            s = script(w, KeyError("broken"), lambda a: [Reject(a.request_id, 0)])
             client = await w.client()
             with caplog.at_level(logging.ERROR):
                 client.send(call(number=1))
                 assert str(await client.next()) == "ERR internal fault"
-            assert len(s.of(ClientLeft)) == 1
+            assert len(s.of(ClientDisconnected)) == 1
             assert "KeyError: 'broken'" in caplog.text
             client.send(call(number=2))
             assert str(await client.next()) == "BUSY"
@@ -318,18 +335,19 @@
     async def test() -> None:
         async with world() as w:
             backend = only_backend(w)
-            s = script(w, lambda a: [Send(a.request, backend, 0)])
+            s = script(w, lambda a: [Send(a.request_id, backend, 0)])
             client = await w.client()
             client.send(call())
             await w.backend.command()
             client.abort()
-            await until(lambda: bool(s.of(ClientLeft)))
+            await until(lambda: bool(s.of(ClientDisconnected)))
             assert not s.of(AttemptEnded)
-            timer = w.node._requests[s.of(Arrival)[0].request].timer
-            assert timer is not None and not timer.cancelled()
+            timer = w.node._requests[s.of(Arrival)[0].request_id].timer
+            assert timer is not None
+            assert not timer.cancelled()
             let_time_pass(w, s)
             (ended,) = s.of(AttemptEnded)
-            assert (ended.outcome, ended.finished) == (Outcome.TIMEOUT, True)
+            assert (ended.outcome, ended.request_finished) == (Outcome.TIMEOUT, True)
             await until(lambda: w.backend.ended == 1)
             assert w.node.backends.open == 0
 
@@ -348,13 +366,13 @@
                 raise OSError("no buffer")
 
             monkeypatch.setattr(w.node.peers, "tell", tell)
-            s = script(w, lambda a: [Tell(None, b"x"), SetTimer(MS, 7), Refuse(a.request, 0)])
+            s = script(w, lambda a: [SendPeerMessage(None, b"x"), SetTimer(MS, 7), Reject(a.request_id, 0)])
             client = await w.client()
             client.send(call())
             assert str(await client.next()) == "BUSY"
             await until(lambda: any(event.token == 7 for event in s.of(TimerFired)))
             assert [event.token for event in s.of(TimerFired)].count(7) == 1
-            assert "fault in carrying out Tell" in caplog.text
+            assert "fault in carrying out SendPeerMessage" in caplog.text
 
     run(test)
 
@@ -404,7 +422,7 @@
     async def test() -> None:
         async with world(limits__probes=allowed) as w:
             backend = only_backend(w)
-            s = script(w, lambda a: [Probe(backend), Send(a.request, backend, 0)])
+            s = script(w, lambda a: [Probe(backend), Send(a.request_id, backend, 0)])
             client = await w.client()
             client.send(call())
             commands = {}
@@ -413,12 +431,17 @@
                 commands[words[0]] = connection
             if allowed:
                 commands[b"INFO"].send(bulk(b"load_share=0.25,concurrent=4"))
-                await until(lambda: bool(s.of(Probed)))
-                (probed,) = s.of(Probed)
-                assert (probed.outcome, probed.backend, probed.report) == (Outcome.OK, backend, (0.25, 4.0))
+                await until(lambda: bool(s.of(ProbeEnded)))
+                (probed,) = s.of(ProbeEnded)
+                assert (probed.outcome, probed.endpoint, probed.load_report) == (
+                    Outcome.OK,
+                    backend,
+                    (0.25, 4.0),
+                )
             commands[b"CALL.GET"].send(served(b"v"))
             assert await client.next() == b"v"
-            assert w.backend.commands.empty() and len(s.of(Probed)) == allowed
+            assert w.backend.commands.empty()
+            assert len(s.of(ProbeEnded)) == allowed
 
     run(test)
 
@@ -427,7 +450,7 @@
     async def test() -> None:
         async with world() as w:
             backend = only_backend(w)
-            s = script(w, *[lambda a: [Send(a.request, backend, 0)]] * 3)
+            s = script(w, *[lambda a: [Send(a.request_id, backend, 0)]] * 3)
             client = await w.client()
             reports = {
                 b"-ERR failed concurrent=9,load_share=0.5\r\n": (0.5, 9.0),
@@ -439,8 +462,8 @@
                 connection, _ = await w.backend.command()
                 connection.send(line)
                 await until(lambda: len(s.of(AttemptEnded)) > number)  # noqa: B023
-            assert [event.report for event in s.of(AttemptEnded)] == list(reports.values())
-            assert [event.finished for event in s.of(AttemptEnded)] == [False] * 3
+            assert [event.load_report for event in s.of(AttemptEnded)] == list(reports.values())
+            assert [event.request_finished for event in s.of(AttemptEnded)] == [False] * 3
 
     run(test)
 
@@ -451,8 +474,8 @@
             backend = only_backend(w)
             s = script(
                 w,
-                lambda a: [Send(a.request, backend, 0)],
-                lambda a: [Cancel(a.request - 1, 0), Refuse(a.request, 0)],
+                lambda a: [Send(a.request_id, backend, 0)],
+                lambda a: [CancelAttempt(a.request_id - 1, 0), Reject(a.request_id, 0)],
             )
             client = await w.client()
             client.send(call(number=1) + call(number=2))
@@ -469,8 +492,8 @@
             backend = only_backend(w)
             script(
                 w,
-                lambda a: [Send(a.request, backend, 0)],
-                lambda a: [CloseIdle(backend), Refuse(a.request, 0)],
+                lambda a: [Send(a.request_id, backend, 0)],
+                lambda a: [CloseIdleConnections(backend), Reject(a.request_id, 0)],
             )
             client = await w.client()
             client.send(call(number=1))
@@ -512,7 +535,8 @@
             for client in resting[3:]:
                 client.send(b"*1\r\n$4\r\nPING\r\n")
                 assert await client.next() == b"PONG"
-            assert w.node.clients.count() == 3 and busy_requests(w) == 1
+            assert w.node.clients.count() == 3
+            assert busy_requests(w) == 1
 
     run(test)
 
@@ -581,7 +605,8 @@
             client = await w.client()
             client.send(hiredis.pack_command(words))  # type: ignore[arg-type]
             answer = await client.next()
-            assert isinstance(answer, hiredis.ReplyError) and reason in str(answer)
+            assert isinstance(answer, hiredis.ReplyError)
+            assert reason in str(answer)
             client.send(b"*1\r\n$4\r\nPING\r\n")
             assert await client.next() == b"PONG"
 
@@ -615,7 +640,7 @@
 def test_broken_resp_is_told_and_closes_the_connection_and_no_other(data: bytes, behind: bytes) -> None:
     async def test() -> None:
         async with world() as w:
-            script(w, lambda a: [Refuse(a.request, 0)])
+            script(w, lambda a: [Reject(a.request_id, 0)])
             other, client = await w.client(), await w.client()
             # Behind another command, and with its header in two pieces.
             client.send(behind + data[:2])
@@ -682,7 +707,7 @@
     async def test() -> None:
         async with world() as w:
             backend, most = only_backend(w), 600  # some 40 MB of answers, far over the sockets' buffers
-            s = script(w, *[lambda a: [Send(a.request, backend, 0)]] * most)
+            s = script(w, *[lambda a: [Send(a.request_id, backend, 0)]] * most)
 
             async def answer() -> None:
                 while True:
@@ -708,7 +733,7 @@
             arrived: list[int] = []
 
             def hold(a: Arrival) -> list[Action]:
-                arrived.append(a.request)
+                arrived.append(a.request_id)
                 return []
 
             script(w, *[hold] * number)
@@ -719,12 +744,12 @@
             while len(arrived) < number:
                 assert len(w.node._requests) <= clients.PIPELINE
                 before = len(arrived)
-                w.node._act(Refuse(arrived[before - 1], 7 * MS))  # out of order: the last of them first
+                w.node._act(Reject(arrived[before - 1], 7 * MS))  # out of order: the last of them first
                 for request in arrived[before - clients.PIPELINE : before - 1]:
-                    w.node._act(Refuse(request, 7 * MS))
+                    w.node._act(Reject(request, 7 * MS))
                 await until(lambda before=before: len(arrived) > before)  # type: ignore[misc]
             for request in arrived[-clients.PIPELINE :]:
-                w.node._act(Refuse(request, 7 * MS))
+                w.node._act(Reject(request, 7 * MS))
             assert {str(await client.next()) for _ in range(number)} == {"BUSY 7"}
             assert await client.next() == b"PONG"
             assert w.node.clients.held == 0
@@ -742,7 +767,8 @@
             answers = [str(await client.next()) for _ in range(clients.PIPELINE)]
             assert set(answers) == {"ERR out of time"}
             assert "too many" in str(await client.next())
-            assert await client.next() is None and w.node.clients.held == 0
+            assert await client.next() is None
+            assert w.node.clients.held == 0
 
     run(test)
 
@@ -758,7 +784,7 @@
             assert "open" in str(await other.next())
             assert busy_requests(w) == 1
             client.abort()
-            await until(lambda: len(s.of(ClientLeft)) == 1)
+            await until(lambda: len(s.of(ClientDisconnected)) == 1)
             other.send(call(number=5, wait_ms=60))
             assert str(await other.next()) == "ERR out of time"
             other.send(call(number=5, wait_ms=60))
@@ -821,7 +847,7 @@
 def test_command_in_pieces_is_read_whole() -> None:
     async def test() -> None:
         async with world() as w:
-            script(w, lambda a: [Refuse(a.request, 0)])
+            script(w, lambda a: [Reject(a.request_id, 0)])
             client = await w.client()
             data = call("charge", body=b"y" * 2000)
             for at in range(0, len(data), 700):
--- a/tests/test_net_counter.py
+++ b/tests/server/test_counter.py
@@ -8,12 +8,23 @@
 
 import pytest
 
-from qos_gateway.types import Counted, Outcome
 from qos_gateway.server import counter
 from qos_gateway.server.config import parse
 from qos_gateway.server.counter import Counter, read_answer
-
-from .fakes import LOCAL, Tally, call, listening, nested_settings, raw_config, run, served, soon, until, world
+from qos_gateway.types import CounterReplied, Outcome
+from tests.support.servers import (
+    LOCAL,
+    Tally,
+    call,
+    listening,
+    nested_settings,
+    raw_config,
+    run,
+    served,
+    soon,
+    until,
+    world,
+)
 
 
 @pytest.fixture(autouse=True)
@@ -30,11 +41,11 @@
     """A counter client and what it was told."""
 
     def __init__(self, port: int, timeout: float) -> None:
-        self.told: list[Counted] = []
+        self.told: list[CounterReplied] = []
         self.counter = Counter((LOCAL, port), timeout, LONG, self.told.append)
 
     def ends(self) -> list[tuple[int, Outcome, float]]:
-        return [(event.name, event.outcome, event.total) for event in self.told]
+        return [(event.key, event.outcome, event.total) for event in self.told]
 
     async def have(self, number: int) -> list[tuple[int, Outcome, float]]:
         await until(lambda: len(self.told) >= number)
@@ -59,7 +70,7 @@
         (b"ok 12", (Outcome.OK, 12.0)),
         (b"ok -2.5", (Outcome.OK, -2.5)),
         (b"ok 1.5e+04", (Outcome.OK, 15000.0)),
-        (b"busy", (Outcome.FULL, 0.0)),
+        (b"busy", (Outcome.OVERLOADED, 0.0)),
         (b"error", (Outcome.ERROR, 0.0)),
         (b"ok", None),
         (b"ok nan", None),
@@ -83,7 +94,7 @@
             assert caller.told == []
             first.answer(b"ok 1")
             second.answer(b"busy")
-            assert await caller.have(2) == [(7, Outcome.OK, 1.0), (7, Outcome.FULL, 0.0)]
+            assert await caller.have(2) == [(7, Outcome.OK, 1.0), (7, Outcome.OVERLOADED, 0.0)]
 
     run(test)
 
@@ -212,7 +223,8 @@
             client = await w.client()
             client.send(call(number=1))
             asked = await tally.call()
-            assert asked.amount >= 1.0 and w.backend.commands.empty()
+            assert asked.amount >= 1.0
+            assert w.backend.commands.empty()
             asked.answer(b"ok %d" % asked.amount)
             connection, _ = await w.backend.command()
             connection.send(served(b"v"))
@@ -224,10 +236,12 @@
 def test_settings_follow_whether_there_is_a_counter_to_call() -> None:
     family = {"familyInfo__counter": True, "familyInfo__counterTimeout": 80_000_000}
     named = parse({**raw_config(1, None, **family), "counter": "127.0.0.1:6400"}, {})
-    assert named.settings.counter and named.counter == ("127.0.0.1", 6400)
+    assert named.settings.has_counter
+    assert named.counter == ("127.0.0.1", 6400)
     assert named.counter_timeout == 80_000_000
     unnamed = parse(raw_config(1, None, **family), {})
-    assert not unnamed.settings.counter and unnamed.counter is None
+    assert not unnamed.settings.has_counter
+    assert unnamed.counter is None
 
 
 def test_told_word_is_never_given_within_the_call() -> None:
--- a/tests/test_net_descriptors.py
+++ b/tests/server/test_descriptor_limits.py
@@ -17,8 +17,8 @@
 
 from qos_gateway.server import listener
 from qos_gateway.server.listener import Listener
-
-from .fakes import (
+from tests.server.test_process import COMMAND
+from tests.support.servers import (
     LOCAL,
     Agent,
     Backend,
@@ -34,7 +34,6 @@
     soon,
     until,
 )
-from .test_net_process import COMMAND
 
 DESCRIPTORS = 256
 PING = b"*1\r\n$4\r\nPING\r\n"
@@ -207,7 +206,8 @@
             while looks < 3:
                 turns += 1
                 await asyncio.sleep(0)
-            assert not made and turns > 20  # the loop went round many times meanwhile, the door three times
+            assert not made
+            assert turns > 20
             free = True
             await until(lambda: len(made) == 3 and door.coming == 0)
             door.close()
--- a/tests/test_net_lists.py
+++ b/tests/server/test_discovery.py
@@ -10,15 +10,15 @@
 
 import pytest
 
-from qos_gateway.types import Backend, Health, ListKind, PeerMessage
 from qos_gateway.server import discovery, gateway
 from qos_gateway.server.clients import Clients
 from qos_gateway.server.config import Address, parse
 from qos_gateway.server.discovery import Discovery, ListError, Update, backend_id, parse_update
 from qos_gateway.server.gateway import Node
 from qos_gateway.server.peers import Peers
-
-from .fakes import (
+from qos_gateway.types import Endpoint, Health, ListKind, PeerMessage
+from tests.server.test_clients import Script
+from tests.support.servers import (
     LOCAL,
     Agent,
     call,
@@ -33,7 +33,6 @@
     until,
     world,
 )
-from .test_net_clients import Script
 
 ZONES, KINDS = ("a", "b"), ("m1", "m2")
 
@@ -53,10 +52,11 @@
 def test_entry_is_mapped_as_on_the_simulators_wire() -> None:
     entry = host("s-5be2a07c", 6379, "terminating", born_ms=1_700_000_000_123, block=3)
     update = parse_update(listing(41, entry, whole=False), ZONES, KINDS)
-    assert update.topology.kind is ListKind.DELTA and update.topology.version == 41
+    assert update.topology.kind is ListKind.DELTA
+    assert update.topology.version == 41
     number = backend_id("s-5be2a07c")
     born = 1_700_000_000_123_000_000
-    assert update.topology.entries == (Backend(number, 0, 1, 3, Health.DRAINING, 1.0, born),)
+    assert update.topology.entries == (Endpoint(number, 0, 1, 3, Health.DRAINING, 1.0, born),)
     assert update.addresses == {number: (LOCAL, 6379)}
 
 
@@ -72,11 +72,11 @@
             now_ms = time.time_ns() // 1_000_000
             entries = host("old", 1, born_ms=0), host("new", 2, born_ms=now_ms)
             w.agent.tell(listing(2, *entries))
-            servers = w.node.module.fleet.servers
+            servers = w.node.module.load_balancer.endpoints
             await until(lambda: backend_id("new") in servers)
-            assert servers[backend_id("old")].entry.booted == 0
-            start = w.node.config.settings.start_capacity
-            warmth = w.node.module.fleet.warmth(w.node.now(), servers[backend_id("new")])
+            assert servers[backend_id("old")].endpoint.started_at == 0
+            start = w.node.config.settings.initial_capacity_fraction
+            warmth = w.node.module.load_balancer.slow_start_fraction(w.node.now(), servers[backend_id("new")])
             assert start <= warmth < 1.0
 
     run(test)
@@ -85,7 +85,8 @@
 def test_terminated_entry_needs_no_address() -> None:
     raw: dict[str, Any] = {"seq": 2, "whole": False, "hosts": [{"host": "s-1", "health": "terminated"}]}
     update = parse_update(raw, ZONES, KINDS)
-    assert update.topology.entries[0].health is Health.GONE and update.addresses == {}
+    assert update.topology.entries[0].health is Health.REMOVED
+    assert update.addresses == {}
 
 
 @pytest.mark.parametrize(
@@ -138,7 +139,8 @@
             f.watch.move((LOCAL, new.port))  # where it already is
             new.tell(listing(42, whole=False))
             assert (await f.next()).topology.version == 42
-            assert new.asked.empty() and old.asked.empty()
+            assert new.asked.empty()
+            assert old.asked.empty()
             await f.watch.close()
             f.watch.move((LOCAL, old.port))
             await asyncio.sleep(0)
@@ -225,7 +227,8 @@
             await soon(agent.asked.get())
             agent.raw(junk)
             assert b"index=41" in await soon(agent.asked.get())
-            assert f.updates.empty() and "discovery watch over" in caplog.text
+            assert f.updates.empty()
+            assert "discovery watch over" in caplog.text
             agent.tell(listing(42, host("s-1", 1)))
             assert (await f.next()).topology.version == 42
             await f.watch.close()
@@ -296,7 +299,8 @@
             for _ in range(9):
                 await soon(agent.asked.get())
                 agent.hang_up()
-            assert len(waits) >= 8 and max(waits) <= 0.125
+            assert len(waits) >= 8
+            assert max(waits) <= 0.125
             await watch.close()
 
     run(test)
@@ -313,7 +317,8 @@
             watch.close()
             await asyncio.get_running_loop().create_connection(lambda: watch, LOCAL, agent.port)
             await until(lambda: watch._transport is not None and watch._transport.is_closing())
-            assert watch._timer is None and agent.asked.empty()
+            assert watch._timer is None
+            assert agent.asked.empty()
 
     run(test)
 
@@ -398,14 +403,14 @@
             client.send(call(number=2))
             assert str(await client.next()).startswith("BUSY")
             w.agent.tell(listing(3, host("s-1", w.backend.port), whole=False))
-            await until(lambda: w.node.module.fleet.servers[backend_id("s-1")].usable)
+            await until(lambda: w.node.module.load_balancer.endpoints[backend_id("s-1")].in_service)
             client.send(call(number=3))
             connection, _ = await w.backend.command()
             connection.send(served(b"w"))
             assert await client.next() == b"w"
             w.agent.tell(listing(4, host("s-2", w.backend.port)))
             await until(lambda: w.backend.ended == 2)
-            assert backend_id("s-1") not in w.node.module.fleet.servers
+            assert backend_id("s-1") not in w.node.module.load_balancer.endpoints
 
     run(test)
 
@@ -483,7 +488,8 @@
         await until(lambda: len(heard1) == 2)
         one.tell(0, b"back")
         await until(lambda: bool(heard0))
-        assert heard1 == [(0, b"x" * 256), (0, b"all")] and heard0 == [(1, b"back")]
+        assert heard1 == [(0, b"x" * 256), (0, b"all")]
+        assert heard0 == [(1, b"back")]
         for end in (zero, one):
             end.close()
         for transport, _ in probes[2:]:
--- a/tests/test_net_told.py
+++ b/tests/server/test_discovery_deadlines.py
@@ -16,9 +16,8 @@
 
 from qos_gateway.server import discovery
 from qos_gateway.server.discovery import CONNECT, IN_FORCE, MOVED, SILENCE, TOLD, Discovery, Pacing, Update
-
-from .fakes import LOCAL, Agent, host, listing, run, soon
-from .test_net_lists import KINDS, ZONES, fast
+from tests.server.test_discovery import KINDS, ZONES, fast
+from tests.support.servers import LOCAL, Agent, host, listing, run, soon
 
 LATEST = TOLD - IN_FORCE  # s by which the next call begins
 BUSY = b"HTTP/1.1 %d Busy\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n"
--- a/tests/test_net_stop.py
+++ b/tests/server/test_graceful_shutdown.py
@@ -12,15 +12,14 @@
 
 import pytest
 
-from qos_gateway.types import Arrival, Send
 from qos_gateway.server import clients, gateway
-
-from .fakes import Agent, Backend, call, listening, raw_config, run, served, soon, until, world
-from .test_net_clients import only_backend, script
-from .test_net_process import launched, running
+from qos_gateway.types import Arrival, Send
+from tests.server.test_clients import only_backend, script
+from tests.server.test_process import launched, running
+from tests.support.servers import Agent, Backend, call, listening, raw_config, run, served, soon, until, world
 
 SECOND = 1_000_000_000
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 
 
 @pytest.fixture
@@ -75,7 +74,7 @@
     async def test() -> None:
         async with world() as w:
             backend = only_backend(w)
-            s = script(w, *[lambda a: [Send(a.request, backend, 0)]] * 2)
+            s = script(w, *[lambda a: [Send(a.request_id, backend, 0)]] * 2)
             client = await w.client()
             client.send(call(number=1))
             first, _ = await w.backend.command()
@@ -84,7 +83,7 @@
             killed = w.node.now() + SECOND // 2 + 7 * SECOND // 10
             client.send(call(number=2))
             second, _ = await w.backend.command()
-            assert [a.valid_until < killed for a in s.of(Arrival)] == [False, True]
+            assert [a.deadline < killed for a in s.of(Arrival)] == [False, True]
             first.send(served(b"1"))
             second.send(served(b"2"))
             assert [await client.next() for _ in range(3)] == [b"1", b"2", None]
--- a/tests/test_net_large.py
+++ b/tests/server/test_large_values.py
@@ -7,12 +7,11 @@
 
 import pytest
 
-from qos_gateway.types import AttemptEnded, Begun, ClientLeft, Outcome, Send
 from qos_gateway.server import backends, clients
 from qos_gateway.server.resp import LARGE_MOST, VALUE_MOST, AnswerFrames, FrameError
-
-from .fakes import LOCAL, World, call, run, served, soon, until, world
-from .test_net_clients import SECOND, let_time_pass, only_backend, script
+from qos_gateway.types import AttemptEnded, ClientDisconnected, Outcome, ResponseStarted, Send
+from tests.server.test_clients import SECOND, let_time_pass, only_backend, script
+from tests.support.servers import LOCAL, World, call, run, served, soon, until, world
 
 
 def value(size: int) -> bytes:
@@ -42,8 +41,11 @@
                 connection, words = await w.backend.command()
                 connection.send(served(b"small %d" % int(words[2], 16)))
             assert [await client.next(), await client.next()] == [b"small 2", b"small 3"]
-            assert w.backend.ended == 0 and figures(w) == (4, 0, 0)
-            assert w.node.clients.relays == 0 and not w.node._requests and not w.node.module.out
+            assert w.backend.ended == 0
+            assert figures(w) == (4, 0, 0)
+            assert w.node.clients.relays == 0
+            assert not w.node._requests
+            assert not w.node.module.in_flight
 
     run(test)
 
@@ -52,15 +54,16 @@
     async def test() -> None:
         async with world() as w:
             backend = only_backend(w)
-            s = script(w, lambda a: [Send(a.request, backend, SECOND // 50)])
+            s = script(w, lambda a: [Send(a.request_id, backend, SECOND // 50)])
             client = await w.client()
             client.send(call())
             connection, _ = await w.backend.command()
             answer = served(value(200_000))
             connection.send(answer[:100_000])
             assert (await soon(client.reader.readexactly(9_000)))[:9] == b"$200000\r\n"
-            (begun,) = s.of(Begun)
-            assert begun.backend == backend and begun.attempt == 0
+            (begun,) = s.of(ResponseStarted)
+            assert begun.endpoint == backend
+            assert begun.attempt == 0
             let_time_pass(w, s)
             await asyncio.sleep(0.05)  # the attempt's own time-out is over by then, too
             connection.send(answer[100_000:])
@@ -68,8 +71,11 @@
             assert rest == (b"$200000\r\n" + value(200_000) + b"\r\n")[9_000:]
             await until(lambda: bool(s.of(AttemptEnded)))
             (end,) = s.of(AttemptEnded)
-            assert end.outcome is Outcome.OK and end.finished and end.report == (0.5, 3.0)
-            assert end.elapsed == begun.elapsed and not s.of(ClientLeft)
+            assert end.outcome is Outcome.OK
+            assert end.request_finished
+            assert end.load_report == (0.5, 3.0)
+            assert end.elapsed == begun.elapsed
+            assert not s.of(ClientDisconnected)
 
     run(test)
 
@@ -93,12 +99,14 @@
             elif how == "spoilt":
                 connection.send(b"x" * 40_000)
             assert len(await soon(client.reader.read())) < 100_011 - 1000  # told by the end of the connection
-            assert w.backend.commands.empty() and figures(w) == (0, 0, 1)
+            assert w.backend.commands.empty()
+            assert figures(w) == (0, 0, 1)
             other.send(call(number=2))
             again, _ = await w.backend.command()
             again.send(served(b"v"))
             assert await other.next() == b"v"
-            assert w.node.clients.relays == 0 and not w.node.module.out
+            assert w.node.clients.relays == 0
+            assert not w.node.module.in_flight
 
     run(test)
 
@@ -140,7 +148,9 @@
             await soon(client.reader.readexactly(1000))
             client.abort()
             await until(lambda: w.backend.ended == 1 and not w.node._requests)
-            assert w.node.clients.relays == 0 and not w.node.module.out and figures(w) == (0, 0, 0)
+            assert w.node.clients.relays == 0
+            assert not w.node.module.in_flight
+            assert figures(w) == (0, 0, 0)
 
     run(test)
 
@@ -167,20 +177,20 @@
     async def test() -> None:
         async with world() as w:
             backend = only_backend(w)
-            s = script(w, lambda a: [Send(a.request, backend, 0), Send(a.request, backend, 0)])
+            s = script(w, lambda a: [Send(a.request_id, backend, 0), Send(a.request_id, backend, 0)])
             client = await w.client()
             client.send(call())
             first, _ = await w.backend.command()
             second, _ = await w.backend.command()
             answer = served(value(100_000))
             first.send(answer[:90_000])
-            await until(lambda: bool(s.of(Begun)))
+            await until(lambda: bool(s.of(ResponseStarted)))
             second.send(answer)
             await until(lambda: bool(s.of(AttemptEnded)))
             assert s.of(AttemptEnded)[0].outcome is Outcome.CANCELLED
             first.send(answer[90_000:])
             assert await client.next() == value(100_000)
-            assert len(s.of(Begun)) == 1
+            assert len(s.of(ResponseStarted)) == 1
 
     run(test)
 
@@ -201,7 +211,8 @@
                 heard = link.heard_at
                 link.heard_at = heard - 59.0  # a piece a minute, as it were
                 link._look()
-                assert link.timer is not None and link.attempt is not None
+                assert link.timer is not None
+                assert link.attempt is not None
                 link.heard_at = 0.0
             link.heard_at = heard - 61.0
             link._look()
@@ -211,13 +222,15 @@
 
 
 def test_client_may_spend_two_seconds_on_a_head() -> None:
-    assert clients.MUTE > 2.0 and clients.MUTE + clients.LOOK < 3.0
+    assert clients.MUTE > 2.0
+    assert clients.MUTE + clients.LOOK < 3.0
 
 
 def test_frames_tell_where_a_large_value_begins() -> None:
     frames, answer = AnswerFrames(), served(value(70_000))
     head = answer.index(b"\r\n", 5) + 2
-    assert frames.scan(answer[: head - 3], 0) == -1 and not frames.large
+    assert frames.scan(answer[: head - 3], 0) == -1
+    assert not frames.large
     assert frames.scan(answer[head - 3 : 5000], 0) == -1
     assert (frames.large, frames.large_at) == (70_000, 3)
     with pytest.raises(FrameError):
--- a/tests/test_net_process.py
+++ b/tests/server/test_process.py
@@ -17,8 +17,7 @@
 
 from qos_gateway.server.clients import QUIET
 from qos_gateway.server.config import ConfigError, flatten, load, needs_restart, parse, reload
-
-from .fakes import (
+from tests.support.servers import (
     LOCAL,
     Agent,
     Backend,
@@ -120,7 +119,8 @@
                         assert await client.next() == b"new"
                     assert old.process.returncode is None
                     first.send(served(b"old"))
-                    assert await taken.next() == b"old" and await taken.next() is None
+                    assert await taken.next() == b"old"
+                    assert await taken.next() is None
                     assert await soon(old.process.wait()) == 0
                     client = await new.client()
                     client.send(call(number=20))
@@ -458,9 +458,11 @@
             stderr=asyncio.subprocess.PIPE,
         )
         out, err = await soon(process.communicate())
-        assert process.returncode == 2 and out == b""
+        assert process.returncode == 2
+        assert out == b""
         (line,) = err.decode().splitlines()
-        assert line.startswith("qos_gateway: ") and words in line
+        assert line.startswith("qos_gateway: ")
+        assert words in line
 
     run(test)
 
@@ -526,5 +528,6 @@
 
 def test_names_on_the_wire_are_those_of_the_settings_as_written() -> None:
     config = parse(raw_config(1), {})
-    assert config.classes == (b"look up", b"submit", b"charge") and config.plans == (b"team",)
+    assert config.classes == (b"look up", b"submit", b"charge")
+    assert config.plans == (b"team",)
     assert config.settings.classes[0].name == "look_up"
--- a/tests/test_net_ready.py
+++ b/tests/server/test_time_to_ready.py
@@ -14,9 +14,9 @@
 
 import pytest
 
-from .fakes import LOCAL, Agent, Connection, raw_config, run, soon
-from .scale.common import DESIGN, line, servers, whole
-from .test_net_process import COMMAND
+from benchmarks.common import DESIGN, line, servers, whole
+from tests.server.test_process import COMMAND
+from tests.support.servers import LOCAL, Agent, Connection, raw_config, run, soon
 
 READY = 10.0  # s; seen beside other load: 2.2 to 2.4, and 5.8 where two calls are turned away first
 TURN, PART = 0.01, 3  # s that the process runs, and of how many such turns it has one
--- a/tests/test_wire.py
+++ b/tests/simulator/test_protocol.py
@@ -11,9 +11,9 @@
 import pytest
 
 from qos_gateway.simulator import protocol as wire
-from qos_gateway.types import Arrival, AttemptEnded, Backend, LogLine, Outcome, Send, SetTimer, Topology
+from qos_gateway.types import Arrival, AttemptEnded, Endpoint, LogLine, Outcome, Send, SetTimer, Topology
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 SETTINGS_TEXT = "\n".join(
     """classes.count=1
 classes.0.name=a
@@ -110,7 +110,12 @@
     ((instance, event),) = events
     assert instance == 3
     assert isinstance(event, Arrival)
-    assert (event.request, event.units, event.spread, event.first) == (0x402D15D3A91C4, 2.0, 3, 1)
+    assert (event.request_id, event.units, event.gateway_spread, event.first_gateway) == (
+        0x402D15D3A91C4,
+        2.0,
+        3,
+        1,
+    )
 
 
 def test_the_pages_own_reply_and_list_examples() -> None:
@@ -122,11 +127,12 @@
     )
     _, events = wire.decode(struct.pack("<Q", 8) + raw)
     (_, reply), (_, topology) = events
-    assert isinstance(reply, AttemptEnded) and isinstance(topology, Topology)
-    assert (reply.outcome, reply.used, reply.finished) == (Outcome.OK, 86, True)
-    assert reply.report == (3.0, 14.5, 7.0)
-    assert isinstance(topology.entries[1], Backend)
-    assert topology.entries[1].booted == 0x16B969D00
+    assert isinstance(reply, AttemptEnded)
+    assert isinstance(topology, Topology)
+    assert (reply.outcome, reply.quota_usage, reply.request_finished) == (Outcome.OK, 86, True)
+    assert reply.load_report == (3.0, 14.5, 7.0)
+    assert isinstance(topology.entries[1], Endpoint)
+    assert topology.entries[1].started_at == 0x16B969D00
 
 
 def test_actions_match_the_pages_examples() -> None:
@@ -167,7 +173,8 @@
     done = run(frame() + data if complaint.startswith("count") else data)
     lines = done.stderr.decode().splitlines()
     assert done.returncode == 1
-    assert len(lines) == 1 and complaint in lines[0]
+    assert len(lines) == 1
+    assert complaint in lines[0]
     assert all(count == 0 for count, _ in replies(done.stdout))
 
 
--- a/tests/test_fixtures.py
+++ b/tests/state/test_earlier_versions.py
@@ -8,13 +8,18 @@
 
 import pytest
 
+from qos_gateway.decisions.engine import DecisionEngine
+from qos_gateway.peer_messages import (
+    Reservation,
+    decode_reservation,
+    decode_totals,
+    encode_reservation,
+    encode_totals,
+)
 from qos_gateway.state import capture as heritage
-from qos_gateway.decisions.engine import Gateway
-from qos_gateway.peer_messages import Draw, pack_draw, pack_totals, unpack_draw, unpack_totals
+from tests.support.builders import SECOND, backend, full_list, plan, settings
 
-from .helpers import SECOND, backend, full_list, plan, settings
-
-FIXTURES = Path(__file__).parent / "fixtures"
+FIXTURES = Path(__file__).parent.parent / "fixtures"
 START = 100 * SECOND
 PEER_MESSAGES: dict[str, list[dict[str, Any]]] = json.loads((FIXTURES / "peer_messages.json").read_text())
 
@@ -22,24 +27,26 @@
 def test_handover_state_of_an_earlier_version_is_restored_and_captured_alike() -> None:
     states = json.loads((FIXTURES / "handover_state.json").read_text())
     ceiling = plan(ceiling_rate=20.0, ceiling_burst=40.0, ceiling_slack=8.0)
-    made = settings(may_message=False, counter=True, gateways=2, lease=10 * SECOND, plans=(plan(), ceiling))
-    gateway = Gateway(made, 7, 0)
+    made = settings(
+        may_message=False, has_counter=True, gateway_count=2, lease_term=10 * SECOND, plans=(plan(), ceiling)
+    )
+    gateway = DecisionEngine(made, 7, 0)
     gateway.handle(0, full_list(backend(1), backend(2, booted=START - SECOND), backend(3)))
-    heritage.inherit(gateway, START + SECOND, states["written"], made)
-    captured = json.loads(json.dumps(heritage.bequeath(gateway, START + SECOND)))
+    heritage.restore(gateway, START + SECOND, states["written"], made)
+    captured = json.loads(json.dumps(heritage.capture(gateway, START + SECOND)))
     assert captured == states["written_again_by_the_next"]
 
 
 @pytest.mark.parametrize("message", PEER_MESSAGES["owner"])
 def test_messages_with_a_customers_owner_have_the_same_bytes(message: dict[str, Any]) -> None:
     written = bytes.fromhex(message.pop("bytes"))
-    assert pack_draw(Draw(**message)) == written
-    assert unpack_draw(written) == Draw(**message)
+    assert encode_reservation(Reservation(**message)) == written
+    assert decode_reservation(written) == Reservation(**message)
 
 
 @pytest.mark.parametrize("message", PEER_MESSAGES["gossip"])
 def test_gossip_has_the_same_bytes(message: dict[str, Any]) -> None:
     written = bytes.fromhex(message["bytes"])
     totals = [tuple(each) for each in message["totals"]]
-    assert pack_totals(message["incarnation"], message["age"], totals) == written
-    assert unpack_totals(written) == (message["incarnation"], message["age"], totals)
+    assert encode_totals(message["incarnation"], message["age"], totals) == written
+    assert decode_totals(written) == (message["incarnation"], message["age"], totals)
--- a/tests/helpers.py
+++ b/tests/support/builders.py
@@ -8,13 +8,13 @@
 from qos_gateway.types import (
     Arrival,
     AttemptEnded,
-    Backend,
-    Group,
+    Endpoint,
     Health,
+    Idempotence,
+    IdempotencyScope,
     ListKind,
     Outcome,
     Plan,
-    Repeat,
     RequestClass,
     Settings,
     Topology,
@@ -25,9 +25,15 @@
 SAFE, KEYED, UNSAFE = 0, 1, 2
 
 CLASSES = (
-    RequestClass("read", SECOND, 3 * SECOND, 1.0, 0.0, Repeat.SAFE, Group.ALL, 5 * SECOND),
-    RequestClass("submit", SECOND, 3 * SECOND, 2.0, 0.0, Repeat.KEYED, Group.CELL, 2 * SECOND),
-    RequestClass("charge", SECOND, 3 * SECOND, 4.0, 0.0, Repeat.UNSAFE, Group.ALL, 5 * SECOND),
+    RequestClass(
+        "read", SECOND, 3 * SECOND, 1.0, 0.0, Idempotence.IDEMPOTENT, IdempotencyScope.ALL, 5 * SECOND
+    ),
+    RequestClass(
+        "submit", SECOND, 3 * SECOND, 2.0, 0.0, Idempotence.KEYED, IdempotencyScope.CELL, 2 * SECOND
+    ),
+    RequestClass(
+        "charge", SECOND, 3 * SECOND, 4.0, 0.0, Idempotence.NOT_IDEMPOTENT, IdempotencyScope.ALL, 5 * SECOND
+    ),
 )
 PLAN = Plan("p", 10.0, 20.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
 SETTINGS = Settings(
@@ -35,28 +41,28 @@
     plans=(PLAN,),
     zone=0,
     position=0,
-    gateways=2,
+    gateway_count=2,
     report_names=("concurrent",),
     max_attempts=4,
-    second_copies=True,
+    hedging=True,
     may_cancel=True,
     may_probe=False,
     may_message=True,
-    retry_advice=True,
+    sends_retry_after=True,
     max_retry_after=SECOND,
-    counter=False,
-    meter_period=0,
-    largest=1.0,
+    has_counter=False,
+    usage_period=0,
+    largest_request_units=1.0,
     messages_per_s=60.0,
-    settled_after=False,
-    ask_discovery=False,
-    ask_within=10 * SECOND,
+    settles_actual_units=False,
+    polls_discovery=False,
+    poll_deadline=10 * SECOND,
     drain_grace=SECOND,
-    fall_window=2 * SECOND,
-    fall_multiple=3.0,
-    start_capacity=0.2,
-    warm_up=20 * SECOND,
-    cross_zone_price=0.01,
+    overload_window=2 * SECOND,
+    overload_multiple=3.0,
+    initial_capacity_fraction=0.2,
+    slow_start_window=20 * SECOND,
+    cross_zone_cost=0.01,
 )
 
 
@@ -68,11 +74,11 @@
     return replace(PLAN, **changes)
 
 
-def backend(number: int, health: Health = Health.READY, booted: int = 0, cell: int = 0) -> Backend:
-    return Backend(number, 0, 0, cell, health, 1.0, booted)
+def backend(number: int, health: Health = Health.READY, booted: int = 0, cell: int = 0) -> Endpoint:
+    return Endpoint(number, 0, 0, cell, health, 1.0, booted)
 
 
-def full_list(*entries: Backend, kind: ListKind = ListKind.FULL) -> Topology:
+def full_list(*entries: Endpoint, kind: ListKind = ListKind.FULL) -> Topology:
     return Topology(kind, 1, entries)
 
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -13,5 +13,5 @@
     (code,) = re.findall(r"```python\n(.*?)```", text, re.S)
     exec(code, {})
     printed = capsys.readouterr().out.splitlines()
-    assert printed[1].startswith("[Send(request=1, backend=1")
+    assert printed[1].startswith("[Send(request_id=1, endpoint=1")
     assert printed[2] == "[]"
