--- a/qos_gateway/decisions/engine.py
+++ b/qos_gateway/decisions/engine.py
@@ -9,9 +9,9 @@
 import random
 from math import ceil
 
-from ..peer_messages import ReservationKind
 from ..state.customer import CustomerAccount
 from ..state.decaying_mean import DecayingMean
+from ..state.quota_decision import QuotaReply, Verdict
 from ..state.request import RequestState
 from ..types import (
     NOT_EXECUTED,
@@ -33,7 +33,6 @@
     Reject,
     ResponseStarted,
     Send,
-    SendPeerMessage,
     SetEndpointEnabled,
     SetTimer,
     Settings,
@@ -45,7 +44,7 @@
 from .load_balancer import LoadBalancer
 from .queue_model import TARGET_WAIT_FRACTION, QueueModel, seven_cases
 from .queue_model import TICK as TICK
-from .quota import EVALUATION_INTERVAL, IN_FLIGHT_UNIT, REPORT_FRESH_FOR, Quota
+from .quota import EVALUATION_INTERVAL, Quota
 from .retry_rules import retry_deadline, retry_filter
 from .time_constants import LONG_MEMORY
 
@@ -71,7 +70,6 @@
     6  # mean latencies after which few answers still come: the work of requests varies, too
 )
 LOST_AFTER_LATENCIES = 4.0  # mean latencies by which an open attempt is overtaken before it counts as lost
-USAGE_GRANT_SPAN = 0.5  # of a quota, around all used: the meter's word goes from surely room to surely none
 RETRY_AFTER = SECOND // 5  # wait told to a refused client: longer left room unused, and floods do not heed it
 RETRY_AFTER_OBJECTIVE_DIVISOR = (
     6  # ... of its aim at most: it runs on from the first try, and a later one is worth nothing
@@ -102,7 +100,7 @@
         self.in_flight, self.presumed_lost, self.retry_tokens = 0, 0, RETRY_BUDGET_BURST
         self.demand_by_value: dict[tuple[int, int], DecayingMean] = {}
         self.started = False
-        self.gossiped_at, self.pruned_at, self.congestion_logged_at = now, now, now - LONG_MEMORY
+        self.pruned_at, self.congestion_logged_at = now, now - LONG_MEMORY
 
     def handle(self, now: int, event: Event) -> list[Action]:
         """Take in one event; the actions take effect at `now`."""
@@ -127,12 +125,10 @@
                 self.requests.pop(event.request_id, None)
             case TimerFired(token):
                 actions += self._tick(now) if token == TICK_TIMER else [WatchEndpoints(True)]
-            case PeerMessage() if self.quota.uses_gossip:
-                self.quota.on_gossip(now, event)
             case PeerMessage():
-                actions += self._decided(now, *self.quota.on_reservation_message(now, event))
+                actions += self._decided(now, self.quota.on_peer_message(now, event))
             case CounterReplied():
-                actions += self._decided(now, *self.quota.on_counter_reply(now, event))
+                actions += self._decided(now, self.quota.on_counter_reply(now, event))
         return actions
 
     def excluded_endpoints(self, now: int) -> int:
@@ -156,9 +152,7 @@
         actions += self._too_late(now)
         self.load_balancer.refresh(now)
         self._evaluate_all(now)
-        if self.quota.uses_gossip and now - self.gossiped_at >= self.quota.gossip_interval - TICK // 2:
-            self.gossiped_at = now
-            actions.append(SendPeerMessage(None, self.quota.gossip_message(now)))
+        actions += self.quota.gossip(now)
         pressed = (
             self.model.concurrency_limit is not None
             and self.in_flight >= LOWEST_PRIORITY_FRACTION * self.model.concurrency_limit
@@ -263,82 +257,50 @@
         return self._within_quota(now, RequestState(a, account, arrived_at=now))
 
     def _within_quota(self, now: int, request: RequestState) -> list[Action]:
-        """Decide by the store kept here, or ask whoever keeps it and hold the request a moment."""
-        quota, account, a, plan = self.quota, request.account, request.arrival, request.account.plan
-        pays = plan.excess_weight > plan.excess_cost and not self.model.congested
-        if quota.leases and quota.is_leased(account):
-            claims = quota.leases.claim(now, account, self.settings.largest_request_units, quota.call_rate)
-            may = quota.spend_leased(now, account, a.units, pays)
-            return claims + (self._admit(now, request, False) if may else [self._refusal(a)])
-        if quota.uses_counter and not quota.is_owner(account) and (pays or not plan.max_in_flight):
-            if quota.spend_from_slice(now, account, a.units):
-                return self._admit(now, request, False)
-            if pays and not plan.ceiling_rate:
-                return self._admit(now, request, False)
-            if account.tokens < a.units:
-                return [self._refusal(a)]  # the most that the store can hold by now
-        # Word this fresh is acted on at once, and the use told afterwards: no wait where gateways are few.
-        knows = quota.uses_counter and now - account.reported_at < REPORT_FRESH_FOR // 4
-        if knows and account.tokens >= a.units and not quota.below_ceiling(account, a.units):
-            knows = False  # there is room, though not in this slice of the ceiling: the counter may grant it
-        if knows or quota.is_owner(account):
-            may = pays or quota.permits(now, account, a.units)
-            if not may or not quota.debit(account, a.units, pays):
-                return [self._refusal(a)]
-            return self._admit(now, request, knows)
-        trusted = quota.call_rate < 1.0 and quota.may_spend_unreported(now, account, a.units)
-        if not (
-            quota.uses_owners or (quota.uses_counter and self.rng.random() < quota.call_probability(trusted))
-        ):
-            return self._alone(now, request, trusted)
-        if pays and not plan.ceiling_rate:
-            return self._admit(now, request, False)
-        tag, action = quota.reserve(now, account, a.units, ReservationKind.RESERVE, trusted)
-        if a.deadline - now < 4 * TICK:
-            return [action, *self._alone(now, request, trusted)]
-        request.reservation_sent_at = now
-        self.awaiting_reservation[tag] = self.requests[a.request_id] = request
-        return [action]
-
-    def _alone(self, now: int, request: RequestState, trusted: bool = False) -> list[Action]:
-        may = self.quota.decide_locally(now, request.account, request.arrival.units, trusted)
+        """Charge the request to its customer's quota: it goes on, is refused, or waits for a reservation."""
+        a = request.arrival
+        decision = self.quota.decide(now, request.account, a.units, a.deadline, self.model.congested)
+        if decision.verdict is Verdict.RESERVED:
+            request.reservation_sent_at = now
+            self.awaiting_reservation[decision.reservation] = self.requests[a.request_id] = request
+            return decision.actions
+        if decision.verdict is Verdict.REJECTED:
+            return [*decision.actions, self._refusal(a)]
+        return decision.actions + self._admit(now, request, decision.report_usage)
+
+    def _alone(self, now: int, request: RequestState) -> list[Action]:
+        may = self.quota.decide_locally(now, request.account, request.arrival.units)
         return self._admit(now, request, False) if may else [self._refusal(request.arrival)]
 
-    def _admit(self, now: int, request: RequestState, tell: bool) -> list[Action]:
+    def _admit(self, now: int, request: RequestState, report_usage: bool) -> list[Action]:
         a = request.arrival
         if (send := self._send(now, request)) is None:
             return [self._refusal(a)]
         self.requests[a.request_id] = request
         self.retry_tokens = min(RETRY_BUDGET_BURST, self.retry_tokens + RETRY_BUDGET_RATIO)
-        request.holds_in_flight_slot |= tell
-        return (
-            [send, self.quota.reserve(now, request.account, a.units, ReservationKind.CONSUME)[1]]
-            if tell
-            else [send]
-        )
+        request.holds_in_flight_slot |= report_usage
+        return [send, self.quota.report_consumed(now, request.account, a.units)] if report_usage else [send]
 
-    def _decided(self, now: int, tag: int, granted: bool | None, more: list[Action]) -> list[Action]:
+    def _decided(self, now: int, reply: QuotaReply) -> list[Action]:
         """A held request goes on, or is refused; without an answer this gateway decides alone."""
-        request = self.awaiting_reservation.pop(tag, None)
+        request = self.awaiting_reservation.pop(reply.reservation, None)
         if request is None:
-            return more
-        request.holds_in_flight_slot = granted is True
+            return reply.actions
+        actions = list(reply.actions)
+        request.holds_in_flight_slot = reply.granted is True
         if self.requests.pop(request.arrival.request_id, None):
-            if granted is None:
-                more += self._alone(now, request)
+            if reply.granted is None:
+                actions += self._alone(now, request)
             else:
-                more += self._admit(now, request, False) if granted else [self._refusal(request.arrival)]
-        return more + self._release(now, request)
+                refusal = self._refusal(request.arrival)
+                actions += self._admit(now, request, False) if reply.granted else [refusal]
+        return actions + self._release(now, request)
 
     def _release(self, now: int, request: RequestState) -> list[Action]:
-        if (
-            request.attempts_in_flight
-            or not request.holds_in_flight_slot
-            or not self.quota.in_flight_slot(request.account)
-        ):
+        if request.attempts_in_flight or not request.holds_in_flight_slot:
             return []
         request.holds_in_flight_slot = False
-        return [self.quota.add_to_counter(now, request.account, -IN_FLIGHT_UNIT)]
+        return self.quota.release(now, request.account)
 
     def _overdue(self, now: int) -> list[Action]:
         overdue = [
@@ -346,12 +308,8 @@
             for tag, request in self.awaiting_reservation.items()
             if now - request.reservation_sent_at >= RESERVATION_TIMEOUT
         ]
-        actions = [action for tag in overdue for action in self._decided(now, tag, None, [])]
-        # Places still counted though nobody holds them are told again, or customers would be shut out.
-        late = [a for a in self.commitments.values() if a.pending_release <= -IN_FLIGHT_UNIT / 2]
-        return actions + [
-            self.quota.add_to_counter(now, a, 0.0) for a in late if self.rng.random() < self.quota.call_rate
-        ]
+        actions = [action for tag in overdue for action in self._decided(now, QuotaReply(tag))]
+        return actions + self.quota.resend_releases(now, self.commitments.values())
 
     def _over_limit(self, now: int, density: float) -> bool:
         """Under pressure the model's limit on all in flight holds too; the least worth meets it first."""
@@ -506,13 +464,7 @@
         request.attempts_in_flight, account.in_flight = request.attempts_in_flight - 1, account.in_flight - 1
         self.in_flight -= not request.response_started
         if event.quota_usage:
-            account.usage_reported_at, account.reported_usage = now, (event.quota_usage - 1) / 100
-            account.usage.add(
-                now, account.reported_usage, account.plan.rate * self.settings.usage_period / SECOND
-            )
-            account.grant_ratio.add(
-                now, min(1.0, max(0.0, 0.5 + (1.01 - event.quota_usage / 100) / USAGE_GRANT_SPAN))
-            )
+            self.quota.record_usage(now, account, event.quota_usage - 1)
         if event.outcome is Outcome.OK:
             self.model.latency[cls].add(now, event.elapsed)
             if self.settings.settles_actual_units and event.actual_units:
--- a/qos_gateway/decisions/quota.py
+++ b/qos_gateway/decisions/quota.py
@@ -4,6 +4,7 @@
 
 import random
 from collections import deque
+from collections.abc import Iterable
 from math import ceil
 
 from ..peer_messages import (
@@ -17,13 +18,13 @@
 )
 from ..state.customer import CustomerAccount
 from ..state.decaying_mean import DecayingMean
+from ..state.quota_decision import QuotaDecision, QuotaReply, Verdict
 from ..types import Action, AddToCounter, CounterReplied, Outcome, PeerMessage, SendPeerMessage, Settings
 from ..units import SECOND
 from .lease import EVEN_FRACTION, MAX_SAVED_FRACTION, Leases
+from .queue_model import TICK
 from .time_constants import LONG_MEMORY, SHORT_MEMORY
 
-Word = tuple[int, bool | None, list[Action]]  # number of the ask answered, the answer, what to send
-
 # Tuned values, as in engine.py.
 EVALUATION_INTERVAL = (
     2 * SECOND
@@ -56,6 +57,9 @@
 OWNER_CEILING_FRACTION = (
     0.75  # part of a ceiling that the home hands out; the rest is in even slices for its silence
 )
+USAGE_GRANT_SPAN = 0.5  # of a quota, around all used: the meter's word goes from surely room to surely none
+
+ADMITTED, REJECTED = QuotaDecision(Verdict.ADMITTED), QuotaDecision(Verdict.REJECTED)
 
 
 class Quota:
@@ -75,6 +79,7 @@
         # By name: ask, amount, whether it puts the number right, owed, untold.
         self.pending_calls: dict[int, deque[tuple[int, float, bool, float, float]]] = {}
         self.last_tag, self.call_rate, self.restarted = 0, 1.0, False
+        self.gossiped_at = now
         self.leases = (
             Leases(settings.lease_term, self.incarnation, rng)
             if self.uses_counter and settings.lease_term
@@ -219,6 +224,75 @@
             or self._ceiling(account, EVEN_FRACTION / n, 1.0 / n) >= self.settings.largest_request_units
         )
 
+    def decide(
+        self, now: int, account: CustomerAccount, units: float, deadline: int, congested: bool
+    ) -> QuotaDecision:
+        """Charge a request to the store kept here, or ask whoever keeps it and hold the request a moment.
+
+        Random draws come before the caller's own; nothing is reported before the request was sent.
+        """
+        plan = account.plan
+        pays = plan.excess_weight > plan.excess_cost and not congested
+        if self.leases and self.is_leased(account):
+            claims = self.leases.claim(now, account, self.settings.largest_request_units, self.call_rate)
+            within = self.spend_leased(now, account, units, pays)
+            return QuotaDecision(Verdict.ADMITTED if within else Verdict.REJECTED, claims)
+        if self.uses_counter and not self.is_owner(account) and (pays or not plan.max_in_flight):
+            if self.spend_from_slice(now, account, units) or (pays and not plan.ceiling_rate):
+                return ADMITTED
+            if account.tokens < units:
+                return REJECTED  # the most that the store can hold by now
+        # Word this fresh is acted on at once, and the use told afterwards: no wait where gateways are few.
+        knows = self.uses_counter and now - account.reported_at < REPORT_FRESH_FOR // 4
+        if knows and account.tokens >= units and not self.below_ceiling(account, units):
+            knows = False  # there is room, though not in this slice of the ceiling: the counter may grant it
+        if knows or self.is_owner(account):
+            may = pays or self.permits(now, account, units)
+            if not may or not self.debit(account, units, pays):
+                return REJECTED
+            return QuotaDecision(Verdict.ADMITTED, report_usage=knows)
+        return self._decide_remotely(now, account, units, deadline, pays)
+
+    def _decide_remotely(
+        self, now: int, account: CustomerAccount, units: float, deadline: int, pays: bool
+    ) -> QuotaDecision:
+        """Ask whoever keeps the store, where there is one, a call to spare and time to wait."""
+        trusted = self.call_rate < 1.0 and self.may_spend_unreported(now, account, units)
+        if not (
+            self.uses_owners or (self.uses_counter and self.rng.random() < self.call_probability(trusted))
+        ):
+            return ADMITTED if self.decide_locally(now, account, units, trusted) else REJECTED
+        if pays and not account.plan.ceiling_rate:
+            return ADMITTED
+        tag, action = self.reserve(now, account, units, ReservationKind.RESERVE, trusted)
+        if deadline - now >= 4 * TICK:
+            return QuotaDecision(Verdict.RESERVED, [action], reservation=tag)
+        within = self.decide_locally(now, account, units, trusted)
+        return QuotaDecision(Verdict.ADMITTED if within else Verdict.REJECTED, [action])
+
+    def report_consumed(self, now: int, account: CustomerAccount, units: float) -> Action:
+        """Report units whose request was sent; called only where the decision asked for it."""
+        return self.reserve(now, account, units, ReservationKind.CONSUME)[1]
+
+    def release(self, now: int, account: CustomerAccount) -> list[Action]:
+        """Give back the in-flight slot of a request that has no attempt out any more."""
+        if not self.in_flight_slot(account):
+            return []
+        return [self.add_to_counter(now, account, -IN_FLIGHT_UNIT)]
+
+    def resend_releases(self, now: int, accounts: Iterable[CustomerAccount]) -> list[Action]:
+        """Report again slots that are still counted though nobody holds them, or customers would be shut out."""
+        late = [a for a in accounts if a.pending_release <= -IN_FLIGHT_UNIT / 2]
+        return [self.add_to_counter(now, a, 0.0) for a in late if self.rng.random() < self.call_rate]
+
+    def record_usage(self, now: int, account: CustomerAccount, percent: int) -> None:
+        """Take in a backend's report of how much of its quota the customer used, in percent."""
+        account.usage_reported_at, account.reported_usage = now, percent / 100
+        weight = account.plan.rate * self.settings.usage_period / SECOND
+        account.usage.add(now, account.reported_usage, weight)
+        room = 0.5 + (1.01 - (percent + 1) / 100) / USAGE_GRANT_SPAN
+        account.grant_ratio.add(now, min(1.0, max(0.0, room)))
+
     def spend_leased(self, now: int, account: CustomerAccount, units: float, pays: bool) -> bool:
         """By the local bucket alone: nobody is asked, and no request waits."""
         few = (
@@ -360,25 +434,32 @@
             encode_reservation(Reservation(kind, account.customer_id, account.plan_index, units, tag, age)),
         )
 
-    def on_reservation_message(self, now: int, event: PeerMessage) -> Word:
+    def on_peer_message(self, now: int, event: PeerMessage) -> QuotaReply:
+        """Take in a message of a peer: totals where they are gossiped, else one about a reservation."""
+        if self.uses_gossip:
+            self.on_gossip(now, event)
+            return QuotaReply()
+        return self.on_reservation_message(now, event)
+
+    def on_reservation_message(self, now: int, event: PeerMessage) -> QuotaReply:
         """Word with a home, either way: the number of the ask it answers, the answer, what to send."""
         if (draw := decode_reservation(event.data)) is None or draw.plan_index >= len(self.settings.plans):
-            return 0, None, []
+            return QuotaReply()
         self._note_age(now, draw.sender_age)
         if draw.kind in (ReservationKind.GRANTED, ReservationKind.DENIED):
             if mine := self.accounts.get(draw.customer_id):
                 self.refill(now, mine)
                 self.record_report(now, mine, draw.units, draw.kind == ReservationKind.GRANTED)
-            return draw.tag, draw.kind == ReservationKind.GRANTED, []
+            return QuotaReply(draw.tag, draw.kind == ReservationKind.GRANTED)
         account = self.account(now, draw.customer_id, draw.plan_index)
         if not self.is_owner(account):
-            return 0, None, []
+            return QuotaReply()
         self.refill(now, account)
         account.last_request_at = now
         pays = account.plan.excess_weight > account.plan.excess_cost
         kind = ReservationKind.GRANTED if self.debit(account, draw.units, pays) else ReservationKind.DENIED
         word = self._tell(now, event.sender, account, kind, account.tokens, draw.tag)
-        return 0, None, [word] * (draw.kind == ReservationKind.RESERVE)
+        return QuotaReply(actions=[word] * (draw.kind == ReservationKind.RESERVE))
 
     def add_to_counter(
         self, now: int, account: CustomerAccount, amount: float, tag: int = 0, fix: bool = False
@@ -398,7 +479,7 @@
         """What an attempt out adds to the counter's number where a plan limits how many may be."""
         return IN_FLIGHT_UNIT * (self.uses_counter and account.plan.max_in_flight > 0)
 
-    def on_counter_reply(self, now: int, event: CounterReplied) -> Word:
+    def on_counter_reply(self, now: int, event: CounterReplied) -> QuotaReply:
         """The counter's answer. Its number stands for a store: what was taken since its name began, and the
         attempts out. When the store was full for a while (the number lags behind the fill) it is put right;
         who finds that another did so first takes it back.
@@ -407,9 +488,9 @@
         if self.leases and event.key in self.leases.pending_claims:
             self._adapt_call_rate(event.outcome)
             self.leases.on_counter_reply(now, event, account)
-            return 0, None, []
+            return QuotaReply()
         if not queue or account is None:
-            return 0, None, []
+            return QuotaReply()
         tag, amount, fix, owed, untold = queue.popleft()
         self._adapt_call_rate(event.outcome)
         if event.outcome is not Outcome.OK:
@@ -423,7 +504,7 @@
                 account.pending_release += owed + amount * (
                     not tag and not fix
                 )  # known not to have been added
-            return tag, None, []
+            return QuotaReply(tag)
         plan, place, before = account.plan, self.in_flight_slot(account), event.total - amount - untold
         out = (before + IN_FLIGHT_UNIT / 2) // IN_FLIGHT_UNIT if place else 0.0
         surplus = plan.rate * ((now - event.elapsed) % COUNTER_KEY_LIFETIME) / SECOND - (
@@ -440,11 +521,8 @@
         surplus -= account.initial_deficit
         level, units = min(plan.burst, plan.burst + surplus) - untold, max(0.0, amount - place)
         if fix or amount < 0:
-            return (
-                0,
-                None,
-                [self.add_to_counter(now, account, -amount)] if fix and surplus < amount / 2 else [],
-            )
+            doubled = fix and surplus < amount / 2
+            return QuotaReply(actions=[self.add_to_counter(now, account, -amount)] if doubled else [])
         room = not plan.rate or level >= min(units, plan.burst / 2)
         granted, calls = room and (not place or out < plan.max_in_flight), []
         account.in_flight_elsewhere_at, account.in_flight_elsewhere = (
@@ -466,7 +544,7 @@
             level - units * granted - account.unreported_units,
         )
         self.record_report(now, account, max(least, level), granted)
-        return tag, granted, calls
+        return QuotaReply(tag, granted, calls)
 
     def _adapt_call_rate(self, outcome: Outcome) -> None:
         """A crowded counter answers nobody: fewer calls from here, and slowly more once it answers."""
@@ -475,6 +553,13 @@
         elif outcome is not Outcome.RESET:
             self.call_rate = max(MIN_CALL_RATE, self.call_rate * CALL_RATE_DECREASE)
 
+    def gossip(self, now: int) -> list[Action]:
+        """The message to all peers, where it is due."""
+        if not self.uses_gossip or now - self.gossiped_at < self.gossip_interval - TICK // 2:
+            return []
+        self.gossiped_at = now
+        return [SendPeerMessage(None, self.gossip_message(now))]
+
     def gossip_message(self, now: int) -> bytes:
         """Running totals, so that a lost message costs nothing once the next one comes."""
         telling = [a for a in self.accounts.values() if a.pending_gossip and a.peers]
