--- a/benchmarks/customers.py
+++ b/benchmarks/customers.py
@@ -98,7 +98,7 @@
     gc.collect()
     return Cost(
         len(gateway.quota.accounts),
-        len(gateway.commitments),
+        len(gateway.commitments.active),
         1e6 * spent / max(1, arrived),
         1000 * median(ticks),
         1000 * max(ticks),
--- a/qos_gateway/decisions/retry_rules.py
+++ b/qos_gateway/decisions/retry_rules.py
@@ -1,31 +1,41 @@
-"""What a request's class allows once an attempt may have executed."""
+"""What a request's class allows once an attempt may have executed (rule 2 of the protocol page)."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 from ..state.request import RequestState
-from ..types import Endpoint, Idempotence, IdempotencyScope, RequestClass
+from ..types import Endpoint, Idempotence, IdempotencyScope
 
 EndpointFilter = Callable[[Endpoint], bool]
 
 
-def retry_filter(now: int, cls: RequestClass, request: RequestState) -> EndpointFilter:
-    """Rule 2: where another attempt of a keyed request that may have run may go."""
+def is_retry_harmless(request: RequestState) -> bool:
+    """Tell whether the client may send the request again, which can reach any endpoint."""
+    cls = request.request_class
+    if not request.may_have_executed or cls.idempotence is Idempotence.IDEMPOTENT:
+        return True
+    return cls.idempotence is Idempotence.KEYED and cls.idempotency_scope is IdempotencyScope.ALL
+
+
+def retry_filter(now: int, request: RequestState) -> EndpointFilter:
+    """Return where another attempt may go: with a key, only where it is known, and while it is."""
+    cls = request.request_class
     first = request.first_keyed_endpoint
     if not request.may_have_executed or cls.idempotence is not Idempotence.KEYED or first is None:
-        return lambda b: True
+        return lambda _: True
     if now - request.first_keyed_attempt_at >= cls.idempotency_window:
-        return lambda b: False
+        return lambda _: False
     if cls.idempotency_scope is IdempotencyScope.ZONE:
-        return lambda b: b.zone == first.zone
-    return lambda b: cls.idempotency_scope is IdempotencyScope.ALL or b.cell == first.cell
-
-
-def retry_deadline(cls: RequestClass, request: RequestState) -> int:
-    """Rule 2: from when on a keyed request that may have run is not written any more; 0 for no such time."""
-    return (
-        request.first_keyed_attempt_at + cls.idempotency_window
-        if request.may_have_executed and cls.idempotence is Idempotence.KEYED
-        else 0
-    )
+        return lambda endpoint: endpoint.zone == first.zone
+    if cls.idempotency_scope is IdempotencyScope.ALL:
+        return lambda _: True
+    return lambda endpoint: endpoint.cell == first.cell
+
+
+def retry_deadline(request: RequestState) -> int:
+    """Return from when on a retry with a key must not be written any more (ns); 0 for no such time."""
+    cls = request.request_class
+    if request.may_have_executed and cls.idempotence is Idempotence.KEYED:
+        return request.first_keyed_attempt_at + cls.idempotency_window
+    return 0
--- a/qos_gateway/server/config.py
+++ b/qos_gateway/server/config.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..simulator.protocol import SettingsError, parse_settings
+from ..simulator.settings import SettingsError, parse_settings
 from ..types import Settings
 
 Address = tuple[str, int]
--- a/qos_gateway/simulator/host.py
+++ b/qos_gateway/simulator/host.py
@@ -1,4 +1,4 @@
-"""Host loop for the simulator's wire: one `Gateway` an instance, nothing shared between them."""
+"""Host loop for the simulator's wire: one engine an instance, nothing shared between them."""
 
 from __future__ import annotations
 
@@ -7,65 +7,67 @@
 from typing import BinaryIO
 
 from ..decisions.engine import DecisionEngine
-from .protocol import (
-    DIE,
-    Down,
-    SettingsError,
-    Up,
-    WireError,
-    decode,
-    encode,
-    encode_action,
-    parse_settings,
-    text_record,
-)
+from .decoder import InstanceEvent, decode
+from .encoder import encode_action, encode_fault, encode_reply
+from .protocol import ProtocolError, StartInstance, StopInstance
+from .settings import SettingsError, parse_settings
 
+_FRAME_SIZE = struct.Struct("<I")
 
-def _answer(instances: dict[int, DecisionEngine], body: bytes, base: int) -> bytes:
-    """The whole reply to one batch; a fault of the decision code becomes `die` with its text."""
-    now, events = decode(body, base)
-    replies: dict[int, list[bytes]] = {}
-    for instance, event in events:
-        out = replies.setdefault(instance, [])
-        try:
-            if isinstance(event, Up):
-                instances[instance] = DecisionEngine(parse_settings(event.settings), event.seed, now)
-            elif isinstance(event, Down):
-                instances.pop(instance, None)
-            elif instance in instances:
-                out.extend(encode_action(action) for action in instances[instance].handle(now, event))
-        except SettingsError as error:
-            out.append(text_record(DIE, f"settings: {error}"))
-        except Exception as error:
-            out.append(text_record(DIE, f"{type(error).__name__}: {error}"))
-    return encode((instance, out) for instance, out in replies.items() if out)
+
+class Host:
+    """The instances of one simulation."""
+
+    def __init__(self) -> None:
+        self.instances: dict[int, DecisionEngine] = {}
+
+    def answer(self, body: bytes, base: int) -> bytes:
+        """Return the whole reply to one batch; a fault of the decisions becomes a record with its text."""
+        batch = decode(body, base)
+        replies: dict[int, list[bytes]] = {}
+        for instance, event in batch.events:
+            records = replies.setdefault(instance, [])
+            try:
+                records.extend(self._handle(batch.now, instance, event))
+            except SettingsError as error:
+                records.append(encode_fault(f"settings: {error}"))
+            except Exception as error:  # whatever it is, the simulator is told
+                records.append(encode_fault(f"{type(error).__name__}: {error}"))
+        return encode_reply((instance, records) for instance, records in replies.items() if records)
+
+    def _handle(self, now: int, instance: int, event: InstanceEvent) -> list[bytes]:
+        if isinstance(event, StartInstance):
+            self.instances[instance] = DecisionEngine(parse_settings(event.settings), event.seed, now)
+        elif isinstance(event, StopInstance):
+            self.instances.pop(instance, None)
+        elif instance in self.instances:
+            return [encode_action(action) for action in self.instances[instance].handle(now, event)]
+        return []
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
-    instances: dict[int, DecisionEngine] = {}
+    """Answer batches until the input ends; raises ProtocolError where one cannot be read."""
+    host = Host()
     at = 0
-    while True:
-        header = source.read(4)
-        if not header:
-            return
-        if len(header) < 4:
-            raise WireError(f"input ends inside a frame's length at byte {at}")
-        (size,) = struct.unpack("<I", header)
+    while header := source.read(_FRAME_SIZE.size):
+        if len(header) < _FRAME_SIZE.size:
+            raise ProtocolError(f"input ends inside a frame's length at byte {at}")
+        (size,) = _FRAME_SIZE.unpack(header)
+        at += _FRAME_SIZE.size
         body = source.read(size)
         if len(body) < size:
-            raise WireError(f"input ends inside a frame at byte {at + 4 + len(body)}")
-        sink.write(_answer(instances, body, at + 4))
+            raise ProtocolError(f"input ends inside a frame at byte {at + len(body)}")
+        sink.write(host.answer(body, at))
         sink.flush()
-        at += 4 + size
+        at += size
 
 
 def main() -> int:
-    """Exit status 0 at the end of input, 1 with one plain line on a malformed frame."""
+    """Serve standard input and output; return 0 at its end, 1 with one plain line on a malformed frame."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except WireError as error:
-        print(f"wirehost: {error}", file=sys.stderr)
+    except ProtocolError as error:
+        print(f"qos_gateway.simulator: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/qos_gateway/state/capture.py
+++ b/qos_gateway/state/capture.py
@@ -67,7 +67,7 @@
         "latency": [encode_mean(mean) for mean in model.latency],
         "shortest": model.baseline_latency,
         "pace": quota.call_rate,
-        "retries": gateway.retry_tokens * INCOMING_FRACTION,
+        "retries": gateway.dispatcher.retry_budget.tokens * INCOMING_FRACTION,
         "leases": [
             [c, sorted(a.lease_fractions.items())] for c, a in quota.accounts.items() if a.lease_fractions
         ],
@@ -124,7 +124,10 @@
             mean.weight,
         )
     gateway.model.baseline_latency = word.baseline_latency
-    quota.call_rate, gateway.retry_tokens = min(1.0, max(0.0, word.call_rate)), word.retry_tokens
+    quota.call_rate, gateway.dispatcher.retry_budget.tokens = (
+        min(1.0, max(0.0, word.call_rate)),
+        word.retry_tokens,
+    )
     quota.handover_fraction = fleet.handover_fraction = INCOMING_FRACTION
 
 
--- a/qos_gateway/state/customer.py
+++ b/qos_gateway/state/customer.py
@@ -57,3 +57,11 @@
     unanswered_claim_term: int = -1  # the newest term for which a claim has no answer
     usage_reported_at: int = -(1 << 62)  # when an answer last told of the use of the quota ...
     reported_usage: float = 0.0  # ... and how much of it that was
+
+
+@dataclass(frozen=True, slots=True)
+class Demand:
+    """What a customer's commitment asks for: the paper's Nreq, and its XMIN in requests per second."""
+
+    concurrency: int
+    throughput: float
--- /dev/null
+++ b/qos_gateway/state/priority_demand.py
@@ -0,0 +1,24 @@
+"""How much demand of which priority arrives, for load shedding from the lowest priority up."""
+
+from __future__ import annotations
+
+from .decaying_mean import DecayingMean
+
+
+class PriorityDemand:
+    """Recent arrival rate and mean priority of each kind of request, a kind being class and plan."""
+
+    def __init__(self, time_constant: int) -> None:
+        """`time_constant` (ns): how long arrivals are remembered."""
+        self._time_constant = time_constant
+        self._by_kind: dict[tuple[int, int], DecayingMean] = {}
+
+    def add(self, now: int, kind: tuple[int, int], priority: float) -> None:
+        """Count one arrival."""
+        self._by_kind.setdefault(kind, DecayingMean(self._time_constant)).add(now, priority)
+
+    def fraction_below(self, now: int, priority: float) -> float:
+        """Return the part of recent arrivals whose kind has a lower mean priority."""
+        total = sum(mean.rate(now) for mean in self._by_kind.values())
+        below = sum(mean.rate(now) for mean in self._by_kind.values() if mean.value < priority)
+        return below / max(total, 1e-9)
--- /dev/null
+++ b/qos_gateway/state/request_table.py
@@ -0,0 +1,53 @@
+"""The requests of one gateway and their attempts in flight."""
+
+from __future__ import annotations
+
+from ..types import Endpoint
+from .request import RequestState
+
+AttemptKey = tuple[int, int]  # request id and number of the attempt
+
+
+class RequestTable:
+    """Open requests by id, attempts in flight by key, and how many attempts occupy an endpoint."""
+
+    def __init__(self) -> None:
+        self.open: dict[int, RequestState] = {}  # those that still owe their final answer
+        self.attempts: dict[AttemptKey, RequestState] = {}  # these may outlive the request
+        self.in_flight = 0  # attempts whose response has not started
+        self.presumed_lost = 0  # of these, attempts whose response was probably lost
+
+    @property
+    def working(self) -> int:
+        """Return how many attempts an endpoint is probably working on."""
+        return self.in_flight - self.presumed_lost
+
+    def attempt_sent(self, now: int, request: RequestState, endpoint: Endpoint) -> None:
+        """Count an attempt that is sent now."""
+        self.attempts[request.arrival.request_id, request.attempts_sent] = request
+        request.attempt_sent(now, endpoint)
+        request.account.in_flight += 1
+        self.in_flight += 1
+
+    def attempt_ended(self, request_id: int, attempt: int) -> RequestState | None:
+        """Stop counting an attempt; None where it is not known."""
+        request = self.attempts.pop((request_id, attempt), None)
+        if request is not None:
+            request.attempts_in_flight -= 1
+            request.account.in_flight -= 1
+            self.in_flight -= not request.response_started
+        return request
+
+    def response_started(self, request_id: int, attempt: int) -> RequestState | None:
+        """Close the request, whose response flows from now on; None where either is not known."""
+        request = self.open.pop(request_id, None)
+        if request is None or (request_id, attempt) not in self.attempts:
+            return None
+        self.in_flight -= request.attempts_in_flight
+        request.response_started = True
+        return request
+
+    def attempts_of(self, request: RequestState) -> list[int]:
+        """Return the numbers of a request's attempts in flight."""
+        request_id = request.arrival.request_id
+        return [n for n in range(request.attempts_sent) if (request_id, n) in self.attempts]
--- /dev/null
+++ b/qos_gateway/types/__init__.py
@@ -0,0 +1,83 @@
+"""Types that pass between a gateway and its decision engine: settings, events and actions.
+
+All of them are immutable, and nothing here decides anything. Times are integer nanoseconds on any clock that
+never goes backwards.
+"""
+
+from .actions import (
+    Action,
+    AddToCounter,
+    CancelAttempt,
+    CloseIdleConnections,
+    Fail,
+    FetchEndpoints,
+    LogLine,
+    Probe,
+    Reject,
+    Send,
+    SendPeerMessage,
+    SetTimer,
+    WatchEndpoints,
+)
+from .events import (
+    NOT_EXECUTED,
+    Arrival,
+    AttemptEnded,
+    ClientDisconnected,
+    CounterReplied,
+    Endpoint,
+    Event,
+    Health,
+    ListKind,
+    Outcome,
+    PeerMessage,
+    ProbeEnded,
+    ResponseStarted,
+    SetEndpointEnabled,
+    TimerFired,
+    Topology,
+)
+from .settings import (
+    Idempotence,
+    IdempotencyScope,
+    Plan,
+    RequestClass,
+    Settings,
+)
+
+__all__ = [
+    "NOT_EXECUTED",
+    "Action",
+    "AddToCounter",
+    "Arrival",
+    "AttemptEnded",
+    "CancelAttempt",
+    "ClientDisconnected",
+    "CloseIdleConnections",
+    "CounterReplied",
+    "Endpoint",
+    "Event",
+    "Fail",
+    "FetchEndpoints",
+    "Health",
+    "Idempotence",
+    "IdempotencyScope",
+    "ListKind",
+    "LogLine",
+    "Outcome",
+    "PeerMessage",
+    "Plan",
+    "Probe",
+    "ProbeEnded",
+    "Reject",
+    "RequestClass",
+    "ResponseStarted",
+    "Send",
+    "SendPeerMessage",
+    "SetEndpointEnabled",
+    "SetTimer",
+    "Settings",
+    "TimerFired",
+    "Topology",
+    "WatchEndpoints",
+]
--- a/tests/decisions/test_engine.py
+++ b/tests/decisions/test_engine.py
@@ -10,7 +10,8 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from qos_gateway.decisions.engine import TICK, TICK_TIMER, DecisionEngine
+from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
+from qos_gateway.decisions.queue_model import TICK
 from qos_gateway.peer_messages import encode_totals
 from qos_gateway.types import (
     NOT_EXECUTED,
@@ -132,9 +133,9 @@
     done = g.handle(SECOND, ended(1, second.endpoint, attempt=1, finished=True))
     assert done == [CancelAttempt(1, 0)]
     assert g.handle(SECOND, ended(1, first.endpoint, Outcome.CANCELLED, finished=True)) == []
-    assert not g.requests
-    assert not g.attempts
-    assert g.in_flight == 0
+    assert not g.request_table.open
+    assert not g.request_table.attempts
+    assert g.request_table.in_flight == 0
 
 
 def test_second_copies_have_a_budget_and_none_runs_a_payment_twice() -> None:
@@ -144,12 +145,12 @@
     g.handle(200 * MS, arrival(1000, 200 * MS, UNSAFE))
     g.handle(200 * MS, arrival(2000, 200 * MS, SAFE))
     g.handle(200 * MS, arrival(2001, 200 * MS, SAFE))
-    g.retry_tokens = 1.0
+    g.dispatcher.retry_budget.tokens = 1.0
     for server in g.load_balancer.endpoints.values():
         server.latest_answered_send = 350 * MS
     g.load_balancer.latest_answered_send = 750 * MS
     assert [send.request_id for send in sends(g.handle(850 * MS, TimerFired(TICK_TIMER)))] == [2000]
-    assert g.retry_tokens == 0.0
+    assert g.dispatcher.retry_budget.tokens == 0.0
 
 
 @pytest.mark.parametrize(("aim", "wait"), [(300, 50), (1200, 200), (6000, 200)])
@@ -164,10 +165,10 @@
     g = gateway()
     answered(g, SAFE)
     (send,) = sends(g.handle(SECOND, arrival(1, SECOND)))
-    g.retry_tokens = 1.0
+    g.dispatcher.retry_budget.tokens = 1.0
     broken = ended(1, send.endpoint, Outcome.RESET, elapsed=elapsed)
     assert len(sends(g.handle(SECOND + elapsed, broken))) == 1
-    assert g.retry_tokens == pytest.approx(left, abs=0.02)
+    assert g.dispatcher.retry_budget.tokens == pytest.approx(left, abs=0.02)
 
 
 @pytest.mark.parametrize(("broken", "left_out"), [({1}, {1}), ({1, 2, 3, 4}, set())])
@@ -315,12 +316,12 @@
             for send in sends(g.handle(now, arrival(number, now, customer_id=number))):
                 g.handle(now, ended(number, send.endpoint))
         g.handle(now, TimerFired(TICK_TIMER))
-        sizes.append((len(g.quota.accounts), len(g.load_balancer.endpoints), len(g.commitments)))
+        sizes.append((len(g.quota.accounts), len(g.load_balancer.endpoints), len(g.commitments.active)))
     assert max(sizes[120:]) <= max(sizes[60:120])
     assert sizes[-1][1] <= 6
-    assert not g.requests
-    assert not g.attempts
-    assert g.in_flight == 0
+    assert not g.request_table.open
+    assert not g.request_table.attempts
+    assert g.request_table.in_flight == 0
 
 
 def test_odd_peer_messages_are_passed_over() -> None:
@@ -498,7 +499,7 @@
             g.handle(now + 10 * MS, ended(i, sent[0].endpoint))
         if i % 5 == 0:
             g.handle(now + 10 * MS, TimerFired(TICK_TIMER))
-    assert g.presumed_lost > 10
+    assert g.request_table.presumed_lost > 10
     assert g.model.concurrency_limit is None
 
 
--- a/tests/decisions/test_late_requests.py
+++ b/tests/decisions/test_late_requests.py
@@ -4,7 +4,9 @@
 
 import pytest
 
-from qos_gateway.decisions.engine import TICK, TICK_TIMER, DecisionEngine
+from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
+from qos_gateway.decisions.queue_model import TICK
+from qos_gateway.state.outstanding import OutstandingAttempt
 from qos_gateway.types import (
     Action,
     Arrival,
@@ -44,8 +46,8 @@
         g.handle(START + 9 * TICK, ended(2, 1, elapsed=TICK))
     fit = g.model.fit
 
-    def rise(now: int, out: int, outstanding: list[tuple[int, int]]) -> None:
-        fit(now, out, outstanding)
+    def rise(now: int, in_flight: int, outstanding: list[OutstandingAttempt]) -> None:
+        fit(now, in_flight, outstanding)
         g.model.congested = risen
 
     g.model.fit = rise  # type: ignore[method-assign]
@@ -77,27 +79,27 @@
     g = DecisionEngine(settings(may_message=False, gateway_count=1), 7, 0)
     g.handle(0, full_list(backend(1), backend(2)))
     (first,) = (a for a in g.handle(START, arrival(1, START)) if isinstance(a, Send))
-    second = g._send(START + MS, g.requests[1], True)
+    second = g.dispatcher.send(START + MS, g.request_table.open[1], untried_only=True)
     assert second is not None
-    assert g.in_flight == 2
+    assert g.request_table.in_flight == 2
     assert g.handle(START + 2 * MS, ResponseStarted(1, 2 * MS, 0, first.endpoint)) == [CancelAttempt(1, 1)]
-    assert g.in_flight == 0
+    assert g.request_table.in_flight == 0
     # The one that was called off ends: the other flows on, past its aim, and ends as it does.
     off = ended(1, second.endpoint, Outcome.CANCELLED, attempt=1, finished=True)
     assert g.handle(START + 3 * MS, off) == []
     g.model.congested = True
-    late = g._too_late(START + 3 * SECOND) + g._second_copies(START + 3 * SECOND)
+    late = g.stalled.give_up_late(START + 3 * SECOND) + g.stalled.hedge(START + 3 * SECOND)
     assert late == []
     assert g.handle(START + 4 * SECOND, ended(1, first.endpoint, elapsed=2 * MS)) == []
-    assert g.in_flight == 0
-    assert not g.attempts
-    assert not g.requests
+    assert g.request_table.in_flight == 0
+    assert not g.request_table.attempts
+    assert not g.request_table.open
 
 
 def test_calling_off_says_nothing_against_the_server() -> None:
     g, _ = pressed()
     g.handle(START + 10 * TICK, ended(1, 1, Outcome.CANCELLED, finished=True))
     assert g.load_balancer.endpoints[1].consecutive_failures == 0
-    assert g.in_flight == 0
+    assert g.request_table.in_flight == 0
     sent = g.handle(START + 11 * TICK, Arrival(9, SAFE, 0, 9, START + 40 * TICK, 1.0, 1, 0, 0))
     assert [a for a in sent if isinstance(a, Send | Reject)]
--- a/tests/decisions/test_many_gateways.py
+++ b/tests/decisions/test_many_gateways.py
@@ -12,7 +12,9 @@
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 
-from qos_gateway.decisions.engine import RESERVATION_TIMEOUT, TICK, TICK_TIMER, DecisionEngine
+from qos_gateway.decisions.admission import RESERVATION_TIMEOUT
+from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
+from qos_gateway.decisions.queue_model import TICK
 from qos_gateway.decisions.quota import IN_FLIGHT_UNIT
 from qos_gateway.peer_messages import Reservation, ReservationKind, decode_reservation, encode_reservation
 from qos_gateway.types import (
@@ -90,7 +92,7 @@
             spread = {"gateway_spread": len(self.gateways), **changes}
             self.give(now, position, arrival(request, now, **spread))
             late = now + 2 * RESERVATION_TIMEOUT
-            if request in self.gateways[position].requests and len(self.sent) == before:
+            if request in self.gateways[position].request_table.open and len(self.sent) == before:
                 self.give(late, position, TimerFired(TICK_TIMER))
             for _, send in self.sent[before:]:
                 self.give(late, position, ended(send.request_id, send.endpoint))
@@ -252,7 +254,7 @@
     )
     g.handle(0, full_list(backend(1)))
     (call,) = [a for a in g.handle(MS, arrival(1, MS, gateway_spread=MANY)) if isinstance(a, AddToCounter)]
-    g.requests.pop(1)
+    g.request_table.open.pop(1)
     back = g.handle(2 * MS, CounterReplied(MS, Outcome.OK, call.key, call.amount))
     assert [a.amount for a in back if isinstance(a, AddToCounter) and a.amount == -IN_FLIGHT_UNIT] == [
         -IN_FLIGHT_UNIT
@@ -306,11 +308,11 @@
     g = DecisionEngine(settings(gateway_count=MANY, messages_per_s=40.0), 7, 0)
     g.handle(0, full_list(backend(1)))
     asked = [a for i in range(5) for a in g.handle(MS, arrival(i, MS, customer_id=i, gateway_spread=MANY))]
-    held = len(g.awaiting_reservation)
+    held = len(g.admission.awaiting_reservation)
     assert held == sum(isinstance(a, SendPeerMessage) for a in asked) > 0
     after = g.handle(MS + RESERVATION_TIMEOUT, TimerFired(TICK_TIMER))
     assert sum(isinstance(a, Send | Reject) for a in after) == held
-    assert not g.awaiting_reservation
+    assert not g.admission.awaiting_reservation
 
 
 def test_cold_backend_gets_its_part_from_all_gateways_together() -> None:
@@ -437,7 +439,7 @@
 
     def feed(self, now: int, event: Event) -> None:
         super().feed(now, event)
-        for held in list(self.gateway.awaiting_reservation):
+        for held in list(self.gateway.admission.awaiting_reservation):
             answer = self.log and held % 3
             if answer:
                 word = encode_reservation(
@@ -589,7 +591,7 @@
     for customer in range(20):
         cls = UNSAFE if customer % 2 else 0
         g.handle(2 * SECOND, arrival(customer, 2 * SECOND, cls, customer_id=customer, gateway_spread=25))
-    g.model.concurrency_limit, g.in_flight = 100, 80
+    g.model.concurrency_limit, g.request_table.in_flight = 100, 80
     asked = {
         cls: arrival(90 + cls, 2 * SECOND, cls, customer_id=90 + cls, gateway_spread=25)
         for cls in (0, UNSAFE)
--- a/tests/decisions/test_queue_model.py
+++ b/tests/decisions/test_queue_model.py
@@ -4,16 +4,19 @@
 
 import pytest
 
-from qos_gateway.decisions.queue_model import TICK, Goal, QueueModel, mean_value_analysis, seven_cases
+from qos_gateway.decisions.queue_model import TICK, QueueModel
+from qos_gateway.decisions.seven_cases import Goal, seven_cases
+from qos_gateway.mean_value_analysis import response_times
+from qos_gateway.state.outstanding import OutstandingAttempt
 from tests.support.builders import MS, SECOND, settings
 
 
 def test_mean_value_analysis_of_one_customer_has_no_queue() -> None:
-    assert mean_value_analysis(30.0, 100.0, 1)[1] == pytest.approx(130.0)
+    assert response_times(30.0, 100.0, 1)[1] == pytest.approx(130.0)
 
 
 def test_mean_value_analysis_saturates_at_the_demand() -> None:
-    times = mean_value_analysis(10.0, 100.0, 400)
+    times = response_times(10.0, 100.0, 400)
     assert 400 / times[400] == pytest.approx(1 / 10.0, rel=0.01)
     assert times == sorted(times)
 
@@ -54,7 +57,7 @@
     for i in range(40):
         model.latency[0].add(i * 20 * MS, 100 * MS)
     model.fit(SECOND, 5, [])
-    model.fit(SECOND, 60, [(0, 2 * SECOND)] * 50)
+    model.fit(SECOND, 60, [OutstandingAttempt(0, 2 * SECOND)] * 50)
     assert model.congested
 
 
--- a/tests/simulator/test_protocol.py
+++ b/tests/simulator/test_protocol.py
@@ -10,7 +10,9 @@
 
 import pytest
 
-from qos_gateway.simulator import protocol as wire
+from qos_gateway.simulator.decoder import decode
+from qos_gateway.simulator.encoder import encode_action
+from qos_gateway.simulator.settings import SettingsError, parse_settings
 from qos_gateway.types import Arrival, AttemptEnded, Endpoint, LogLine, Outcome, Send, SetTimer, Topology
 
 ROOT = Path(__file__).parent.parent.parent
@@ -105,9 +107,9 @@
         "5604 03000000 fc03 c4913a5dd1020400 00 00000000 640ad2557c3bf091 90dbb60302000000"
         "00000040 00004040 0000803f 01"
     )
-    now, events = wire.decode(struct.pack("<Q", 8) + raw)
-    assert now == 8
-    ((instance, event),) = events
+    batch = decode(struct.pack("<Q", 8) + raw)
+    assert batch.now == 8
+    ((instance, event),) = batch.events
     assert instance == 3
     assert isinstance(event, Arrival)
     assert (event.request_id, event.units, event.gateway_spread, event.first_gateway) == (
@@ -125,8 +127,8 @@
         "f203 02 2900000000000000 02000000 074a1203 00 00 0000 01 0000803f 0000000000000000"
         "f211902c 01 00 0000 01 0000c03f 009d966b01000000"
     )
-    _, events = wire.decode(struct.pack("<Q", 8) + raw)
-    (_, reply), (_, topology) = events
+    batch = decode(struct.pack("<Q", 8) + raw)
+    (_, reply), (_, topology) = batch.events
     assert isinstance(reply, AttemptEnded)
     assert isinstance(topology, Topology)
     assert (reply.outcome, reply.quota_usage, reply.request_finished) == (Outcome.OK, 86, True)
@@ -136,11 +138,11 @@
 
 
 def test_actions_match_the_pages_examples() -> None:
-    assert wire.encode_action(Send(0x402D15D3A91C4, 0x03124A07, 80_000_000)).hex() == (
+    assert encode_action(Send(0x402D15D3A91C4, 0x03124A07, 80_000_000)).hex() == (
         "e803" + "c4913a5dd1020400" + "074a1203" + "00b4c40400000000"
     )
-    assert wire.encode_action(SetTimer(500_000_000, 77)).hex() == "10040065cd1d000000004d000000"
-    assert wire.encode_action(LogLine("two servers unknown")).hex().startswith("38041300")
+    assert encode_action(SetTimer(500_000_000, 77)).hex() == "10040065cd1d000000004d000000"
+    assert encode_action(LogLine("two servers unknown")).hex().startswith("38041300")
 
 
 def test_sim_answers_every_frame() -> None:
@@ -188,8 +190,8 @@
     ],
 )
 def test_settings_errors_name_the_key(old: str, new: str, key: str) -> None:
-    with pytest.raises(wire.SettingsError, match=re.escape(key)):
-        wire.parse_settings(SETTINGS_TEXT.replace(old, new))
+    with pytest.raises(SettingsError, match=re.escape(key)):
+        parse_settings(SETTINGS_TEXT.replace(old, new))
 
 
 def test_impossible_settings_become_die_with_the_key() -> None:
--- a/tests/test_source_limits.py
+++ b/tests/test_source_limits.py
@@ -2,14 +2,34 @@
 
 from __future__ import annotations
 
+import ast
 import tomllib
 from pathlib import Path
 
+import pytest
+
 ROOT = Path(__file__).parent.parent
+PACKAGE = ROOT / "qos_gateway"
+DECISIONS = PACKAGE / "decisions"
+# What carries decisions out may import them; all else in the package is what they rest on.
+ADAPTERS = (PACKAGE / "server", PACKAGE / "simulator", PACKAGE / "__main__.py")
+# Numbers that are no one's choice: units, and sizes that the wire has.
+CONSTANTS_OF_THE_WIRE = {"units.py": {"MILLISECOND", "SECOND"}, "peer_messages.py": {"MAX_MESSAGE_BYTES"}}
+
+
+def policy_files() -> list[str]:
+    files: list[str] = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+    return files
+
+
+def foundations() -> list[Path]:
+    """Modules outside the decisions and their adapters."""
+    adapters = [path for each in ADAPTERS for path in [each, *each.rglob("*.py")]]
+    return [p for p in PACKAGE.rglob("*.py") if p not in adapters and not p.is_relative_to(DECISIONS)]
 
 
 def test_decision_module_stays_within_650_lines_a_file_and_1200_in_all() -> None:
-    policy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
+    policy = policy_files()
     lines = [sum(bool(line.strip()) for line in (ROOT / name).read_text().splitlines()) for name in policy]
     assert len(lines) > 1
     assert min(lines) > 0
@@ -17,6 +37,73 @@
     assert sum(lines) <= 1200
 
 
+def test_policy_names_every_file_of_the_decisions() -> None:
+    assert sorted(policy_files()) == sorted(p.relative_to(ROOT).as_posix() for p in DECISIONS.rglob("*.py"))
+
+
+def imported_modules(path: Path) -> set[str]:
+    """Names of modules, and of what is imported from them, with relative ones made whole."""
+    package = path.relative_to(ROOT).parent.parts
+    found = set()
+    for node in ast.walk(ast.parse(path.read_text())):
+        if isinstance(node, ast.Import):
+            found |= {alias.name for alias in node.names}
+        if isinstance(node, ast.ImportFrom):
+            base = list(package[: len(package) - node.level + 1]) if node.level else []
+            module = ".".join([*base, *([node.module] if node.module else [])])
+            found |= {f"{module}.{alias.name}" for alias in node.names}
+    return found
+
+
+@pytest.mark.parametrize("path", foundations(), ids=lambda path: path.relative_to(PACKAGE).as_posix())
+def test_what_decisions_rest_on_imports_none_of_them(path: Path) -> None:
+    forbidden = ("qos_gateway.decisions", "qos_gateway.server", "qos_gateway.simulator")
+    assert [name for name in imported_modules(path) if name.startswith(forbidden)] == []
+
+
+def numeric_constants(path: Path) -> set[str]:
+    """Names that a module or class binds to a number, or to an expression of numbers alone."""
+    found = set()
+    for scope in ast.walk(ast.parse(path.read_text())):
+        if not isinstance(scope, ast.Module | ast.ClassDef):
+            continue
+        for node in scope.body:
+            if not isinstance(node, ast.Assign | ast.AnnAssign) or node.value is None:
+                continue
+            targets = node.targets if isinstance(node, ast.Assign) else [node.target]
+            numbers = [n for n in ast.walk(node.value) if isinstance(n, ast.Constant)]
+            calls = any(isinstance(n, ast.Call) for n in ast.walk(node.value))
+            if any(isinstance(n.value, int | float) and n.value for n in numbers) and not calls:
+                found |= {t.id for t in targets if isinstance(t, ast.Name) and t.id.isupper()}
+    return found
+
+
+@pytest.mark.parametrize("path", foundations(), ids=lambda path: path.relative_to(PACKAGE).as_posix())
+def test_what_decisions_rest_on_has_no_tuned_constants(path: Path) -> None:
+    in_enumerations = {"types/events.py", "peer_messages.py"}
+    allowed = CONSTANTS_OF_THE_WIRE.get(path.name, set())
+    found = numeric_constants(path) - allowed
+    if path.relative_to(PACKAGE).as_posix() in in_enumerations:
+        found -= members_of_enumerations(path)
+    assert found == set()
+
+
+def members_of_enumerations(path: Path) -> set[str]:
+    found = set()
+    for node in ast.walk(ast.parse(path.read_text())):
+        if isinstance(node, ast.ClassDef) and any(
+            isinstance(b, ast.Name) and "Enum" in b.id for b in node.bases
+        ):
+            found |= {
+                t.id
+                for n in node.body
+                if isinstance(n, ast.Assign)
+                for t in n.targets
+                if isinstance(t, ast.Name)
+            }
+    return found
+
+
 def test_no_line_is_longer_than_110_characters() -> None:
     sources = [*ROOT.glob("qos_gateway/**/*.py"), *ROOT.glob("tests/**/*.py"), *ROOT.glob("benchmarks/*.py")]
     assert len(sources) > 5
@@ -24,5 +111,10 @@
 
 
 def test_decision_module_names_its_interface_at_the_top() -> None:
-    text = (ROOT / "qos_gateway" / "decisions" / "engine.py").read_text()
-    assert "types.py" in text[:400]
+    assert "`types`" in (DECISIONS / "engine.py").read_text()[:400]
+
+
+def test_every_module_stands_on_the_architecture_page() -> None:
+    page = (ROOT / "docs" / "architecture.md").read_text()
+    modules = [p.relative_to(PACKAGE).as_posix() for p in PACKAGE.rglob("*.py") if p.name != "__init__.py"]
+    assert [module for module in modules if f"`{module}`" not in page] == []
