--- a/qos_gateway/decisions/engine.py
+++ b/qos_gateway/decisions/engine.py
@@ -44,11 +44,12 @@
 from .load_balancer import LoadBalancer
 from .queue_model import TARGET_WAIT_FRACTION, QueueModel, seven_cases
 from .queue_model import TICK as TICK
-from .quota import EVALUATION_INTERVAL, Quota
+from .quota import create_quota
 from .retry_rules import retry_deadline, retry_filter
 from .time_constants import LONG_MEMORY
 
 # Tuned values: unit and reason behind each; times are chosen against aims of the order of a second.
+EVALUATION_INTERVAL = 2 * SECOND  # between looks at a commitment's cap: enough for a fit, short for a burst
 COMMITMENT_IDLE_TIME = (
     10 * SECOND
 )  # a commitment without requests ends; outlasts the lulls of a steady customer
@@ -89,7 +90,7 @@
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
         self.settings, self.rng, self.model = settings, random.Random(seed), QueueModel(settings)
-        self.quota = Quota(settings, seed, now, self.rng)
+        self.quota = create_quota(settings, seed, now, self.rng)
         self.load_balancer = LoadBalancer(settings, self.rng)
         self.requests: dict[int, RequestState] = {}
         self.awaiting_reservation: dict[
@@ -176,9 +177,6 @@
             self._evaluate(now, account)
         if now - self.pruned_at >= COMMITMENT_IDLE_TIME:
             self.pruned_at, known = now, self.quota.accounts
-            self.quota.pending_calls = {
-                name: calls for name, calls in self.quota.pending_calls.items() if calls
-            }
             self.quota.accounts = {
                 c: a for c, a in known.items() if a.in_flight or now - a.last_request_at <= self._keep(a)
             }
@@ -282,7 +280,7 @@
         return [send, self.quota.report_consumed(now, request.account, a.units)] if report_usage else [send]
 
     def _decided(self, now: int, reply: QuotaReply) -> list[Action]:
-        """A held request goes on, or is refused; without an answer this gateway decides alone."""
+        """Let a held request go on, or refuse it; without an answer this gateway decides alone."""
         request = self.awaiting_reservation.pop(reply.reservation, None)
         if request is None:
             return reply.actions
--- a/qos_gateway/decisions/lease.py
+++ b/qos_gateway/decisions/lease.py
@@ -1,114 +1,87 @@
 """Leases of a part of a customer's quota for a term: docs/quota-leases.md has the design."""
 
-from __future__ import annotations
-
 import random
-from collections import deque
 
+from ..state.counter_total import COUNTER_KEY_LIFETIME, counter_key
 from ..state.customer import CustomerAccount
+from ..state.lease_terms import LeaseClaim, LeaseTerm, scattered_fraction, term_at
+from ..state.pending_calls import PendingCalls
 from ..types import Action, AddToCounter, CounterReplied, Outcome
-from ..units import SECOND
 
-EVEN_FRACTION = 0.5  # part of each quota that stays in even slices: most customers use less, and need no call
-LEASED_FRACTION = (
-    0.6  # ... and the part that is leased: a tenth too much in all, as leases are seldom all used at once
-)
-CLAIM_MARGIN = 1.5  # times what is asked for here that a lease covers: few requests come far from evenly
-SHORT_DEMAND_WEIGHT = (
-    0.5  # of what was asked for in the last second alone, that counts: of a new customer little was seen
-)
-MAX_SAVED_FRACTION = (
-    4.0  # times its part of the burst that a gateway may save up: a customer comes to one, now to another
-)
-LOW_TOKENS_REQUESTS = 2.0  # of the largest request left in the bucket, below which a lease is asked for
-RENEWAL_LEAD = 0.2  # part of a term in which the next one is claimed ahead, at a time of each gateway's own
-CLAIM_BACKOFF = 0.05  # part of a term before the next claim for the same customer
-COUNTER_KEY_LIFETIME = (
-    60 * SECOND
-)  # of a term's number, the most that may be asked; it outlasts lead and term
-TERM_SCATTER = 0x9E3779B1  # so that customers' terms begin at other times
+EVEN_FRACTION = 0.5  # of each quota that stays in even slices: most customers use less, and need no call
+LEASED_FRACTION = 0.6  # of each quota that is leased: a tenth too much in all, as few use all of their leases
+CLAIM_MARGIN = 1.5  # times the demand here that a lease covers: few requests come far from evenly
+SHORT_DEMAND_WEIGHT = 0.5  # of the last second's demand alone: of a new customer little was seen
+MAX_SAVED_FRACTION = 4.0  # times its part of the burst that a gateway may save up: customers move about
+LOW_TOKENS_REQUESTS = 2.0  # of the largest request left in the bucket, below which a lease is claimed
+RENEWAL_LEAD = 0.2  # of a term, in which the next one is claimed ahead, by each gateway at another time
+CLAIM_BACKOFF = 0.05  # of a term, before the next claim for the same customer
 
 
 class Leases:
-    """What this gateway leased, and the claims that are out. A term's number adds up all gateways' claims."""
+    """Claims of this gateway; the counter of a term adds up those of all gateways."""
 
-    def __init__(self, length: int, seed: int, rng: random.Random) -> None:
-        self.term_length, self.seed, self.rng = length, seed, rng  # length of a term in ns
-        self.pending_claims: dict[
-            int, deque[tuple[int, float]]
-        ] = {}  # by number: the terms claimed, and how much
+    def __init__(self, term_length: int, seed: int, rng: random.Random) -> None:
+        self.term_length = term_length  # in ns
+        self.seed = seed
+        self.rng = rng
+        self.pending_claims: PendingCalls[LeaseClaim] = PendingCalls()
 
-    def term(self, now: int, account: CustomerAccount) -> tuple[int, int]:
-        """Which term it is for that customer, and the ns that are left of it."""
-        at = now + account.customer_id * TERM_SCATTER % self.term_length
-        return at // self.term_length, self.term_length - at % self.term_length
+    def term(self, now: int, account: CustomerAccount) -> LeaseTerm:
+        """Return the customer's term at `now`."""
+        return term_at(now, account.customer_id, self.term_length)
 
     def quota_share(self, now: int, account: CustomerAccount) -> float:
-        """Part of the quota that is this gateway's: the floor and its lease, or an even slice where a claim
-        has no answer. The slices of those that are cut off are all that is ever given twice.
+        """Return the fraction of the quota that is this gateway's: its part of the even slices, and its lease.
+
+        Where a claim has no answer it is an even slice of the whole: only what those hold is given twice.
         """
-        term, _ = self.term(now, account)
+        term = self.term(now, account).number
         if term not in account.lease_fractions and account.unanswered_claim_term == term:
             return 1.0 / account.slice_count
         return EVEN_FRACTION / account.slice_count + account.lease_fractions.get(term, 0.0)
 
-    def claim(self, now: int, account: CustomerAccount, largest: float, pace: float) -> list[Action]:
-        """A call where the bucket runs low, or ahead for the next term where this one's lease is in use."""
+    def claim(self, now: int, account: CustomerAccount, largest: float, call_rate: float) -> list[Action]:
+        """Claim a lease where tokens are low, or ahead for the next term where this one's lease is in use."""
         if now < account.next_claim_at:
             return []
-        term, left = self.term(now, account)
-        lead = (
-            RENEWAL_LEAD
-            * self.term_length
-            * ((account.customer_id * 31 + self.seed) * TERM_SCATTER % 1000)
-            / 1000
-        )
-        ahead = (
-            left < lead
-            and account.lease_fractions.get(term, 0.0) > 0.0
-            and term + 1 not in account.lease_fractions
-        )
+        term, leased = self.term(now, account), account.lease_fractions
+        lead = scattered_fraction(account.customer_id, self.seed, RENEWAL_LEAD * self.term_length)
+        ahead = term.remaining < lead and leased.get(term.number, 0.0) > 0.0 and term.number + 1 not in leased
         if not ahead and account.local_tokens >= LOW_TOKENS_REQUESTS * largest:
             return []
-        target, account.next_claim_at = (
-            term + ahead,
-            now + int(CLAIM_BACKOFF * self.term_length * self.rng.uniform(1.0, 2.0)),
-        )
-        seen, demand = account.long_demand, account.demand
-        asked = max(seen.rate(now) * seen.value, SHORT_DEMAND_WEIGHT * demand.rate(now) * demand.value)
-        wanted = min(
-            LEASED_FRACTION, CLAIM_MARGIN * asked / account.plan.rate - EVEN_FRACTION / account.slice_count
-        )
-        wanted -= account.lease_fractions.get(target, 0.0)
-        if wanted <= 0.0:
+        target = term.number + ahead
+        account.next_claim_at = now + int(CLAIM_BACKOFF * self.term_length * self.rng.uniform(1.0, 2.0))
+        fraction = self._wanted_fraction(now, account) - leased.get(target, 0.0)
+        if fraction <= 0.0:
             return []
-        if self.rng.random() >= pace:
-            account.unanswered_claim_term = (
-                target  # a crowded counter answers nobody: some have to do without
-            )
+        if self.rng.random() >= call_rate:  # a crowded counter replies to nobody: some have to do without
+            account.unanswered_claim_term = target
             return []
-        name = account.customer_id << 16 | target & 0xFFFF
-        self.pending_claims.setdefault(name, deque()).append((target, wanted))
-        return [AddToCounter(name, COUNTER_KEY_LIFETIME, wanted)]
+        key = counter_key(account.customer_id, target)
+        self.pending_claims.push(key, LeaseClaim(target, fraction))
+        return [AddToCounter(key, COUNTER_KEY_LIFETIME, fraction)]
+
+    def _wanted_fraction(self, now: int, account: CustomerAccount) -> float:
+        recent = SHORT_DEMAND_WEIGHT * account.demand.rate(now) * account.demand.value
+        covered = CLAIM_MARGIN * max(account.requested_rate(now), recent) / account.plan.rate
+        return min(LEASED_FRACTION, covered - EVEN_FRACTION / account.slice_count)
 
     def on_counter_reply(self, now: int, event: CounterReplied, account: CustomerAccount | None) -> None:
-        """What came of a claim. The total tells what those before it took; what came too late, or was added
-        twice, is missing from the pool until the term ends, and never in it twice.
+        """Take in the reply to a claim: what the claims before it left is granted.
+
+        What came too late, or was added twice, is missing until the term ends, and never granted twice.
         """
-        queue = self.pending_claims[event.key]
-        target, wanted = queue.popleft()
-        if not queue:
-            del self.pending_claims[event.key]
-        if account is None:
+        claim = self.pending_claims.pop_oldest(event.key)
+        if account is None or claim is None:
             return
-        term, left = self.term(now, account)
         if event.outcome is not Outcome.OK:
-            account.unanswered_claim_term = target
+            account.unanswered_claim_term = claim.term
             return
-        kept = {t: part for t, part in account.lease_fractions.items() if t >= term}
-        granted = min(wanted, max(0.0, LEASED_FRACTION - (event.total - wanted)))
-        account.lease_fractions = kept | {target: kept.get(target, 0.0) + granted}
-        if event.total >= LEASED_FRACTION:
-            # The pool is given away: nothing more to claim before the term after it.
-            end = now + left + (target - term) * self.term_length
-            account.next_claim_at = max(account.next_claim_at, end - int(RENEWAL_LEAD * self.term_length))
+        term = self.term(now, account)
+        unclaimed = max(0.0, LEASED_FRACTION - (event.total - claim.fraction))
+        account.add_lease(term.number, claim.term, min(claim.fraction, unclaimed))
+        if event.total >= LEASED_FRACTION:  # nothing is left to claim before the term after it
+            end = now + term.remaining + (claim.term - term.number) * self.term_length
+            next_claim_at = end - int(RENEWAL_LEAD * self.term_length)
+            account.next_claim_at = max(account.next_claim_at, next_claim_at)
--- a/qos_gateway/peer_messages.py
+++ b/qos_gateway/peer_messages.py
@@ -1,67 +1,98 @@
-"""Layout of the messages between gateways: bytes to plain values and back. Nothing here decides anything."""
+"""Layout of the messages between gateways: bytes to values and back."""
 
 from __future__ import annotations
 
 import struct
 from collections.abc import Iterable
+from dataclasses import dataclass
 from enum import IntEnum
-from typing import NamedTuple
 
 MAX_MESSAGE_BYTES = 256  # bytes that a peer message may hold
-_HEADER, _TOTAL, _DRAW = struct.Struct("<HH"), struct.Struct("<QHB"), struct.Struct("<BQBHIH")
+_HEADER = struct.Struct("<HH")
+_TOTAL = struct.Struct("<QHB")
+_RESERVATION = struct.Struct("<BQBHIH")
 MAX_TOTALS = (MAX_MESSAGE_BYTES - _HEADER.size) // _TOTAL.size  # customers in one message of totals
 
 
 class ReservationKind(IntEnum):
-    """What a message between a gateway and a customer's home says."""
+    """What a message between a gateway and the owner of a customer's bucket says."""
 
-    RESERVE = 1  # may these units go on?
-    CONSUME = 2  # they went on; no answer is wanted
-    GRANTED = 3  # yes; the units say what the store holds
-    DENIED = 4  # no; likewise
+    RESERVE = 1  # asks for units
+    CONSUME = 2  # reports units that were used; no reply is wanted
+    GRANTED = 3  # grants a RESERVE; the units are what the bucket holds
+    DENIED = 4  # denies it; likewise
 
 
-class Reservation(NamedTuple):
-    """One message between a gateway and a customer's home; `age` is the sender's, in tenths of a second."""
+@dataclass(frozen=True, slots=True)
+class Reservation:
+    """One message between a gateway and the owner of a customer's bucket."""
 
     kind: int
     customer_id: int
     plan_index: int
-    units: float
-    tag: int
-    sender_age: int
+    units: float  # 0 to 16,383.75, in quarters
+    tag: int  # number of the reservation, repeated in the reply
+    sender_age: int  # tenths of a second that the sender has been running
+
+
+@dataclass(frozen=True, slots=True)
+class CustomerTotal:
+    """What the sender counted for one customer."""
+
+    customer_id: int
+    spent_quarter_units: int  # running total, modulo 65,536
+    in_flight: int  # 255 at most
+
+
+@dataclass(frozen=True, slots=True)
+class GossipMessage:
+    """Running totals of one gateway."""
+
+    incarnation: int
+    sender_age: int  # tenths of a second that the sender has been running
+    totals: list[CustomerTotal]
 
 
 def _u16(value: float) -> int:
     return min(0xFFFF, max(0, round(value)))
 
 
-def encode_reservation(draw: Reservation) -> bytes:
-    """Units travel in quarters; what does not fit is held at the bound."""
-    return _DRAW.pack(
-        draw.kind, draw.customer_id, draw.plan_index, _u16(4 * draw.units), draw.tag, _u16(draw.sender_age)
+def encode_reservation(message: Reservation) -> bytes:
+    """Return the message's bytes; units are rounded to quarters, and held at the bounds of the field."""
+    return _RESERVATION.pack(
+        message.kind,
+        message.customer_id,
+        message.plan_index,
+        _u16(4 * message.units),
+        message.tag,
+        _u16(message.sender_age),
     )
 
 
 def decode_reservation(data: bytes) -> Reservation | None:
-    """None for anything that is no such message."""
-    if len(data) != _DRAW.size:
+    """Return the message, or None for bytes that are none."""
+    if len(data) != _RESERVATION.size:
         return None
-    kind, customer, plan, quarters, tag, age = _DRAW.unpack(data)
-    return (
-        Reservation(kind, customer, plan, quarters / 4, tag, age) if kind in tuple(ReservationKind) else None
-    )
+    kind, customer_id, plan_index, quarter_units, tag, sender_age = _RESERVATION.unpack(data)
+    if kind not in tuple(ReservationKind):
+        return None
+    return Reservation(kind, customer_id, plan_index, quarter_units / 4, tag, sender_age)
 
 
-def encode_totals(incarnation: int, age: int, totals: Iterable[tuple[int, int, int]]) -> bytes:
-    """Customer, running total in quarter units and open attempts, for at most `TOTALS` customers."""
-    head = _HEADER.pack(incarnation, _u16(age))
-    return head + b"".join(_TOTAL.pack(c, sent & 0xFFFF, min(255, out)) for c, sent, out in totals)
+def encode_totals(incarnation: int, sender_age: int, totals: Iterable[CustomerTotal]) -> bytes:
+    """Return the bytes of a message with at most `MAX_TOTALS` customers; `sender_age` is in tenths of a second."""
+    message = _HEADER.pack(incarnation, _u16(sender_age))
+    for total in totals:
+        message += _TOTAL.pack(
+            total.customer_id, total.spent_quarter_units & 0xFFFF, min(255, total.in_flight)
+        )
+    return message
 
 
-def decode_totals(data: bytes) -> tuple[int, int, list[tuple[int, int, int]]] | None:
-    """Incarnation, age and totals; None for anything that is no such message."""
+def decode_totals(data: bytes) -> GossipMessage | None:
+    """Return the message, or None for bytes that are none."""
     if len(data) < _HEADER.size or (len(data) - _HEADER.size) % _TOTAL.size:
         return None
-    incarnation, age = _HEADER.unpack_from(data)
-    return incarnation, age, list(_TOTAL.iter_unpack(data[_HEADER.size :]))
+    incarnation, sender_age = _HEADER.unpack_from(data)
+    totals = [CustomerTotal(*fields) for fields in _TOTAL.iter_unpack(data[_HEADER.size :])]
+    return GossipMessage(incarnation, sender_age, totals)
--- /dev/null
+++ b/qos_gateway/state/counter_total.py
@@ -0,0 +1,41 @@
+"""Layout of the shared counters: their keys, and usage and in-flight count in one number."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from ..units import SECOND
+
+COUNTER_KEY_LIFETIME = (
+    60 * SECOND
+)  # in ns, the longest that may be asked for; a new key follows each lifetime
+IN_FLIGHT_UNIT = 10_000.0  # one request in flight, in a counter's total: above all units of a key's lifetime
+
+
+def counter_key(customer_id: int, period: int) -> int:
+    """Return the key for a customer's numbered period; it repeats after 65,536 periods."""
+    return customer_id << 16 | period & 0xFFFF
+
+
+def customer_of(key: int) -> int:
+    """Return the customer to whom a counter belongs."""
+    return key >> 16
+
+
+@dataclass(frozen=True, slots=True)
+class CounterTotal:
+    """A counter's total taken apart."""
+
+    in_flight: float  # requests in flight over all gateways; 0 where they are not counted
+    spent_units: float  # since the key's lifetime began, less the corrections
+
+
+def decode_total(total: float, counts_in_flight: bool) -> CounterTotal:
+    """Take a total apart; units may be negative, by up to half of an in-flight unit."""
+    in_flight = (total + IN_FLIGHT_UNIT / 2) // IN_FLIGHT_UNIT if counts_in_flight else 0.0
+    return CounterTotal(in_flight, total - in_flight * IN_FLIGHT_UNIT)
+
+
+def refilled_units(rate: float, sent_at: int) -> float:
+    """Return the units that a bucket of `rate` units a second was refilled with since the key's lifetime began."""
+    return rate * (sent_at % COUNTER_KEY_LIFETIME) / SECOND
--- a/qos_gateway/state/quota_decision.py
+++ b/qos_gateway/state/quota_decision.py
@@ -1,4 +1,4 @@
-"""What the quota tells the engine about a request: types only."""
+"""What the engine asks of the quota, and what it is told: types only."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 from enum import Enum
 
 from ..types import Action
+from .customer import CustomerAccount
 
 
 class Verdict(Enum):
@@ -16,6 +17,16 @@
     RESERVED = "reserved"  # held until the reservation is answered or overdue
 
 
+@dataclass(frozen=True, slots=True)
+class Charge:
+    """A request as far as the quota is concerned."""
+
+    account: CustomerAccount
+    units: float
+    deadline: int  # in ns
+    may_exceed: bool  # whether serving it beyond the quota is worth more than that costs, at present
+
+
 @dataclass(frozen=True, slots=True)
 class QuotaDecision:
     """The verdict on one request, and what has to be done for it."""
@@ -25,6 +36,14 @@
     report_usage: bool = False  # call `report_consumed` once the first attempt is sent
     reservation: int = 0  # number by which the reply names the held request; 0 unless it is RESERVED
 
+    @classmethod
+    def immediate(
+        cls, admitted: bool, actions: list[Action] | None = None, reports: bool = False
+    ) -> QuotaDecision:
+        """Return a decision for which nobody waits."""
+        verdict = Verdict.ADMITTED if admitted else Verdict.REJECTED
+        return cls(verdict, actions or [], admitted and reports)
+
 
 @dataclass(frozen=True, slots=True)
 class QuotaReply:
--- /dev/null
+++ b/qos_gateway/state/token_bucket.py
@@ -0,0 +1,34 @@
+"""Arithmetic of token buckets and of their slices."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from ..types import Plan
+
+
+@dataclass(slots=True)
+class TokenBucket:
+    """Refill rate and capacity of a bucket or of a slice of one; the customer's account keeps its tokens."""
+
+    rate: float  # units a second
+    capacity: float  # units
+
+    def scaled(self, fraction: float) -> TokenBucket:
+        """Return the slice that is `fraction` (0 to 1) of this bucket."""
+        return TokenBucket(self.rate * fraction, self.capacity * fraction)
+
+    def refilled(self, tokens: float, elapsed_s: float) -> float:
+        """Return the tokens after `elapsed_s` seconds without a request, at most the capacity."""
+        return min(self.capacity, tokens + self.rate * elapsed_s)
+
+
+def ceiling_beyond_quota(plan: Plan) -> TokenBucket:
+    """Return what a plan's ceiling has beyond its quota."""
+    return TokenBucket(max(0.0, plan.ceiling_rate - plan.rate), max(0.0, plan.ceiling_burst - plan.burst))
+
+
+def leased_ceiling(plan: Plan, share: float, even: float) -> TokenBucket:
+    """Return a slice of the ceiling: `share` of the quota, and `even` of what the ceiling has beyond it."""
+    rate = plan.rate * share + (plan.ceiling_rate - plan.rate) * even
+    return TokenBucket(rate, plan.burst * share + (plan.ceiling_burst - plan.burst) * even)
--- a/tests/decisions/test_engine.py
+++ b/tests/decisions/test_engine.py
@@ -11,7 +11,8 @@
 from hypothesis import strategies as st
 
 from qos_gateway.decisions.engine import TICK, TICK_TIMER, DecisionEngine
-from qos_gateway.peer_messages import encode_totals
+from qos_gateway.peer_messages import CustomerTotal, encode_totals
+from qos_gateway.state.peer_totals import PeerStatus
 from qos_gateway.types import (
     NOT_EXECUTED,
     Action,
@@ -245,7 +246,7 @@
 
 
 def word(sent: int, age: int, incarnation: int = 9) -> PeerMessage:
-    return PeerMessage(1, encode_totals(incarnation, age, [(1, sent, 0)]))
+    return PeerMessage(1, encode_totals(incarnation, age, [CustomerTotal(1, sent, 0)]))
 
 
 def test_word_overtaken_on_its_way_changes_nothing() -> None:
@@ -333,7 +334,7 @@
     g = gateway()
     g.handle(0, arrival(1, 0))
     account = g.quota.accounts[1]
-    g.quota.peers[1] = 0, 0, 0
+    g.quota.peers[1] = PeerStatus(0, 0, 0)
     assert g.quota.quota_share(0, account) == 1.0
     assert g.quota.quota_share(10 * SECOND, account) == 0.5
 
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -15,6 +15,7 @@
 from benchmarks.counter import Fault, Spell, cut_off, simulate
 from qos_gateway.decisions.engine import DecisionEngine
 from qos_gateway.decisions.lease import EVEN_FRACTION, LEASED_FRACTION, MAX_SAVED_FRACTION, RENEWAL_LEAD
+from qos_gateway.decisions.quota.counter import LeasedQuota
 from qos_gateway.server.config import LEASE_MOST, ConfigError, parse
 from qos_gateway.state import capture as heritage
 from qos_gateway.types import Action, AddToCounter, CounterReplied, ListKind, Outcome, Reject, Send, Settings
@@ -146,8 +147,9 @@
     front.press(0.0, 30.0, 9, rng, 2)
     leases = front.gateways[0].quota.leases
     assert leases is not None
-    term, left = leases.term(30 * SECOND, front.gateways[0].quota.accounts[1])
-    change = (30 * SECOND + left) / SECOND
+    current = leases.term(30 * SECOND, front.gateways[0].quota.accounts[1])
+    term = current.number
+    change = (30 * SECOND + current.remaining) / SECOND
     front.press(30.0, change - 30.0, 9, rng, 2)
     now = int(change * SECOND)
     accounts = [made.quota.accounts[1] for made in front.gateways if 1 in made.quota.accounts]
@@ -288,6 +290,7 @@
     for each, leased in ((CEILED, True), (small, False)):
         made = gateway(0, plans=(each,))
         made.handle(SECOND, arrival(1, SECOND, gateway_spread=SET))
+        assert isinstance(made.quota, LeasedQuota)
         assert made.quota.is_leased(made.quota.accounts[1]) is leased
 
 
--- a/tests/decisions/test_many_gateways.py
+++ b/tests/decisions/test_many_gateways.py
@@ -13,8 +13,8 @@
 from hypothesis import settings as hypothesis_settings
 
 from qos_gateway.decisions.engine import RESERVATION_TIMEOUT, TICK, TICK_TIMER, DecisionEngine
-from qos_gateway.decisions.quota import IN_FLIGHT_UNIT
 from qos_gateway.peer_messages import Reservation, ReservationKind, decode_reservation, encode_reservation
+from qos_gateway.state.counter_total import IN_FLIGHT_UNIT
 from qos_gateway.types import (
     Action,
     AddToCounter,
--- a/tests/state/test_earlier_versions.py
+++ b/tests/state/test_earlier_versions.py
@@ -10,6 +10,8 @@
 
 from qos_gateway.decisions.engine import DecisionEngine
 from qos_gateway.peer_messages import (
+    CustomerTotal,
+    GossipMessage,
     Reservation,
     decode_reservation,
     decode_totals,
@@ -47,6 +49,6 @@
 @pytest.mark.parametrize("message", PEER_MESSAGES["gossip"])
 def test_gossip_has_the_same_bytes(message: dict[str, Any]) -> None:
     written = bytes.fromhex(message["bytes"])
-    totals = [tuple(each) for each in message["totals"]]
+    totals = [CustomerTotal(*each) for each in message["totals"]]
     assert encode_totals(message["incarnation"], message["age"], totals) == written
-    assert decode_totals(written) == (message["incarnation"], message["age"], totals)
+    assert decode_totals(written) == GossipMessage(message["incarnation"], message["age"], totals)
