--- a/qos_gateway/decisions/lease.py
+++ b/qos_gateway/decisions/lease.py
@@ -1,12 +1,8 @@
 """Leases of a part of a customer's quota for a term: docs/quota-leases.md has the design."""
 
-import random
-
-from ..state.counter_total import COUNTER_KEY_LIFETIME, counter_key
 from ..state.customer import CustomerAccount
-from ..state.lease_terms import LeaseClaim, LeaseTerm, scattered_fraction, term_at
-from ..state.pending_calls import PendingCalls
-from ..types import Action, AddToCounter, CounterReplied, Outcome
+from ..state.lease_terms import LeaseClaim, LeaseClaims
+from ..types import Action
 
 EVEN_FRACTION = 0.5  # of each quota that stays in even slices: most customers use less, and need no call
 LEASED_FRACTION = 0.6  # of each quota that is leased: a tenth too much in all, as few use all of their leases
@@ -18,21 +14,11 @@
 CLAIM_BACKOFF = 0.05  # of a term, before the next claim for the same customer
 
 
-class Leases:
-    """Claims of this gateway; the counter of a term adds up those of all gateways."""
-
-    def __init__(self, term_length: int, seed: int, rng: random.Random) -> None:
-        self.term_length = term_length  # in ns
-        self.seed = seed
-        self.rng = rng
-        self.pending_claims: PendingCalls[LeaseClaim] = PendingCalls()
-
-    def term(self, now: int, account: CustomerAccount) -> LeaseTerm:
-        """Return the customer's term at `now`."""
-        return term_at(now, account.customer_id, self.term_length)
+class Leases(LeaseClaims):
+    """Which leases this gateway claims, and what it is granted."""
 
     def quota_share(self, now: int, account: CustomerAccount) -> float:
-        """Return the fraction of the quota that is this gateway's: its part of the even slices, and its lease.
+        """Return the fraction of the quota that is this gateway's: its part of the even slices and its lease.
 
         Where a claim has no answer it is an even slice of the whole: only what those hold is given twice.
         """
@@ -45,8 +31,9 @@
         """Claim a lease where tokens are low, or ahead for the next term where this one's lease is in use."""
         if now < account.next_claim_at:
             return []
-        term, leased = self.term(now, account), account.lease_fractions
-        lead = scattered_fraction(account.customer_id, self.seed, RENEWAL_LEAD * self.term_length)
+        term = self.term(now, account)
+        leased = account.lease_fractions
+        lead = self.scattered_lead(account, RENEWAL_LEAD)
         ahead = term.remaining < lead and leased.get(term.number, 0.0) > 0.0 and term.number + 1 not in leased
         if not ahead and account.local_tokens >= LOW_TOKENS_REQUESTS * largest:
             return []
@@ -58,30 +45,19 @@
         if self.rng.random() >= call_rate:  # a crowded counter replies to nobody: some have to do without
             account.unanswered_claim_term = target
             return []
-        key = counter_key(account.customer_id, target)
-        self.pending_claims.push(key, LeaseClaim(target, fraction))
-        return [AddToCounter(key, COUNTER_KEY_LIFETIME, fraction)]
+        return [self.claim_call(account, target, fraction)]
 
     def _wanted_fraction(self, now: int, account: CustomerAccount) -> float:
         recent = SHORT_DEMAND_WEIGHT * account.demand.rate(now) * account.demand.value
         covered = CLAIM_MARGIN * max(account.requested_rate(now), recent) / account.plan.rate
         return min(LEASED_FRACTION, covered - EVEN_FRACTION / account.slice_count)
 
-    def on_counter_reply(self, now: int, event: CounterReplied, account: CustomerAccount | None) -> None:
-        """Take in the reply to a claim: what the claims before it left is granted.
-
-        What came too late, or was added twice, is missing until the term ends, and never granted twice.
-        """
-        claim = self.pending_claims.pop_oldest(event.key)
-        if account is None or claim is None:
-            return
-        if event.outcome is not Outcome.OK:
-            account.unanswered_claim_term = claim.term
-            return
+    def _on_claimed(self, now: int, account: CustomerAccount, claim: LeaseClaim, total: float) -> None:
+        """Take what the claims before it left; what came late, or twice, is never granted twice."""
         term = self.term(now, account)
-        unclaimed = max(0.0, LEASED_FRACTION - (event.total - claim.fraction))
+        unclaimed = max(0.0, LEASED_FRACTION - (total - claim.fraction))
         account.add_lease(term.number, claim.term, min(claim.fraction, unclaimed))
-        if event.total >= LEASED_FRACTION:  # nothing is left to claim before the term after it
+        if total >= LEASED_FRACTION:  # nothing is left to claim before the term after it
             end = now + term.remaining + (claim.term - term.number) * self.term_length
             next_claim_at = end - int(RENEWAL_LEAD * self.term_length)
             account.next_claim_at = max(account.next_claim_at, next_claim_at)
--- a/qos_gateway/peer_messages.py
+++ b/qos_gateway/peer_messages.py
@@ -80,7 +80,7 @@
 
 
 def encode_totals(incarnation: int, sender_age: int, totals: Iterable[CustomerTotal]) -> bytes:
-    """Return the bytes of a message with at most `MAX_TOTALS` customers; `sender_age` is in tenths of a second."""
+    """Return the bytes of a message; at most `MAX_TOTALS` customers, the age in tenths of a second."""
     message = _HEADER.pack(incarnation, _u16(sender_age))
     for total in totals:
         message += _TOTAL.pack(
--- a/qos_gateway/state/counter_total.py
+++ b/qos_gateway/state/counter_total.py
@@ -37,5 +37,5 @@
 
 
 def refilled_units(rate: float, sent_at: int) -> float:
-    """Return the units that a bucket of `rate` units a second was refilled with since the key's lifetime began."""
+    """Return the units that a bucket of that rate (units a second) was refilled with under its key."""
     return rate * (sent_at % COUNTER_KEY_LIFETIME) / SECOND
--- a/qos_gateway/state/customer.py
+++ b/qos_gateway/state/customer.py
@@ -17,14 +17,11 @@
 
 @dataclass(frozen=True, slots=True)
 class DecayTimes:
-    """Time constants of an account's decaying means, in ns."""
+    """Time constants of decaying means, in ns."""
 
-    in_flight: int
-    demand: int
-    grant_ratio: int
-    long_demand: int
-    usage: int
-    plan_grant_ratio: int  # of all customers of a plan
+    short: int  # for what happens often: requests in flight, demand
+    long: int  # for what happens seldom
+    longest: int  # for what is reported seldom: grants, metered usage
 
 
 @dataclass(slots=True)
@@ -79,23 +76,23 @@
 
     @classmethod
     def create(
-        cls, customer_id: int, plan: Plan, index: int, owner: int, now: int, decay: DecayTimes
+        cls, customer_id: int, plan: Plan, plan_index: int, owner: int, now: int, decay: DecayTimes
     ) -> CustomerAccount:
         """Return the account of a customer that is new here, with a full bucket."""
         return cls(
             customer_id,
             plan,
-            index,
+            plan_index,
             owner,
             tokens=plan.burst,
             refilled_at=now,
             last_request_at=now,
             reported_at=NEVER,
-            mean_in_flight=DecayingMean(decay.in_flight),
-            demand=DecayingMean(decay.demand),
-            grant_ratio=DecayingMean(decay.grant_ratio),
-            long_demand=DecayingMean(decay.long_demand),
-            usage=DecayingMean(decay.usage),
+            mean_in_flight=DecayingMean(decay.short),
+            demand=DecayingMean(decay.short),
+            grant_ratio=DecayingMean(decay.longest),
+            long_demand=DecayingMean(decay.long),
+            usage=DecayingMean(decay.longest),
         )
 
     @property
@@ -116,14 +113,34 @@
         """Return the units a second that were requested here of late."""
         return self.long_demand.rate(now) * self.long_demand.value
 
-    def count_spent(self, units: float) -> None:
-        """Add units to the running total."""
+    def take(self, units: float, may_exceed: bool, gossip_repeats: int) -> bool:
+        """Take units off the bucket and the ceiling's slice, or off the ceiling's alone where allowed.
+
+        Units of the bucket are gossiped in as many messages.
+        """
+        within = not self.plan.rate or self.tokens >= units
+        if not self._take_from_ceiling(units, within or may_exceed):
+            return False
+        if within and self.plan.rate:
+            self.tokens -= units
+            self.pending_gossip = gossip_repeats
+            self.spent_quarter_units += round(4 * units)
+        return True
+
+    def take_from_slice(self, units: float, has_slot: bool, may_exceed: bool) -> bool:
+        """Take units off the local slice and the ceiling's, off the ceiling's alone as allowed."""
+        within = has_slot and self.local_tokens >= units
+        if not self._take_from_ceiling(units, within or may_exceed):
+            return False
+        self.local_tokens -= units * within
         self.spent_quarter_units += round(4 * units)
+        return True
 
-    def spend_from_quota(self, units: float) -> None:
-        """Take units off the bucket, and add them to the running total."""
-        self.tokens -= units
-        self.count_spent(units)
+    def _take_from_ceiling(self, units: float, allowed: bool) -> bool:
+        if not allowed or not self.below_ceiling(units):
+            return False
+        self.ceiling_tokens -= units
+        return True
 
     def spend_unreported(self, units: float) -> None:
         """Take units off bucket and slices; the counter is told later."""
@@ -172,7 +189,7 @@
         self.in_flight_elsewhere = max(0, int(everywhere) - self.in_flight)
 
     def apply_peer_total(self, sender: int, total: int, continues: bool, is_past: bool) -> None:
-        """Take off what a peer spent since its last total; one that was begun anew counts whole, unless `is_past`.
+        """Take off what a peer spent since its last total; one begun anew counts whole, unless `is_past`.
 
         Below zero too, or two gateways would both spend the same refill; not below minus a burst.
         """
@@ -190,8 +207,8 @@
     def usage_estimate(self, now: int, prior: float, prior_units: float, memory: int) -> float:
         """Return the fraction of the quota in use: the metered or that requested here, whichever is more.
 
-        `prior` is the fraction assumed, with the weight of `prior_units`; one such request says nothing. Requests
-        here are held against the slice of the quota over `memory` ns.
+        `prior` is the fraction assumed, with the weight of `prior_units`; one such request says nothing.
+        Requests here are held against the slice of the quota over `memory` ns.
         """
         metered = self.usage.mean_with_prior(now, prior, prior_units)
         requested = max(0.0, self.requested_rate(now) * memory / SECOND - prior_units)
--- a/qos_gateway/state/peer_totals.py
+++ b/qos_gateway/state/peer_totals.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-BEGUN_ANEW = (
+RESTARTED_GROWTH = (
     0x8000  # growth of a 16-bit total, in quarter units, from which on it must have gone back instead
 )
 
@@ -26,4 +26,4 @@
     if previous is None:
         return None
     growth = (total - previous) & 0xFFFF
-    return None if growth >= BEGUN_ANEW else growth / 4
+    return None if growth >= RESTARTED_GROWTH else growth / 4
--- a/qos_gateway/state/pending_calls.py
+++ b/qos_gateway/state/pending_calls.py
@@ -26,7 +26,7 @@
 
 
 class PendingCalls(dict[int, deque[Call]]):
-    """Calls without a reply by counter key, oldest first: replies to one key come in the order of its calls."""
+    """Calls without a reply by counter key, oldest first: the replies to a key come in that order."""
 
     def push(self, key: int, call: Call) -> None:
         """Record a call that is about to be made."""
--- a/qos_gateway/state/quota_base.py
+++ b/qos_gateway/state/quota_base.py
@@ -3,73 +3,108 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Iterable
+from dataclasses import dataclass
+from math import inf
 
-from ..peer_messages import GossipMessage, Reservation, ReservationKind, encode_reservation, encode_totals
-from ..types import Action, AddToCounter, CounterReplied, PeerMessage, SendPeerMessage, Settings
+from ..types import Action, Settings
 from ..units import SECOND
-from .counter_total import COUNTER_KEY_LIFETIME, counter_key
 from .customer import CustomerAccount, DecayTimes
 from .decaying_mean import DecayingMean
 from .peer_totals import PeerStatus
 from .pending_calls import CounterCall, PendingCalls
-from .quota_decision import QuotaReply
+from .quota_decision import Charge, QuotaDecision
 from .token_bucket import TokenBucket
 
 
-class QuotaBase:
-    """Accounts, peers and calls without a reply. Times are in ns, amounts in units.
+@dataclass(frozen=True, slots=True)
+class QuotaTuning:
+    """Values that the bookkeeping of quotas is given; times are in ns."""
+
+    decay: DecayTimes
+    report_fresh_for: int  # age up to which a report of usage elsewhere counts in full ...
+    report_expires_after: int  # ... and from which on it does not count at all
+    usage_grant_span: float  # of a quota, around all used, over which grants go from certain to none
+    gossip_repeats: int  # messages in which a changed total is repeated
+    restart_margin: int  # by which an older peer shows that this process was restarted
+    max_reordering_tenths: int  # tenths of a second by which a newer message may overtake one on its way
 
-    Gateways that neither report to each other nor to a counter leave the calls for these as they are here.
-    """
 
-    uses_gossip = False
-    uses_owners = False
-    uses_counter = False
+class QuotaBase:
+    """Accounts and what was reported of them. Times are in ns, amounts in units."""
 
-    def __init__(
-        self, settings: Settings, seed: int, now: int, rng: random.Random, decay: DecayTimes
-    ) -> None:
+    uses_gossip = False  # each gateway keeps the whole bucket, and reports to all others
+    uses_owners = False  # one gateway keeps the bucket, and grants reservations
+    uses_counter = False  # a counter that all gateways share stands for the bucket
+    sliced_ceiling_fraction = 1.0  # part of a ceiling that is held in even slices
+    gossip_interval = inf  # between two messages to all peers
+    tuning: QuotaTuning
+
+    def __init__(self, settings: Settings, seed: int, now: int, rng: random.Random) -> None:
         self.settings = settings
         self.rng = rng  # shared with the engine: the order of draws is part of the behaviour
-        self.decay = decay
         self.incarnation = seed & 0xFFFF
         self.started_at = now
         self.gossiped_at = now
         self.accounts: dict[int, CustomerAccount] = {}
         self.peers: dict[int, PeerStatus] = {}
         self.pending_calls: PendingCalls[CounterCall] = PendingCalls()
-        self.plan_grant_ratio = [DecayingMean(decay.plan_grant_ratio) for _ in settings.plans]
+        self.plan_grant_ratio = [DecayingMean(self.tuning.decay.long) for _ in settings.plans]
         self.last_reservation = 0
         self.call_rate = 1.0  # how many of the calls to the counter are made, 0 to 1
         self.restarted = False  # whether this process was started later than its peers
         self.handover_fraction = 1.0  # of the buckets that is this process's while another one shares them
 
-    def account(self, now: int, customer: int, plan: int, spread: int = 0, first: int = 0) -> CustomerAccount:
+    def account(
+        self, now: int, customer_id: int, plan_index: int, spread: int = 0, first: int = 0
+    ) -> CustomerAccount:
         """Return the customer's account; `spread` is 0 when a peer asks, and no request of it came here."""
         gateways = self.settings.gateway_count
-        account = self.accounts.get(customer)
+        account = self.accounts.get(customer_id)
         if account is None:
-            figures = self.settings.plans[plan]
-            account = CustomerAccount.create(customer, figures, plan, customer % gateways, now, self.decay)
-            self._prepare(account, spread)
-            self.accounts[customer] = account
+            plan = self.settings.plans[plan_index]
+            owner = customer_id % gateways
+            account = CustomerAccount.create(customer_id, plan, plan_index, owner, now, self.tuning.decay)
+            account.reported_at = -self.tuning.report_expires_after
+            if self.uses_counter and spread:  # nothing was spent of its slices, which filled since the start
+                account.refilled_at = self.started_at
+            self._prepare(account)
+            self.accounts[customer_id] = account
         if spread >= 1 and not account.slice_count:
             self._slice(account, min(int(spread), gateways), int(first))
         return account
 
-    def _prepare(self, account: CustomerAccount, spread: int) -> None:
+    def _prepare(self, account: CustomerAccount) -> None:
         """Adapt a new account to the way of holding quotas."""
 
     def _slice(self, account: CustomerAccount, count: int, first: int) -> None:
-        """Slice the quota evenly among `count` gateways from position `first` on."""
+        """Slice the quota evenly among `count` gateways from position `first` on.
+
+        All slices together start with the whole on average; a ceiling's with its slack alone, as a restarted
+        gateway can't know that it is one.
+        """
         account.rank = (self.settings.position - first) % self.settings.gateway_count
         account.slice_count = count + (account.rank >= count)
-
-    def other_members(self, first: int, count: int) -> tuple[int, ...]:
-        """Return the positions of `count` gateways from `first` on, without this one."""
-        members = [(first + i) % self.settings.gateway_count for i in range(count)]
-        return tuple(member for member in members if member != self.settings.position)
+        tokens = account.plan.burst / account.slice_count
+        largest = self.settings.largest_request_units
+        chance = tokens / max(largest, 1e-9)
+        account.local_tokens = tokens if chance >= 1.0 else largest * (self.rng.random() < chance)
+        slack = account.plan.ceiling_slack * self.sliced_ceiling_fraction
+        account.ceiling_tokens += slack / account.slice_count
+
+    def _is_owner(self, account: CustomerAccount) -> bool:
+        """Return whether the bucket kept here is the customer's whole one."""
+        return self.uses_gossip or account.slice_count == 1
+
+    def quota_share(self, now: int, account: CustomerAccount) -> float:
+        """Return the fraction of the quota that counts as this gateway's, 1 while reports are fresh."""
+        return 1.0 if self._is_owner(account) else self.fresh_share(now, account, [account.reported_at])
+
+    def fresh_share(self, now: int, account: CustomerAccount, reports: list[int]) -> float:
+        """Return the even slice, and of the others' as much as the times of the reports are fresh."""
+        expires_after = self.tuning.report_expires_after
+        span = expires_after - self.tuning.report_fresh_for
+        freshness = [min(1.0, max(0.0, (expires_after - now + at) / span)) for at in reports]
+        return (1.0 + sum(freshness) / len(reports) * (account.slices - 1)) / account.slices
 
     def refill(self, now: int, account: CustomerAccount) -> None:
         """Refill the customer's buckets up to `now`; call it before any decision on the customer."""
@@ -77,18 +112,17 @@
         account.refilled_at = now
         even = self.handover_fraction / account.slice_count if account.slice_count else 0.0
         if elapsed_s:
-            account.tokens = self._bucket(now, account).refilled(account.tokens, elapsed_s)
-        account.local_tokens = self._local_bucket(now, account, even).refilled(
-            account.local_tokens, elapsed_s
+            account.tokens = self._bucket(account).refilled(account.tokens, elapsed_s)
+        account.local_tokens = self._local_bucket(account, even).refilled(account.local_tokens, elapsed_s)
+        account.ceiling_tokens = self._ceiling_bucket(account, even).refilled(
+            account.ceiling_tokens, elapsed_s
         )
-        ceiling = self._ceiling_bucket(now, account, even)
-        account.ceiling_tokens = ceiling.refilled(account.ceiling_tokens, elapsed_s)
         self._refill_unreported(now, account, elapsed_s)
 
-    def _bucket(self, now: int, account: CustomerAccount) -> TokenBucket:
+    def _bucket(self, account: CustomerAccount) -> TokenBucket:
         return TokenBucket(account.plan.rate, account.plan.burst)
 
-    def _local_bucket(self, now: int, account: CustomerAccount, even: float) -> TokenBucket:
+    def _local_bucket(self, account: CustomerAccount, even: float) -> TokenBucket:
         return self.local_bucket(account, even, even)
 
     def local_bucket(self, account: CustomerAccount, share: float, saved: float) -> TokenBucket:
@@ -96,7 +130,7 @@
         capacity = max(account.plan.burst * saved, self.settings.largest_request_units)
         return TokenBucket(account.plan.rate * share, capacity)
 
-    def _ceiling_bucket(self, now: int, account: CustomerAccount, even: float) -> TokenBucket:
+    def _ceiling_bucket(self, account: CustomerAccount, even: float) -> TokenBucket:
         return TokenBucket(account.plan.ceiling_rate, account.plan.ceiling_burst).scaled(even)
 
     def _refill_unreported(self, now: int, account: CustomerAccount, elapsed_s: float) -> None:
@@ -107,100 +141,43 @@
         account.usage_reported_at = now
         account.reported_usage = percent / 100
         account.usage.add(now, percent / 100, account.plan.rate * self.settings.usage_period / SECOND)
+        granted = 0.5 + (1.01 - (percent + 1) / 100) / self.tuning.usage_grant_span
+        account.grant_ratio.add(now, min(1.0, max(0.0, granted)))
 
     def record_report(self, now: int, account: CustomerAccount, tokens: float, granted: bool) -> None:
         """Take over a bucket's state as its owner or the counter reported it."""
         account.record_report(now, tokens, granted)
         self.plan_grant_ratio[account.plan_index].add(now, float(granted))
 
+    def decide(
+        self, now: int, account: CustomerAccount, units: float, deadline: int, congested: bool
+    ) -> QuotaDecision:
+        """Charge a request to its customer's quota; nothing is reported of it before it was sent."""
+        return self._decide(now, Charge(account, units, deadline, account.excess_pays and not congested))
+
+    def _decide(self, now: int, charge: Charge) -> QuotaDecision:
+        raise NotImplementedError
+
     def next_reservation(self) -> int:
         """Return the number of a new reservation, of 32 bits."""
         self.last_reservation = self.last_reservation + 1 & 0xFFFFFFFF
         return self.last_reservation
 
-    def report_consumed(self, now: int, account: CustomerAccount, units: float) -> Action:
-        """Report units whose request was sent; called only where the decision asked for it."""
+    def _ask(self, now: int, account: CustomerAccount, units: float, reservation: int) -> Action:
+        """Return the message or call that asks for units; with reservation 0 it only reports them."""
         raise NotImplementedError
 
-    def release(self, now: int, account: CustomerAccount) -> list[Action]:
-        """Give back the in-flight slot of a request that has no attempt in flight any more."""
-        return []
-
-    def resend_releases(self, now: int, accounts: Iterable[CustomerAccount]) -> list[Action]:
-        """Report again slots that are still counted though nobody holds them."""
-        return []
-
-    def call_counter(
-        self,
-        now: int,
-        account: CustomerAccount,
-        amount: float,
-        reservation: int = 0,
-        correction: bool = False,
-    ) -> Action:
-        """Return a call that adds an amount, and what was not reported before, to the customer's counter."""
-        key = counter_key(account.customer_id, now // COUNTER_KEY_LIFETIME)
-        call = account.take_unsent(amount, reservation, correction)
-        self.pending_calls.push(key, call)
-        return AddToCounter(key, COUNTER_KEY_LIFETIME, call.total)
-
-    def on_counter_reply(self, now: int, event: CounterReplied) -> QuotaReply:
-        """Take in a reply of the counter."""
-        return QuotaReply()
+    def report_consumed(self, now: int, account: CustomerAccount, units: float) -> Action:
+        """Report units whose request was sent; called only where the decision asked for it."""
+        self.next_reservation()
+        return self._ask(now, account, units, 0)
 
     def gossip(self, now: int) -> list[Action]:
         """Return the message to all peers, where one is due."""
-        return []
-
-    def on_peer_message(self, now: int, event: PeerMessage) -> QuotaReply:
-        """Take in a message of a peer."""
-        return QuotaReply()
-
-    def age_tenths(self, now: int) -> int:
-        """Return the tenths of a second for which this process has been running."""
-        return (now - self.started_at) * 10 // SECOND
-
-    def totals_message(self, now: int, accounts: Iterable[CustomerAccount]) -> Action:
-        """Return a message to all peers with the accounts' running totals."""
-        totals = [account.total() for account in accounts]
-        return SendPeerMessage(None, encode_totals(self.incarnation, self.age_tenths(now), totals))
-
-    def reservation_message(
-        self, now: int, to: int, account: CustomerAccount, kind: ReservationKind, units: float, tag: int
-    ) -> Action:
-        """Return a message between a gateway and the owner of the customer's bucket."""
-        age = self.age_tenths(now)
-        message = Reservation(kind, account.customer_id, account.plan_index, units, tag, age)
-        return SendPeerMessage(to, encode_reservation(message))
-
-    def is_reordered(self, sender: int, message: GossipMessage, window_tenths: int) -> bool:
-        """Return whether a newer message of the same process came first, by at most `window_tenths`."""
-        last = self.peers.get(sender)
-        if last is None or last.incarnation != message.incarnation:
-            return False
-        return 0 < last.age_tenths - message.sender_age <= window_tenths
-
-    def note_peer(self, now: int, sender: int, message: GossipMessage) -> bool:
-        """Record a peer's message, and return whether its totals continue those that are known."""
-        last = self.peers.get(sender)
-        self.peers[sender] = PeerStatus(message.incarnation, now, message.sender_age)
-        if last is not None and last.incarnation == message.incarnation:
-            return True
-        for account in self.accounts.values():
-            account.peer_totals.pop(sender, None)
-        return False
-
-    def note_age(self, now: int, age_tenths: int, margin: int) -> bool:
-        """Return whether a peer is older by more than `margin`, which shows that this gateway was restarted.
-
-        What was spent before the restart isn't known: each bucket then holds what was likely left.
-        """
-        older = age_tenths * SECOND // 10 > now - self.started_at + margin
-        if older and not self.restarted:
-            self.restarted = True
-            for account in self.accounts.values():
-                account.tokens = min(account.tokens, self._restart_tokens(account))
-        return older
-
-    def _restart_tokens(self, account: CustomerAccount) -> float:
-        return account.plan.burst / account.slices
+        if now - self.gossiped_at < self.gossip_interval:
+            return []
+        self.gossiped_at = now
+        return [self._totals_message(now)]
+
+    def _totals_message(self, now: int) -> Action:
+        raise NotImplementedError
--- a/qos_gateway/state/token_bucket.py
+++ b/qos_gateway/state/token_bucket.py
@@ -28,6 +28,17 @@
     return TokenBucket(max(0.0, plan.ceiling_rate - plan.rate), max(0.0, plan.ceiling_burst - plan.burst))
 
 
+def whole_slice(
+    bucket: TokenBucket, even: float, total: float, largest: float, rank: int, slices: int
+) -> TokenBucket:
+    """Return the slice of the `rank`-th of so many gateways, `even` of the bucket if that can hold a request.
+
+    Else as many whole slices as can share `total` of the bucket, with the first gateways.
+    """
+    whole = int(bucket.capacity / largest)
+    return bucket.scaled(even if whole >= slices else total * (rank < whole) / max(1, whole))
+
+
 def leased_ceiling(plan: Plan, share: float, even: float) -> TokenBucket:
     """Return a slice of the ceiling: `share` of the quota, and `even` of what the ceiling has beyond it."""
     rate = plan.rate * share + (plan.ceiling_rate - plan.rate) * even
--- a/tests/decisions/test_many_gateways.py
+++ b/tests/decisions/test_many_gateways.py
@@ -339,7 +339,7 @@
         g.handle(0, full_list(*(backend(i) for i in range(1, 9))))
         seen = 0
 
-        def note(frame: object, what: str, arg: object) -> None:
+        def note(_frame: object, what: str, _arg: object) -> None:
             nonlocal seen
             seen += what in ("call", "c_call")
 
