--- a/qos_gateway/decisions/quota/base.py
+++ b/qos_gateway/decisions/quota/base.py
@@ -16,11 +16,11 @@
     decay=DecayTimes(SHORT_MEMORY, LONG_MEMORY, 3 * LONG_MEMORY),
     report_fresh_for=1 * SECOND,  # in the order of latency objectives
     report_expires_after=3 * SECOND,  # then the slices of silent gateways are theirs again
-    usage_grant_span=0.5,  # around all used: from surely granted to surely denied
     gossip_repeats=3,  # any message may get lost
     restart_margin=1 * SECOND,  # a fleet that starts together is no restart
     max_reordering_tenths=50,  # more of them come from a peer that restarted
 )
+USAGE_GRANT_SPAN = 0.5  # of a quota, around all used: from surely granted to surely denied
 MIN_RESERVATION_TIME = 4 * TICK  # ns to the deadline: with less a request can't wait for a reply
 UNCOUNTED_SLOT_PROBABILITY = 0.4  # that a slot is free where even slices of an in-flight limit are under one
 PLAN_PRIOR_WEIGHT = 0.1  # samples of no grant: a plan's first reports already say more
@@ -67,6 +67,9 @@
         fits *= UNCOUNTED_SLOT_PROBABILITY if self._in_flight_slot(account) else 1.0
         return account.grant_ratio.mean_with_prior(now, plan_ratio, CUSTOMER_PRIOR_WEIGHT) * fits
 
+    def _usage_grant(self, percent: int) -> float:
+        return min(1.0, max(0.0, 0.5 + (1.01 - (percent + 1) / 100) / USAGE_GRANT_SPAN))
+
     def _reserve(self, now: int, charge: Charge) -> QuotaDecision:
         """Ask for the units, and hold the request where its deadline leaves time for the reply."""
         if charge.may_exceed and not charge.account.plan.ceiling_rate:
--- a/qos_gateway/state/quota_base.py
+++ b/qos_gateway/state/quota_base.py
@@ -23,7 +23,6 @@
     decay: DecayTimes
     report_fresh_for: int  # age up to which a report of usage elsewhere counts in full ...
     report_expires_after: int  # ... and from which on it does not count at all
-    usage_grant_span: float  # of a quota, around all used, over which grants go from certain to none
     gossip_repeats: int  # messages in which a changed total is repeated
     restart_margin: int  # by which an older peer shows that this process was restarted
     max_reordering_tenths: int  # tenths of a second by which a newer message may overtake one on its way
@@ -141,8 +140,11 @@
         account.usage_reported_at = now
         account.reported_usage = percent / 100
         account.usage.add(now, percent / 100, account.plan.rate * self.settings.usage_period / SECOND)
-        granted = 0.5 + (1.01 - (percent + 1) / 100) / self.tuning.usage_grant_span
-        account.grant_ratio.add(now, min(1.0, max(0.0, granted)))
+        account.grant_ratio.add(now, self._usage_grant(percent))
+
+    def _usage_grant(self, percent: int) -> float:
+        """Return the grant, 0 to 1, for which a report of usage stands."""
+        raise NotImplementedError
 
     def record_report(self, now: int, account: CustomerAccount, tokens: float, granted: bool) -> None:
         """Take over a bucket's state as its owner or the counter reported it."""
