--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -37,7 +37,7 @@
 
 
 @dataclass
-class Set:
+class CustomerGateways:
     """The gateways of one customer, and the counter; `ways`: what becomes of the calls, in turn."""
 
     ways: list[str] = field(default_factory=list)
@@ -104,67 +104,69 @@
     ways: list[str], seed: int, skew: int, per_s: int
 ) -> None:
     """A claim without an answer makes way for an even slice, of which only the floor is anybody else's."""
-    front = Set([*ways])
+    customer = CustomerGateways([*ways])
     for at in range(0, 12, 3):
-        front.press(at, 3.0, per_s, random.Random(seed + at), skew)
-        term = [made.quota.accounts[1] for made in front.gateways if 1 in made.quota.accounts]
+        customer.press(at, 3.0, per_s, random.Random(seed + at), skew)
+        term = [made.quota.accounts[1] for made in customer.gateways if 1 in made.quota.accounts]
         now = (at + 3) * SECOND
-        slices = sum(share == 1 / SET for share in front.shares(now))
+        slices = sum(share == 1 / SET for share in customer.shares(now))
         assert (
-            sum(front.shares(now))
+            sum(customer.shares(now))
             <= EVEN_FRACTION + LEASED_FRACTION + slices * (1 - EVEN_FRACTION) / SET + 1e-6
         )
         assert len(term) <= SET
-    assert front.waited == 0
+    assert customer.waited == 0
 
 
-def test_pool_goes_to_where_the_requests_come_and_no_request_waits() -> None:
-    front = Set()
-    front.press(0.0, 10.0, 9, random.Random(1), 2)  # nine tenths of the quota, more than half at two of ten
-    sent = front.press(10.0, 20.0, 9, random.Random(2), 2)
+def test_leases_go_to_where_the_requests_come_and_no_request_waits() -> None:
+    customer = CustomerGateways()
+    customer.press(
+        0.0, 10.0, 9, random.Random(1), 2
+    )  # nine tenths of the quota, more than half at two of ten
+    sent = customer.press(10.0, 20.0, 9, random.Random(2), 2)
     assert sent >= 0.85 * 180
-    assert front.waited == 0
-    busy = sorted(front.shares(30 * SECOND), reverse=True)
+    assert customer.waited == 0
+    busy = sorted(customer.shares(30 * SECOND), reverse=True)
     assert sum(busy[:2]) >= 0.5
-    assert front.calls <= 0.2 * 270
+    assert customer.calls <= 0.2 * 270
 
 
 def test_customer_far_beyond_its_quota_gets_it_and_little_more() -> None:
-    front = Set()
-    front.press(0.0, 20.0, 50, random.Random(1))
-    sent = front.press(20.0, 20.0, 50, random.Random(2))
+    customer = CustomerGateways()
+    customer.press(0.0, 20.0, 50, random.Random(1))
+    sent = customer.press(20.0, 20.0, 50, random.Random(2))
     assert 0.9 * 200 <= sent <= 1.15 * 200
 
 
-def test_quiet_customers_floors_need_hardly_a_call() -> None:
-    front = Set()
-    assert front.press(0.0, 40.0, 3, random.Random(1)) == 120
-    assert front.calls <= 2
+def test_light_customers_even_slices_need_hardly_a_call() -> None:
+    customer = CustomerGateways()
+    assert customer.press(0.0, 40.0, 3, random.Random(1)) == 120
+    assert customer.calls <= 2
 
 
 def test_lease_is_claimed_ahead_and_each_gateway_at_a_time_of_its_own() -> None:
-    front, rng = Set(), random.Random(1)
-    front.press(0.0, 30.0, 9, rng, 2)
-    leases = front.gateways[0].quota.leases
+    customer, rng = CustomerGateways(), random.Random(1)
+    customer.press(0.0, 30.0, 9, rng, 2)
+    leases = customer.gateways[0].quota.leases
     assert leases is not None
-    current = leases.term(30 * SECOND, front.gateways[0].quota.accounts[1])
+    current = leases.term(30 * SECOND, customer.gateways[0].quota.accounts[1])
     term = current.number
     change = (30 * SECOND + current.remaining) / SECOND
-    front.press(30.0, change - 30.0, 9, rng, 2)
+    customer.press(30.0, change - 30.0, 9, rng, 2)
     now = int(change * SECOND)
-    accounts = [made.quota.accounts[1] for made in front.gateways if 1 in made.quota.accounts]
+    accounts = [made.quota.accounts[1] for made in customer.gateways if 1 in made.quota.accounts]
     ahead = [a for a in accounts if a.lease_fractions.get(term, 0.0) > 0.0]
     assert len(ahead) >= 2
     assert sum(term + 1 in a.lease_fractions for a in ahead) >= 0.5 * len(ahead)
-    before, after = front.shares(now - 1), front.shares(now + 1)
+    before, after = customer.shares(now - 1), customer.shares(now + 1)
     assert sum(after) >= 0.75 * sum(before)
-    assert front.press(change, 10.0, 9, rng, 2) >= 0.85 * 90
+    assert customer.press(change, 10.0, 9, rng, 2) >= 0.85 * 90
 
 
-def test_names_life_outlasts_lead_and_term() -> None:
-    front = Set()
-    front.press(0.0, 5.0, 30, random.Random(1))
-    made = front.gateways[0]
+def test_key_lifetime_outlasts_lead_and_term() -> None:
+    customer = CustomerGateways()
+    customer.press(0.0, 5.0, 30, random.Random(1))
+    made = customer.gateways[0]
     leases, account = made.quota.leases, made.quota.accounts[1]
     assert leases is not None
     account.next_claim_at, account.local_tokens = 0, 0.0
@@ -176,23 +178,23 @@
 
 
 def test_restarted_gateway_claims_what_is_left_and_has_its_floor() -> None:
-    front, rng = Set(), random.Random(1)
-    front.press(0.0, 10.0, 50, rng)
-    total = sum(front.shares(10 * SECOND))
-    front.gateways[3] = gateway(3, 10 * SECOND, 99)
-    front.press(10.0, 5.0, 50, rng)
-    shares = front.shares(15 * SECOND)
+    customer, rng = CustomerGateways(), random.Random(1)
+    customer.press(0.0, 10.0, 50, rng)
+    total = sum(customer.shares(10 * SECOND))
+    customer.gateways[3] = gateway(3, 10 * SECOND, 99)
+    customer.press(10.0, 5.0, 50, rng)
+    shares = customer.shares(15 * SECOND)
     assert shares[3] >= EVEN_FRACTION / SET
     assert sum(shares) <= total + 1e-6
     # The next term counts it like any other.
-    front.press(15.0, 2 * TERM / SECOND, 50, rng)
-    assert sum(front.shares(115 * SECOND)) == pytest.approx(EVEN_FRACTION + LEASED_FRACTION, abs=0.2)
+    customer.press(15.0, 2 * TERM / SECOND, 50, rng)
+    assert sum(customer.shares(115 * SECOND)) == pytest.approx(EVEN_FRACTION + LEASED_FRACTION, abs=0.2)
 
 
 def test_leases_are_handed_over_and_both_processes_have_no_more_than_one_had() -> None:
-    front = Set()
-    front.press(0.0, 10.0, 9, random.Random(1), 2)
-    old, new = front.gateways[0], gateway(0, 10 * SECOND, 99)
+    customer = CustomerGateways()
+    customer.press(0.0, 10.0, 9, random.Random(1), 2)
+    old, new = customer.gateways[0], gateway(0, 10 * SECOND, 99)
     before = old.quota.accounts[1].lease_fractions
     heritage.restore(
         new, 10 * SECOND, json.loads(json.dumps(heritage.capture(old, 10 * SECOND))), old.settings
@@ -206,40 +208,40 @@
 
 
 def test_counter_out_of_reach_for_an_hour_leaves_even_slices_few_calls_and_leases_at_its_return() -> None:
-    front, rng = Set(), random.Random(1)
-    front.press(0.0, 10.0, 30, rng)
-    front.ways = ["refused"] * 100_000
-    front.press(10.0, 60.0, 30, rng)
-    assert sum(front.shares(70 * SECOND)) <= 1.0 + 1e-6
-    calls = front.calls
-    sent = front.press(3550.0, 60.0, 30, rng)
+    customer, rng = CustomerGateways(), random.Random(1)
+    customer.press(0.0, 10.0, 30, rng)
+    customer.ways = ["refused"] * 100_000
+    customer.press(10.0, 60.0, 30, rng)
+    assert sum(customer.shares(70 * SECOND)) <= 1.0 + 1e-6
+    calls = customer.calls
+    sent = customer.press(3550.0, 60.0, 30, rng)
     assert 0.85 * 600 <= sent <= 600 + MAX_SAVED_FRACTION * PLAN.burst
-    assert front.calls - calls <= 2 * SET * 60 / 2.5
-    front.ways = []
-    front.press(3610.0, 60.0, 30, rng)
-    assert max(front.shares(3670 * SECOND)) > 1 / SET
+    assert customer.calls - calls <= 2 * SET * 60 / 2.5
+    customer.ways = []
+    customer.press(3610.0, 60.0, 30, rng)
+    assert max(customer.shares(3670 * SECOND)) > 1 / SET
 
 
 def test_counter_that_comes_back_empty_gives_the_pool_once_more_and_only_for_that_term() -> None:
-    front, rng = Set(), random.Random(1)
-    front.press(0.0, 10.0, 50, rng)
-    front.ways = ["empty"]
-    for made in front.gateways:
+    customer, rng = CustomerGateways(), random.Random(1)
+    customer.press(0.0, 10.0, 50, rng)
+    customer.ways = ["empty"]
+    for made in customer.gateways:
         made.quota.accounts[1].next_claim_at = 0  # as if all had run short anew
-    front.press(10.0, 10.0, 50, rng)
-    assert sum(front.shares(20 * SECOND)) <= EVEN_FRACTION + 2 * LEASED_FRACTION + 1e-6
-    front.press(20.0, 2 * TERM / SECOND, 50, rng)
-    assert sum(front.shares(120 * SECOND)) <= EVEN_FRACTION + LEASED_FRACTION + 1e-6
+    customer.press(10.0, 10.0, 50, rng)
+    assert sum(customer.shares(20 * SECOND)) <= EVEN_FRACTION + 2 * LEASED_FRACTION + 1e-6
+    customer.press(20.0, 2 * TERM / SECOND, 50, rng)
+    assert sum(customer.shares(120 * SECOND)) <= EVEN_FRACTION + LEASED_FRACTION + 1e-6
 
 
-def test_region_that_is_cut_off_serves_by_even_slices() -> None:
-    front, rng = Set(), random.Random(1)
+def test_partitioned_region_serves_by_even_slices() -> None:
+    customer, rng = CustomerGateways(), random.Random(1)
     for second in range(100):
         for i in range(50):
             position = rng.randrange(SET)
-            front.ways = ["late"] if position >= SET // 2 else []
-            front.ask(second * SECOND + i * 20 * MS, position)
-    shares = front.shares(100 * SECOND)
+            customer.ways = ["late"] if position >= SET // 2 else []
+            customer.ask(second * SECOND + i * 20 * MS, position)
+    shares = customer.shares(100 * SECOND)
     assert sum(shares[: SET // 2]) <= EVEN_FRACTION / 2 + LEASED_FRACTION + 1e-6
     assert sum(shares[SET // 2 :]) <= 0.5 + 1e-6  # 1.35 times the quota in all, and no less than its half
 
--- a/tests/decisions/test_many_gateways.py
+++ b/tests/decisions/test_many_gateways.py
@@ -37,7 +37,7 @@
 MANY = 200
 
 
-class Front:
+class Fleet:
     """Many gateways with mail and a counter between them; both may lose, and gateways may die."""
 
     def __init__(self, seed: int = 1, **changes: Any) -> None:
@@ -45,7 +45,7 @@
         self.rng = random.Random(seed)
         self.numbers: dict[int, float] = {}
         self.sent: list[tuple[int, Send]] = []
-        self.refused = 0
+        self.rejected = 0
         self.loss = 0.0
         self.counter_ok = True
         self.backends = [backend(i) for i in range(1, 9)]
@@ -64,7 +64,7 @@
             if isinstance(action, Send):
                 self.sent.append((now, action))
             elif isinstance(action, Reject | Fail):
-                self.refused += 1
+                self.rejected += 1
             elif (
                 isinstance(action, SendPeerMessage)
                 and action.recipient is not None
@@ -97,58 +97,60 @@
 
 
 def test_quota_holds_over_all_gateways() -> None:
-    front = Front()
-    front.flood(20.0, 100)
-    assert 0.85 * 220 <= len(front.sent) <= 1.1 * 220
+    fleet = Fleet()
+    fleet.flood(20.0, 100)
+    assert 0.85 * 220 <= len(fleet.sent) <= 1.1 * 220
 
 
-def test_quota_is_neither_all_nor_nothing_with_mail_lost() -> None:
-    front = Front()
-    front.loss = 0.3
-    front.flood(20.0, 100)
-    assert 0.7 * 220 <= len(front.sent) <= 4 * 220
+def test_quota_is_neither_all_nor_nothing_with_messages_dropped() -> None:
+    fleet = Fleet()
+    fleet.loss = 0.3
+    fleet.flood(20.0, 100)
+    assert 0.7 * 220 <= len(fleet.sent) <= 4 * 220
 
 
 def test_alone_for_long_all_gateways_stay_within_the_quota() -> None:
-    front = Front()
-    front.loss = 1.0
-    front.flood(20.0, 100)
-    assert 0 < len(front.sent) <= 1.5 * 220
+    fleet = Fleet()
+    fleet.loss = 1.0
+    fleet.flood(20.0, 100)
+    assert 0 < len(fleet.sent) <= 1.5 * 220
 
 
 def test_counter_holds_the_quota_over_all_gateways() -> None:
-    front = Front(may_message=False, has_counter=True)
-    front.flood(20.0, 100, start=5 * SECOND)
-    assert 0.85 * 220 <= len(front.sent) <= 1.1 * 220
+    fleet = Fleet(may_message=False, has_counter=True)
+    fleet.flood(20.0, 100, start=5 * SECOND)
+    assert 0.85 * 220 <= len(fleet.sent) <= 1.1 * 220
 
 
-def test_store_of_a_busy_customer_is_not_full_anew_where_the_counters_names_change() -> None:
+def test_bucket_of_a_busy_customer_is_not_full_again_where_the_counters_keys_change() -> None:
     """Each name lives for a minute, and a store that is empty stays so over the change."""
-    front = Front(may_message=False, has_counter=True, gateway_count=20)
-    front.flood(8.0, 100, start=56 * SECOND)
-    assert 0.85 * 100 <= len(front.sent) <= 1.1 * 100
+    fleet = Fleet(may_message=False, has_counter=True, gateway_count=20)
+    fleet.flood(8.0, 100, start=56 * SECOND)
+    assert 0.85 * 100 <= len(fleet.sent) <= 1.1 * 100
 
 
-def test_counter_that_was_idle_is_put_right_and_gives_no_more_than_a_burst() -> None:
-    front = Front(may_message=False, has_counter=True)
-    front.flood(0.05, 20, start=5 * SECOND)
-    front.sent.clear()
-    front.flood(1.0, 500, start=35 * SECOND)
-    assert len(front.sent) <= 1.15 * 30
+def test_counter_that_was_idle_is_corrected_and_grants_no_more_than_a_burst() -> None:
+    fleet = Fleet(may_message=False, has_counter=True)
+    fleet.flood(0.05, 20, start=5 * SECOND)
+    fleet.sent.clear()
+    fleet.flood(1.0, 500, start=35 * SECOND)
+    assert len(fleet.sent) <= 1.15 * 30
 
 
-def test_silent_counter_leaves_even_slices_and_is_called_less() -> None:
-    front = Front(may_message=False, has_counter=True)
-    front.counter_ok = False
-    front.flood(20.0, 100)
-    assert 0 < len(front.sent) <= 1.5 * 220
-    assert max(g.quota.call_rate for g in front.gateways) < 1.0
+def test_unresponsive_counter_leaves_even_slices_and_is_called_less() -> None:
+    fleet = Fleet(may_message=False, has_counter=True)
+    fleet.counter_ok = False
+    fleet.flood(20.0, 100)
+    assert 0 < len(fleet.sent) <= 1.5 * 220
+    assert max(g.quota.call_rate for g in fleet.gateways) < 1.0
 
 
 @pytest.mark.parametrize(
     ("outcome", "slower"), [(Outcome.TIMEOUT, True), (Outcome.OVERLOADED, True), (Outcome.RESET, False)]
 )
-def test_answer_lost_on_one_connection_is_no_crowd_at_the_counter(outcome: Outcome, slower: bool) -> None:
+def test_reply_lost_on_one_connection_is_no_sign_of_an_overloaded_counter(
+    outcome: Outcome, slower: bool
+) -> None:
     g = DecisionEngine(settings(gateway_count=MANY, may_message=False, has_counter=True), 7, 0)
     g.handle(0, full_list(backend(1)))
     (call,) = [a for a in g.handle(MS, arrival(1, MS, gateway_spread=MANY)) if isinstance(a, AddToCounter)]
@@ -169,7 +171,7 @@
 
 
 @pytest.mark.parametrize(("used", "asked"), [(0, 1), (1, 0), (60, 0), (110, 1)])
-def test_little_use_of_a_customer_that_the_meter_calls_calm_needs_no_call(used: int, asked: int) -> None:
+def test_little_use_of_a_customer_with_light_reported_usage_needs_no_call(used: int, asked: int) -> None:
     g = counting()
     told = g.handle(MS, arrival(1, MS))
     (call,) = calls(told)
@@ -180,7 +182,7 @@
     assert len([a for a in later if isinstance(a, Send)]) == 1 - asked
 
 
-def test_customer_seen_beyond_its_even_slice_is_asked_for_though_a_late_meter_calls_it_calm() -> None:
+def test_customer_seen_beyond_its_even_slice_is_counted_though_an_old_report_finds_light_usage() -> None:
     g = counting(rate=2.0, burst=80.0)
     account = g.quota.account(0, 1, 0, 2, 0)
     for i in range(30):
@@ -191,7 +193,7 @@
     assert last
 
 
-def test_what_a_calm_customer_uses_in_a_burst_is_asked_for_and_told() -> None:
+def test_what_a_light_customer_uses_in_a_burst_is_counted_and_reported() -> None:
     g = counting(rate=10.0, burst=40.0)
     g.quota.account(0, 1, 0, 2, 0).usage_reported_at = 0
     told = [calls(g.handle(MS, arrival(i, MS))) for i in range(6)]
@@ -199,7 +201,7 @@
     assert told[5][0].amount == 6.0
 
 
-def test_customer_whose_store_cannot_hold_the_request_is_refused_without_a_call() -> None:
+def test_customer_whose_bucket_cannot_hold_the_request_is_rejected_without_a_call() -> None:
     g = counting(rate=1.0, burst=4.0)
     (call,) = calls(g.handle(MS, arrival(1, MS)))
     g.handle(2 * MS, CounterReplied(MS, Outcome.OK, call.key, call.amount + 5.0))
@@ -208,14 +210,14 @@
     assert calls(g.handle(4 * SECOND, arrival(3, 4 * SECOND)))
 
 
-def test_number_that_is_wrong_for_a_moment_shuts_nobody_out_for_long() -> None:
+def test_total_that_is_wrong_for_a_moment_shuts_nobody_out_for_long() -> None:
     g = counting(rate=1.0, burst=4.0)
     (call,) = calls(g.handle(MS, arrival(1, MS)))
     g.handle(2 * MS, CounterReplied(MS, Outcome.OK, call.key, call.amount + 50.0))
     assert calls(g.handle(2 * SECOND, arrival(2, 2 * SECOND)))
 
 
-def test_lost_answer_on_a_number_put_right_twice_is_made_good_with_the_next() -> None:
+def test_lost_reply_to_a_total_corrected_twice_is_undone_with_the_next() -> None:
     g = counting(rate=10.0, burst=20.0)
     start = 30 * SECOND  # into the name's life, so that the number lags far behind
     (call,) = calls(g.handle(start, arrival(1, start)))
@@ -235,16 +237,16 @@
 
 
 def test_open_attempts_are_limited_over_all_gateways_by_the_counter() -> None:
-    front = Front(may_message=False, has_counter=True, plans=(plan(max_in_flight=3),))
+    fleet = Fleet(may_message=False, has_counter=True, plans=(plan(max_in_flight=3),))
     for i in range(10):
-        front.give(MS * i, i, arrival(i, MS * i, gateway_spread=MANY))
-    assert len(front.sent) == 3
-    for _, send in list(front.sent):
-        front.give(SECOND, send.request_id, ended(send.request_id, send.endpoint))
-    assert all(abs(number) < IN_FLIGHT_UNIT / 2 for number in front.numbers.values())
+        fleet.give(MS * i, i, arrival(i, MS * i, gateway_spread=MANY))
+    assert len(fleet.sent) == 3
+    for _, send in list(fleet.sent):
+        fleet.give(SECOND, send.request_id, ended(send.request_id, send.endpoint))
+    assert all(abs(number) < IN_FLIGHT_UNIT / 2 for number in fleet.numbers.values())
 
 
-def test_place_held_by_a_client_that_left_is_given_back() -> None:
+def test_slot_held_by_a_client_that_left_is_released() -> None:
     g = DecisionEngine(
         settings(gateway_count=MANY, may_message=False, has_counter=True, plans=(plan(max_in_flight=3),)),
         7,
@@ -259,7 +261,7 @@
     ]
 
 
-def test_lost_release_is_told_again() -> None:
+def test_lost_release_is_sent_again() -> None:
     g = DecisionEngine(
         settings(gateway_count=MANY, may_message=False, has_counter=True, plans=(plan(max_in_flight=3),)),
         7,
@@ -278,31 +280,31 @@
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3, 1.0])
-def test_ceiling_holds_over_all_gateways_with_mail_lost_and_restarts(loss: float) -> None:
-    front = Front(plans=(CAPPED,))
-    front.loss = loss
+def test_ceiling_holds_over_all_gateways_with_messages_dropped_and_restarts(loss: float) -> None:
+    fleet = Fleet(plans=(CAPPED,))
+    fleet.loss = loss
     for second in range(10):
-        front.flood(1.0, 200, start=second * SECOND, gateway_spread=20)
-        for position in front.rng.sample(range(MANY), MANY // 4):
-            front.gateways[position] = front.start(position, second * SECOND + SECOND)
+        fleet.flood(1.0, 200, start=second * SECOND, gateway_spread=20)
+        for position in fleet.rng.sample(range(MANY), MANY // 4):
+            fleet.gateways[position] = fleet.start(position, second * SECOND + SECOND)
     store, at = CAPPED.ceiling_burst, 0
-    for now, _ in front.sent:
+    for now, _ in fleet.sent:
         store, at = min(CAPPED.ceiling_burst, store + 20.0 * (now - at) / SECOND) - 1.0, now
         assert store >= -CAPPED.ceiling_slack
-    assert front.sent
+    assert fleet.sent
 
 
-def test_home_hands_out_more_of_a_ceiling_than_even_slices_would() -> None:
-    front = Front(plans=(CAPPED,))
+def test_owner_grants_more_of_a_ceiling_than_even_slices_would() -> None:
+    fleet = Fleet(plans=(CAPPED,))
     for i in range(100):
-        before = len(front.sent)
-        front.give(i * 50 * MS, 3, arrival(i, i * 50 * MS, gateway_spread=20))
-        for _, send in front.sent[before:]:
-            front.give(i * 50 * MS, 3, ended(send.request_id, send.endpoint))
-    assert len(front.sent) >= 0.6 * 100
+        before = len(fleet.sent)
+        fleet.give(i * 50 * MS, 3, arrival(i, i * 50 * MS, gateway_spread=20))
+        for _, send in fleet.sent[before:]:
+            fleet.give(i * 50 * MS, 3, ended(send.request_id, send.endpoint))
+    assert len(fleet.sent) >= 0.6 * 100
 
 
-def test_silent_home_costs_a_short_wait_and_no_answer_is_owed() -> None:
+def test_unresponsive_owner_costs_a_short_wait_and_no_reply_is_missing() -> None:
     g = DecisionEngine(settings(gateway_count=MANY, messages_per_s=40.0), 7, 0)
     g.handle(0, full_list(backend(1)))
     asked = [a for i in range(5) for a in g.handle(MS, arrival(i, MS, customer_id=i, gateway_spread=MANY))]
@@ -314,22 +316,22 @@
 
 
 def test_cold_backend_gets_its_part_from_all_gateways_together() -> None:
-    front = Front(
+    fleet = Fleet(
         plans=(plan(rate=10000.0, burst=10000.0),), has_counter=False, may_message=False, gateway_count=MANY
     )
     cold = [backend(i) for i in range(1, 9)] + [backend(99, booted=1)]
-    for g in front.gateways:
+    for g in fleet.gateways:
         g.handle(MS, full_list(*cold))
     for i in range(4000):
         now = MS + i * 2 * MS
         position = i % MANY
-        before = len(front.sent)
-        front.give(
+        before = len(fleet.sent)
+        fleet.give(
             now, position, arrival(i, now, customer_id=position, gateway_spread=1, first_gateway=position)
         )
-        for _, send in front.sent[before:]:
-            front.give(now + MS, position, ended(send.request_id, send.endpoint))
-    part = sum(send.endpoint == 99 for _, send in front.sent) / (len(front.sent) / 9)
+        for _, send in fleet.sent[before:]:
+            fleet.give(now + MS, position, ended(send.request_id, send.endpoint))
+    part = sum(send.endpoint == 99 for _, send in fleet.sent) / (len(fleet.sent) / 9)
     assert 0.1 <= part <= 0.9  # its surest capacity rises from 0.2 to 0.5 in this time
 
 
@@ -369,7 +371,7 @@
     assert unsafe.timeout == 0
 
 
-def test_word_of_a_busy_customer_is_not_needed_to_hold_it_back() -> None:
+def test_reports_on_a_busy_customer_are_not_needed_to_limit_it() -> None:
     """Without any answer a customer seen here often goes on less often than one seen once."""
     passed = []
     for asked in (1, 20):
@@ -397,21 +399,21 @@
     assert amounts == {2.0}
 
 
-def odd_messages() -> Iterator[bytes]:
+def malformed_messages() -> Iterator[bytes]:
     yield from (b"", b"x", b"\xff" * 18, b"\x00" * 18, b"\x01" * 64)
     yield encode_reservation(Reservation(ReservationKind.RESERVE, 1, 99, 1.0, 1, 0))
     yield encode_reservation(Reservation(ReservationKind.GRANTED, 77, 0, 1.0, 12345, 0))
     yield encode_reservation(Reservation(ReservationKind.DENIED, 1, 0, -5.0, 1, 10**9))
 
 
-def test_odd_word_to_a_home_is_passed_over() -> None:
+def test_malformed_messages_to_an_owner_are_ignored() -> None:
     for position in range(3):
         g = DecisionEngine(settings(gateway_count=MANY, messages_per_s=1.0, position=position), 7, 0)
-        for data in odd_messages():
+        for data in malformed_messages():
             assert not any(isinstance(a, Send) for a in g.handle(MS, PeerMessage(5000, data)))
 
 
-def test_draws_come_back_as_they_went() -> None:
+def test_reservations_are_decoded_as_they_were_encoded() -> None:
     draw = Reservation(ReservationKind.RESERVE, 2**33 - 1, 3, 2.5, 2**32 - 1, 17)
     assert decode_reservation(encode_reservation(draw)) == draw
 
@@ -493,7 +495,7 @@
     return made
 
 
-def test_crowded_counter_is_left_alone_by_lone_requests_of_usual_customers() -> None:
+def test_overloaded_counter_is_not_called_for_single_requests_of_typical_customers() -> None:
     """Of 25 gateways' slices none holds a request: what comes once is trusted, more is not."""
     g = many_slices()
     g.quota.call_rate = 0.5
@@ -509,7 +511,9 @@
 
 
 @pytest.mark.parametrize(("used", "asked"), [(1, 0), (501, 1)])
-def test_meters_rare_word_on_a_customer_outlasts_lulls_between_its_requests(used: int, asked: int) -> None:
+def test_rare_usage_reports_on_a_customer_outlast_the_time_between_its_requests(
+    used: int, asked: int
+) -> None:
     g = many_slices()
     g.quota.call_rate = 0.5
     (sent,) = [a for a in g.handle(MS, arrival(1, MS, gateway_spread=25)) if isinstance(a, Send)]
@@ -533,7 +537,7 @@
     assert 10 <= passed <= 26 - 11 + 3
 
 
-def test_short_slice_of_a_ceiling_does_not_refuse_what_the_store_has_room_for() -> None:
+def test_empty_slice_of_a_ceiling_does_not_reject_what_the_bucket_can_hold() -> None:
     g = many_slices(39, CEILING)
     for i in range(1, 3):
         (call,) = calls(asked := g.handle(i * MS, arrival(i, i * MS, gateway_spread=40, first_gateway=0)))
--- a/tests/decisions/test_quota_over_gateways.py
+++ b/tests/decisions/test_quota_over_gateways.py
@@ -24,10 +24,10 @@
 GATEWAYS, CUSTOMERS, SECONDS = 20, 60, 30
 PLAN = plan(rate=1.0, burst=4.0, excess_cost=0.5)
 LATE = SECOND // 2  # by which the policy that it is held against sees the state
-Try = tuple[int, int, int]  # when, customer, gateway
+TimedRequest = tuple[int, int, int]  # when, customer, gateway
 
 
-class Store:
+class DelayedBucket:
     """One customer's true store, with what it held before, for a policy that sees it late."""
 
     def __init__(self) -> None:
@@ -44,20 +44,22 @@
         return inside
 
 
-def quiet_day(rng: random.Random) -> list[Try]:
+def normal_load(rng: random.Random) -> list[TimedRequest]:
     """Most customers use a part of their quota, some nearly all, a few far more; each by some gateways."""
-    tries: list[Try] = []
+    requests: list[TimedRequest] = []
     for customer in range(CUSTOMERS):
         draw = rng.random()
         use = rng.uniform(0.15, 0.5) if draw < 0.72 else rng.uniform(0.85, 1.0) if draw < 0.9 else 5.0
         now = 0.0
         while (now := now + rng.expovariate(use * PLAN.rate)) < SECONDS:
-            tries.append((int(now * SECOND), customer, (customer + rng.randrange(GATEWAYS // 2)) % GATEWAYS))
-    return sorted(tries)
+            requests.append(
+                (int(now * SECOND), customer, (customer + rng.randrange(GATEWAYS // 2)) % GATEWAYS)
+            )
+    return sorted(requests)
 
 
-def sent_on(tries: list[Try], calls_per_s: int) -> list[tuple[int, int]]:
-    """When the fleet sent which customer's tries on, with a counter that serves so many calls a second."""
+def sent_on(requests: list[TimedRequest], calls_per_s: int) -> list[tuple[int, int]]:
+    """When the fleet sent which customer's requests on, with a counter that serves so many calls a second."""
     made = settings(gateway_count=GATEWAYS, may_message=False, has_counter=True, plans=(PLAN,))
     fleet = [DecisionEngine(made, position + 7, 0) for position in range(GATEWAYS)]
     numbers, events = dict[int, float](), list[tuple[int, int, int, Event]]()
@@ -65,7 +67,7 @@
     for position in range(GATEWAYS):
         listed = full_list(*map(backend, range(1, 9)), kind=ListKind.CACHED)
         heappush(events, (0, next(order), position, listed))
-    for number, (now, customer, position) in enumerate(tries):
+    for number, (now, customer, position) in enumerate(requests):
         a = arrival(
             number, now, customer_id=customer, gateway_spread=GATEWAYS // 2, first_gateway=customer % GATEWAYS
         )
@@ -75,7 +77,7 @@
         for action in fleet[position].handle(now, event):
             match action:
                 case Send(request, server):
-                    sent.append((now, tries[request][1]))
+                    sent.append((now, requests[request][1]))
                     heappush(events, (now + 100 * MS, next(order), position, ended(request, server)))
                 case SetTimer(after, token):
                     heappush(events, (now + after, next(order), position, TimerFired(token)))
@@ -91,21 +93,21 @@
     return sent
 
 
-def within(tries: list[Try]) -> int:
+def within(requests: list[TimedRequest]) -> int:
     """Tries that one gateway which saw them all would let in."""
-    stores = [Store() for _ in range(CUSTOMERS)]
-    return sum(stores[customer].take(now) for now, customer, _ in tries)
+    stores = [DelayedBucket() for _ in range(CUSTOMERS)]
+    return sum(stores[customer].take(now) for now, customer, _ in requests)
 
 
-def price(sent: list[tuple[int, int]], tries: list[Try]) -> float:
-    """What the tries sent on beyond their quota take off the result."""
-    stores = [Store() for _ in range(CUSTOMERS)]
-    return PLAN.excess_cost * sum(not stores[customer].take(now) for now, customer in sent) / within(tries)
+def price(sent: list[tuple[int, int]], requests: list[TimedRequest]) -> float:
+    """What the requests sent on beyond their quota take off the result."""
+    stores = [DelayedBucket() for _ in range(CUSTOMERS)]
+    return PLAN.excess_cost * sum(not stores[customer].take(now) for now, customer in sent) / within(requests)
 
 
-def late_policy(tries: list[Try]) -> list[tuple[int, int]]:
-    stores, sent = [Store() for _ in range(CUSTOMERS)], list[tuple[int, int]]()
-    for now, customer, _ in tries:
+def late_policy(requests: list[TimedRequest]) -> list[tuple[int, int]]:
+    stores, sent = [DelayedBucket() for _ in range(CUSTOMERS)], list[tuple[int, int]]()
+    for now, customer, _ in requests:
         if stores[customer].level(max(0, now - LATE)) >= 1.0:
             stores[customer].take(now)
             sent.append((now, customer))
@@ -114,18 +116,18 @@
 
 @pytest.mark.parametrize("calls_per_s", [10_000, 15])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_what_passes_beyond_quotas_on_a_quiet_day_costs_little_more_than_with_late_sight(
+def test_what_passes_beyond_quotas_under_normal_load_costs_little_more_than_with_late_reports(
     seed: int, calls_per_s: int
 ) -> None:
-    tries = quiet_day(random.Random(seed))
-    sent, late = sent_on(tries, calls_per_s), late_policy(tries)
-    assert price(sent, tries) <= price(late, tries) + 0.1
-    assert len(sent) >= 0.85 * within(tries)  # nor by refusing what has room
+    requests = normal_load(random.Random(seed))
+    sent, late = sent_on(requests, calls_per_s), late_policy(requests)
+    assert price(sent, requests) <= price(late, requests) + 0.1
+    assert len(sent) >= 0.85 * within(requests)  # nor by refusing what has room
 
 
 def test_gateways_that_each_grant_the_whole_quota_would_cost_more() -> None:
     """The bound above can be missed."""
-    tries = quiet_day(random.Random(1))
-    alone = [[Store() for _ in range(CUSTOMERS)] for _ in range(GATEWAYS)]
-    sent = [(now, customer) for now, customer, position in tries if alone[position][customer].take(now)]
-    assert price(sent, tries) > price(late_policy(tries), tries) + 0.1
+    requests = normal_load(random.Random(1))
+    alone = [[DelayedBucket() for _ in range(CUSTOMERS)] for _ in range(GATEWAYS)]
+    sent = [(now, customer) for now, customer, position in requests if alone[position][customer].take(now)]
+    assert price(sent, requests) > price(late_policy(requests), requests) + 0.1
