--- a/qos_gateway/decisions/engine.py
+++ b/qos_gateway/decisions/engine.py
@@ -441,14 +441,14 @@
     def _silent_zones(self, now: int) -> list[Action]:
         """What is out at a zone that fell silent goes elsewhere where its class allows."""
         actions: list[Action] = []
-        for zone, stuck, backends in self.load_balancer.detect_unresponsive_zones(
-            now, self.requests.values()
-        ):
-            actions.append(LogLine(f"zone {zone} silent: {len(stuck)} attempts without an answer"))
-            actions += [CloseIdleConnections(backend) for backend in backends]
+        for found in self.load_balancer.detect_unresponsive_zones(now, self.requests.values()):
+            actions.append(
+                LogLine(f"zone {found.zone} silent: {len(found.requests)} attempts without an answer")
+            )
+            actions += [CloseIdleConnections(endpoint_id) for endpoint_id in found.endpoints]
             safe = (
                 r
-                for r in stuck
+                for r in found.requests
                 if self.settings.classes[r.arrival.class_index].idempotence is Idempotence.IDEMPOTENT
             )
             actions += [action for r in safe for action in self._call_off(r)]
--- /dev/null
+++ b/qos_gateway/state/zone.py
@@ -0,0 +1,54 @@
+"""Responses from the zones as this gateway observes them."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from .request import RequestState
+
+
+@dataclass(slots=True)
+class ZoneState:
+    """Responses from one zone; times are in ns."""
+
+    last_response_at: int = 0
+    unresponsive_since: int = -1  # when it was last found unresponsive: -1 is before any attempt
+
+
+@dataclass(frozen=True, slots=True)
+class UnresponsiveZone:
+    """A zone that has just been found unresponsive."""
+
+    zone: int
+    requests: list[RequestState]  # requests that wait for a response from there
+    endpoints: list[int]  # ids of its endpoints in service, all ejected
+
+
+class ZoneTable:
+    """Responses from all zones."""
+
+    def __init__(self) -> None:
+        self._zones: dict[int, ZoneState] = {}
+
+    def record_response(self, now: int, zone: int) -> None:
+        """Record that some endpoint of a zone responded."""
+        self._zones.setdefault(zone, ZoneState()).last_response_at = now
+
+    def record_unresponsive(self, now: int, zone: int) -> None:
+        """Record that a zone was found unresponsive."""
+        self._zones.setdefault(zone, ZoneState()).unresponsive_since = now
+
+    def was_unresponsive_after(self, zone: int, sent_at: int) -> bool:
+        """Return whether a zone was found unresponsive at `sent_at` or later."""
+        state = self._zones.get(zone)
+        return state is not None and sent_at <= state.unresponsive_since
+
+    def only_others_responded(self, zone: int, since: int) -> bool:
+        """Return whether another zone responded after `since`, and this one not.
+
+        A zone that was found unresponsive after `since` does not count again.
+        """
+        own = self._zones.get(zone) or ZoneState()
+        if since <= max(own.last_response_at, own.unresponsive_since):
+            return False
+        return any(since < other.last_response_at for other in self._zones.values() if other is not own)
