--- a/qos_gateway/decisions/load_balancer.py
+++ b/qos_gateway/decisions/load_balancer.py
@@ -4,7 +4,6 @@
 
 import random
 from collections.abc import Iterable
-from itertools import chain
 
 from ..state.decaying_mean import DecayingMean
 from ..state.endpoint import ClassAndPlan, EndpointState
@@ -28,6 +27,8 @@
 MAX_SLOWNESS_SAMPLE = 8.0  # one very late response must not outweigh all others
 SLOWNESS_PRIOR_WEIGHT = 3.0  # samples: slowness is forgotten, or a slow endpoint would never be tried again
 UNANSWERED_PRIOR_WEIGHT = 3.0  # attempts without a time-out that a class's ratio starts from
+CLASS_SAMPLES = (Outcome.OK, Outcome.TIMEOUT)  # show whether an endpoint answers a class
+WORKED_ON = (Outcome.OK, Outcome.CANCELLED)  # attempts that took an endpoint's capacity
 
 
 class LoadBalancer(EndpointObservations):
@@ -40,14 +41,9 @@
         self.peer_in_flight = 0.0  # estimate of other gateways' attempts there
 
     def _new_state(self, now: int, endpoint: Endpoint) -> EndpointState:
-        tokens = self.rng.random()  # of many gateways, each seldom has a whole token to spend
-        return EndpointState(
-            endpoint,
-            DecayingMean(SHORT_MEMORY),
-            BASE_EJECTION_TIME,
-            slow_start_tokens=tokens,
-            slow_start_tokens_at=now,
-        )
+        tokens = self.rng.random()  # where gateways are many, each seldom has a whole token to spend
+        slowness = DecayingMean(SHORT_MEMORY)
+        return EndpointState(endpoint, slowness, BASE_EJECTION_TIME, tokens, now)
 
     def update_list(self, now: int, event: Topology) -> None:
         """Apply a whole endpoint list or the changes to it."""
@@ -77,13 +73,15 @@
 
         Each endpoint is in the subsets of the same few gateways; the next ones replace those ejected.
         """
-        size = len(self.ring)
+        endpoints = self.endpoints
+        ring = self.ring
+        size = len(ring)
         gateways = max(1, self.settings.gateway_count)
-        start = self.settings.position * size // gateways % max(1, size)
+        start = self.settings.position * size // gateways
         max_length = -(-size * GATEWAYS_PER_ENDPOINT // gateways)
         subset: list[EndpointState] = []
-        for index in chain(range(start, size), range(start)):
-            state = self.endpoints[self.ring[index]]
+        for index in range(start, start + size):
+            state = endpoints[ring[index % size]]
             if now >= state.ejected_until:
                 subset.append(state)
                 if len(subset) == max_length:
@@ -164,15 +162,18 @@
         if state is None:
             return
         state.in_flight = max(0, state.in_flight - 1)
-        if event.outcome in (Outcome.OK, Outcome.TIMEOUT):
-            self.record_class_result(now, state, class_and_plan[0], float(event.outcome is Outcome.TIMEOUT))
-        elif event.outcome is Outcome.OVERLOADED:
+        outcome = event.outcome
+        if outcome in CLASS_SAMPLES:
+            self.record_class_result(now, state, class_and_plan[0], float(outcome is Outcome.TIMEOUT))
+        elif outcome is Outcome.OVERLOADED:
             state.overloaded_until[class_and_plan] = now + LONG_MEMORY
-        if event.outcome in (Outcome.OK, Outcome.CANCELLED) and self.slow_start_fraction(now, state) >= 1.0:
+        if outcome in WORKED_ON and self.slow_start_fraction(now, state) >= 1.0:
             self.warm_completions.add(now, 1.0)
-        if event.outcome is Outcome.OK:
-            self.record_success(now, state, now - event.elapsed, min(MAX_SLOWNESS_SAMPLE, relative_latency))
-        record_outcome(now, self, state, event.outcome)
+        if outcome is Outcome.OK:
+            slowness = min(MAX_SLOWNESS_SAMPLE, relative_latency)
+            state.record_success(now, now - event.elapsed, slowness, BASE_EJECTION_TIME)
+            self.latest_answered_send = max(self.latest_answered_send, state.latest_answered_send)
+        record_outcome(now, self, state, outcome)
 
     def detect_unresponsive_zones(self, now: int, requests: Iterable[RequestState]) -> list[UnresponsiveZone]:
         """Find zones that stopped responding just now while others respond, and eject their endpoints."""
--- a/qos_gateway/decisions/outlier_ejection.py
+++ b/qos_gateway/decisions/outlier_ejection.py
@@ -20,19 +20,20 @@
 RESET_PRIOR_WEIGHT = 3.0  # attempts without a reset that the mean starts from
 UNRESPONSIVE_AFTER_LATENCIES = 2.0  # mean latencies after which a zone without responses is suspected ...
 UNRESPONSIVE_MIN_ENDPOINTS = 3  # ... and so many endpoints with overdue responses confirm that
+RESPONSES = (Outcome.OK, Outcome.ERROR, Outcome.OVERLOADED)  # that the zone of the endpoint sent
+RESET_SAMPLES = (Outcome.OK, Outcome.ERROR, Outcome.RESET)  # attempts that were not rejected and got an end
+NOT_FAILED = (Outcome.OK, Outcome.OVERLOADED, Outcome.CANCELLED, Outcome.NOT_SENT)
 
 
 def record_outcome(
     now: int, observations: EndpointObservations, state: EndpointState, outcome: Outcome
 ) -> None:
     """Record how an attempt at an endpoint ended, and eject it when it has failed too often in a row."""
-    if outcome in (Outcome.OK, Outcome.ERROR, Outcome.OVERLOADED):
+    if outcome in RESPONSES:
         observations.zones.record_response(now, state.endpoint.zone)
-    if outcome in (Outcome.OK, Outcome.RESET, Outcome.ERROR):
+    if outcome in RESET_SAMPLES:
         observations.reset_ratio.add(now, float(outcome is not Outcome.OK))
-    if outcome is Outcome.OK:
-        state.end_failures(BASE_EJECTION_TIME)
-    elif outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT, Outcome.OVERLOADED):
+    if outcome not in NOT_FAILED:
         state.consecutive_failures += 1
         if state.consecutive_failures >= _failures_to_eject(now, observations, outcome):
             state.eject(now, MAX_EJECTION_TIME)
--- a/qos_gateway/state/endpoint.py
+++ b/qos_gateway/state/endpoint.py
@@ -25,6 +25,8 @@
     endpoint: Endpoint
     slowness: DecayingMean  # latency relative to the mean of the request's class
     ejection_time: int  # length of the next ejection
+    slow_start_tokens: float  # attempts that may be sent during slow start
+    slow_start_tokens_at: int  # time of the last refill
     in_service: bool = True  # reported as ready
     listed: bool = True
     in_flight: int = 0  # attempts of this gateway
@@ -34,15 +36,17 @@
     latest_answered_send: int = 0  # start of the most recently started attempt among the successful ones
     overloaded_until: dict[ClassAndPlan, int] = field(default_factory=dict)
     last_result_by_class: dict[int, ClassResult] = field(default_factory=dict)
-    slow_start_tokens: float = 0.0  # attempts that may be sent during slow start
-    slow_start_tokens_at: int = 0  # time of the last refill
     disabled_at: int = 0  # start of the last administrative disabling that has ended
     assumed_start: int = 0  # start of slow start while the list reports no start since the disabling
 
     @property
     def slow_start_at(self) -> int:
         """Start of the slow start window, 0 for long ago."""
-        return max(self.endpoint.started_at, self.assumed_start)
+        reported = self.endpoint.started_at
+        assumed = self.assumed_start
+        return (
+            reported if reported > assumed else assumed
+        )  # faster than max(), for each endpoint at each request
 
     def update(self, endpoint: Endpoint, *, in_service: bool, listed: bool) -> None:
         """Take over a new entry of the endpoint list."""
@@ -80,20 +84,16 @@
         self.ejected_until = now + self.ejection_time
         self.ejection_time = min(max_ejection_time, 2 * self.ejection_time)
 
-    def record_success(self, now: int, sent_at: int, slowness: float) -> None:
-        """Record a successful attempt that was sent at `sent_at`."""
-        self.last_response_at = now
-        self.latest_answered_send = max(self.latest_answered_send, sent_at)
-        self.slowness.add(now, slowness)
+    def record_success(self, now: int, sent_at: int, slowness: float, base_ejection_time: int) -> None:
+        """Record a successful attempt; `slowness` is its latency relative to the mean of its class.
 
-    def end_failures(self, base_ejection_time: int) -> None:
-        """Begin to count failures anew, with the shortest ejection next."""
+        Failures are counted anew, and the next ejection lasts `base_ejection_time`.
+        """
         self.consecutive_failures = 0
         self.ejection_time = base_ejection_time
-
-    def record_class_result(self, now: int, class_index: int, unanswered: float) -> None:
-        """Record whether an attempt of a request class was answered (0.0) or timed out (1.0)."""
-        self.last_result_by_class[class_index] = ClassResult(now, unanswered)
+        self.last_response_at = now
+        self.latest_answered_send = max(self.latest_answered_send, sent_at)
+        self.slowness.add(now, slowness)
 
     def refill_slow_start_tokens(self, now: int, tokens: float, capacity: float) -> None:
         """Add slow start tokens up to `capacity`."""
--- a/qos_gateway/state/endpoint_observations.py
+++ b/qos_gateway/state/endpoint_observations.py
@@ -6,7 +6,7 @@
 
 from ..types import Settings
 from .decaying_mean import DecayingMean
-from .endpoint import EndpointState
+from .endpoint import ClassResult, EndpointState
 from .endpoint_registry import EndpointRegistry, NewEndpointState
 from .zone import ZoneTable
 
@@ -28,7 +28,8 @@
         self.zones = ZoneTable()
         # Time-outs among all attempts that were answered or timed out, by class.
         self.unanswered_ratio = [DecayingMean(memory.failures) for _ in settings.classes]
-        self.reset_ratio = DecayingMean(memory.failures)  # resets and errors among them and successes
+        # Resets and errors among these and successes.
+        self.reset_ratio = DecayingMean(memory.failures)
         self.latest_answered_send = 0  # start of the most recently started attempt among the successful ones
         # Attempts that warm endpoints completed or worked on when cancelled: far fewer than sent in overload.
         self.warm_completions = DecayingMean(memory.completions)
@@ -64,14 +65,9 @@
         self, now: int, state: EndpointState, class_index: int, unanswered: float
     ) -> None:
         """Record whether an attempt of a request class was answered (0.0) or timed out (1.0)."""
-        state.record_class_result(now, class_index, unanswered)
+        state.last_result_by_class[class_index] = ClassResult(now, unanswered)
         self.unanswered_ratio[class_index].add(now, unanswered)
 
-    def record_success(self, now: int, state: EndpointState, sent_at: int, slowness: float) -> None:
-        """Record a successful attempt, with its latency relative to the mean of its class."""
-        state.record_success(now, sent_at, slowness)
-        self.latest_answered_send = max(self.latest_answered_send, state.latest_answered_send)
-
     def answered_since(self, endpoint_id: int, since: int) -> bool:
         """Return whether an endpoint answered an attempt that was sent since then."""
         state = self.endpoints.get(endpoint_id)
--- a/qos_gateway/state/zone.py
+++ b/qos_gateway/state/zone.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections import defaultdict
 from dataclasses import dataclass
 
 from .request import RequestState
@@ -28,27 +29,26 @@
     """Responses from all zones."""
 
     def __init__(self) -> None:
-        self._zones: dict[int, ZoneState] = {}
+        self._zones: defaultdict[int, ZoneState] = defaultdict(ZoneState)
 
     def record_response(self, now: int, zone: int) -> None:
         """Record that some endpoint of a zone responded."""
-        self._zones.setdefault(zone, ZoneState()).last_response_at = now
+        self._zones[zone].last_response_at = now
 
     def record_unresponsive(self, now: int, zone: int) -> None:
         """Record that a zone was found unresponsive."""
-        self._zones.setdefault(zone, ZoneState()).unresponsive_since = now
+        self._zones[zone].unresponsive_since = now
 
     def was_unresponsive_after(self, zone: int, sent_at: int) -> bool:
         """Return whether a zone was found unresponsive at `sent_at` or later."""
-        state = self._zones.get(zone)
-        return state is not None and sent_at <= state.unresponsive_since
+        return sent_at <= self._zones[zone].unresponsive_since
 
     def only_others_responded(self, zone: int, since: int) -> bool:
         """Return whether another zone responded after `since`, and this one not.
 
         A zone that was found unresponsive after `since` does not count again.
         """
-        own = self._zones.get(zone) or ZoneState()
+        own = self._zones[zone]
         if since <= max(own.last_response_at, own.unresponsive_since):
             return False
         return any(since < other.last_response_at for other in self._zones.values() if other is not own)
