--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The list of backends is kept change by change: what stands there is what a whole list would give."""
+"""Changes of the endpoint list, applied one by one, leave the state that a whole list would."""
 
 from __future__ import annotations
 
@@ -30,42 +30,48 @@
 def test_changes_leave_what_a_whole_list_would(
     changes: list[tuple[list[tuple[int, Health, int]], ListKind, int]],
 ) -> None:
-    made, listed = LoadBalancer(settings(), random.Random(1)), dict[int, Endpoint]()
+    load_balancer = LoadBalancer(settings(), random.Random(1))
+    listed: dict[int, Endpoint] = {}
     now = START
-    for entries, kind, operator in changes:
+    for entries, kind, operators_call in changes:
         now += SECOND
-        told = {number: backend(number, health, booted * SECOND) for number, health, booted in entries}
-        listed = told if kind is ListKind.FULL else listed | told
-        made.update_list(now, full_list(*told.values(), kind=kind))
-        made.set_enabled(now, 3, operator != 1)
+        reported = {number: backend(number, health, booted * SECOND) for number, health, booted in entries}
+        listed = reported if kind is ListKind.FULL else listed | reported
+        load_balancer.update_list(now, full_list(*reported.values(), kind=kind))
+        load_balancer.set_enabled(now, 3, operators_call != 1)
         usable = sorted(
-            i for i, b in listed.items() if b.health is Health.READY and i not in made.admin_disabled
+            i for i, b in listed.items() if b.health is Health.READY and i not in load_balancer.admin_disabled
         )
-        assert made.ring == usable
-        assert made.warming_up == {
-            i for i in usable if made.slow_start_fraction(now, made.endpoints[i]) < 1.0
+        assert load_balancer.ring == usable
+        assert load_balancer.warming_up == {
+            i for i in usable if load_balancer.slow_start_fraction(now, load_balancer.endpoints[i]) < 1.0
         }
-        assert set(made.endpoints) == {i for i, b in listed.items() if b.health is not Health.REMOVED}
-        assert made.unlisted == set()  # nothing is out there: forgotten at once
+        assert set(load_balancer.endpoints) == {
+            i for i, b in listed.items() if b.health is not Health.REMOVED
+        }
+        assert load_balancer.unlisted == set()  # without attempts in flight they are forgotten at once
 
 
-def steps(n: int) -> int:
-    """Lines run for one change and a look at a list of so many."""
-    made, lines = LoadBalancer(settings(gateway_count=n // 10), random.Random(1)), 0
-    made.update_list(START, full_list(*map(backend, range(1, n + 1))))
+def lines_run(size: int) -> int:
+    """Count the lines of code run for one change of a list of so many endpoints."""
+    load_balancer = LoadBalancer(settings(gateway_count=size // 10), random.Random(1))
+    lines = 0
+    load_balancer.update_list(START, full_list(*map(backend, range(1, size + 1))))
 
-    def trace(frame: object, what: str, arg: object) -> object:
+    def trace(_frame: object, event: str, _argument: object) -> object:
         nonlocal lines
-        lines += what == "line"
+        lines += event == "line"
         return trace
 
     sys.settrace(trace)  # type: ignore[arg-type]
     try:
-        made.update_list(START + SECOND, full_list(backend(n // 2, Health.DRAINING), kind=ListKind.DELTA))
+        load_balancer.update_list(
+            START + SECOND, full_list(backend(size // 2, Health.DRAINING), kind=ListKind.DELTA)
+        )
     finally:
         sys.settrace(None)
     return lines
 
 
 def test_a_change_costs_no_more_in_a_longer_list() -> None:
-    assert steps(4_000) <= 1.2 * steps(200)
+    assert lines_run(4_000) <= 1.2 * lines_run(200)
--- /dev/null
+++ b/tests/state/test_endpoint.py
@@ -0,0 +1,66 @@
+"""Transitions of an endpoint's state."""
+
+from __future__ import annotations
+
+import pytest
+
+from qos_gateway.state.decaying_mean import DecayingMean
+from qos_gateway.state.endpoint import EndpointState
+from tests.support.builders import SECOND, backend
+
+
+def endpoint_state(started_at: int = 0) -> EndpointState:
+    return EndpointState(backend(1, booted=started_at), DecayingMean(SECOND), SECOND, 0.5, 0)
+
+
+def test_ejection_time_doubles_up_to_the_maximum_and_is_reset_by_a_success() -> None:
+    state = endpoint_state()
+    ends = []
+    for _ in range(4):
+        state.eject(0, 3 * SECOND)
+        ends.append(state.ejected_until)
+    assert ends == [SECOND, 2 * SECOND, 3 * SECOND, 3 * SECOND]
+    state.consecutive_failures = 4
+    state.record_success(5 * SECOND, 4 * SECOND, 1.0, SECOND)
+    assert (state.consecutive_failures, state.ejection_time) == (0, SECOND)
+    assert (state.last_response_at, state.latest_answered_send) == (5 * SECOND, 4 * SECOND)
+
+
+def test_a_late_success_of_an_early_attempt_does_not_move_the_latest_answered_send_back() -> None:
+    state = endpoint_state()
+    state.record_success(5 * SECOND, 4 * SECOND, 1.0, SECOND)
+    state.record_success(6 * SECOND, 2 * SECOND, 4.0, SECOND)
+    assert (state.last_response_at, state.latest_answered_send) == (6 * SECOND, 4 * SECOND)
+
+
+def test_slow_start_tokens_are_refilled_up_to_the_capacity() -> None:
+    state = endpoint_state()
+    state.refill_slow_start_tokens(SECOND, 0.75, 2.0)
+    assert (state.slow_start_tokens, state.slow_start_tokens_at) == (1.25, SECOND)
+    state.refill_slow_start_tokens(2 * SECOND, 1.0, 2.0)
+    assert (state.slow_start_tokens, state.slow_start_tokens_at) == (2.0, 2 * SECOND)
+
+
+@pytest.mark.parametrize(("started_at", "slow_start_at"), [(2, 9), (4, 9), (5, 5), (7, 7)])
+def test_after_a_disabling_slow_start_is_assumed_unless_a_start_since_then_is_known(
+    started_at: int, slow_start_at: int
+) -> None:
+    previous = endpoint_state(started_at)
+    previous.in_flight = 3
+    previous.in_service = False
+    state = endpoint_state(started_at)
+    state.continue_after_disabling(previous, now=9, disabled_at=5)
+    assert (state.in_flight, state.in_service, state.disabled_at) == (3, False, 5)
+    assert state.slow_start_at == slow_start_at
+
+
+@pytest.mark.parametrize(("started_at", "slow_start_at"), [(4, 9), (5, 5), (7, 7)])
+def test_a_restart_reported_later_replaces_the_assumed_start_if_it_was_during_the_disabling(
+    started_at: int, slow_start_at: int
+) -> None:
+    previous = endpoint_state(2)
+    previous.continue_after_disabling(endpoint_state(2), now=9, disabled_at=5)
+    previous.in_flight = 1
+    state = endpoint_state(started_at)
+    state.continue_after_restart(previous)
+    assert (state.in_flight, state.disabled_at, state.slow_start_at) == (1, 5, slow_start_at)
--- /dev/null
+++ b/tests/state/test_zone.py
@@ -0,0 +1,37 @@
+"""Responses by zone."""
+
+from __future__ import annotations
+
+import pytest
+
+from qos_gateway.state.zone import ZoneTable
+
+
+@pytest.mark.parametrize(
+    ("own", "other", "expected"),
+    [(None, 6, True), (4, 6, True), (5, 6, False), (6, 6, False), (4, 5, False), (None, None, False)],
+)
+def test_only_others_responded_after_a_time(own: int | None, other: int | None, expected: bool) -> None:
+    zones = ZoneTable()
+    for zone, at in ((1, own), (2, other)):
+        if at is not None:
+            zones.record_response(at, zone)
+    assert zones.only_others_responded(1, since=5) is expected
+
+
+def test_a_zone_found_unresponsive_does_not_count_again_for_attempts_before() -> None:
+    zones = ZoneTable()
+    zones.record_response(6, 2)
+    assert zones.only_others_responded(1, since=5)
+    zones.record_unresponsive(6, 1)
+    assert not zones.only_others_responded(1, since=5)
+    zones.record_response(8, 2)
+    assert zones.only_others_responded(1, since=7)
+
+
+def test_attempts_sent_up_to_the_detection_were_lost_with_the_zone() -> None:
+    zones = ZoneTable()
+    assert not zones.was_unresponsive_after(1, 0)
+    zones.record_unresponsive(6, 1)
+    assert [zones.was_unresponsive_after(1, at) for at in (5, 6, 7)] == [True, True, False]
+    assert not zones.was_unresponsive_after(2, 5)
