--- a/qos_gateway/state/endpoint.py
+++ b/qos_gateway/state/endpoint.py
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class ClassResult:
-    """Latest result of a request class at an endpoint, of those that show whether it answers the class."""
+    """The latest attempt of a request class at an endpoint that was answered or timed out."""
 
     at: int
     unanswered: float  # 1.0 if the attempt timed out, 0.0 if it was answered
@@ -34,7 +34,7 @@
     ejected_until: int = 0
     last_response_at: int = 0  # end of the last successful attempt
     latest_answered_send: int = 0  # start of the most recently started attempt among the successful ones
-    overloaded_until: dict[ClassAndPlan, int] = field(default_factory=dict)
+    overloaded_until: dict[ClassAndPlan, int] = field(default_factory=dict)  # assumed so after a rejection
     last_result_by_class: dict[int, ClassResult] = field(default_factory=dict)
     disabled_at: int = 0  # start of the last administrative disabling that has ended
     assumed_start: int = 0  # start of slow start while the list reports no start since the disabling
@@ -44,9 +44,8 @@
         """Start of the slow start window, 0 for long ago."""
         reported = self.endpoint.started_at
         assumed = self.assumed_start
-        return (
-            reported if reported > assumed else assumed
-        )  # faster than max(), for each endpoint at each request
+        # No call of max(): this is read several times for each endpoint of the subset at each request.
+        return reported if reported > assumed else assumed
 
     def update(self, endpoint: Endpoint, *, in_service: bool, listed: bool) -> None:
         """Take over a new entry of the endpoint list."""
