--- a/tests/server/test_admin.py
+++ b/tests/server/test_admin.py
@@ -11,7 +11,17 @@
 from qos_gateway.server import admin as operators
 from qos_gateway.server.admin import Door
 from qos_gateway.server.metrics import Ended, Figures, Standing, render
-from tests.support.servers import LOCAL, call, host, listing, run, served, soon, until, world
+from tests.support.servers import (
+    LOOPBACK,
+    call_command,
+    endpoint_entry,
+    endpoint_list,
+    gateway_harness,
+    run_on_loop,
+    success_reply,
+    wait_until,
+    with_timeout,
+)
 
 
 class Desk:
@@ -36,7 +46,7 @@
 
 @asynccontextmanager
 async def door(desk: Desk) -> AsyncIterator[Door]:
-    made = Door((LOCAL, 0), desk)
+    made = Door((LOOPBACK, 0), desk)
     await made.start()
     try:
         yield made
@@ -46,12 +56,12 @@
 
 async def say(port: int, *pieces: bytes) -> tuple[int, bytes]:
     """Status and body of what a call gets, read to the end of the connection; 0 where it gets nothing."""
-    reader, writer = await soon(asyncio.open_connection(LOCAL, port))
+    reader, writer = await with_timeout(asyncio.open_connection(LOOPBACK, port))
     for piece in pieces:
         writer.write(piece)
         await asyncio.sleep(0)
     try:
-        answer = await soon(reader.read())
+        answer = await with_timeout(reader.read())
     except ConnectionError:
         answer = b""
     writer.close()
@@ -75,7 +85,7 @@
             desk.open = False
             assert (await say(d.port, get("/ops/readiness")))[0] == 503
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_calls_are_answered_though_they_come_byte_by_byte() -> None:
@@ -92,7 +102,7 @@
             assert (await say(d.port, post("/ops/order-servers/up", b"fault")))[0] == 500
             assert await say(d.port, get("/ops/stats")) == (200, b"a:1|c\n")
 
-    run(test)
+    run_on_loop(test)
 
 
 @pytest.mark.parametrize(
@@ -118,7 +128,7 @@
             assert desk.asked == []
             assert (await say(d.port, get("/ops/readiness")))[0] == 200
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_caller_without_a_whole_call_is_told_so_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -128,35 +138,36 @@
             assert (await say(d.port, get("/ops/stats")[:20]))[0] == 408
             assert (await say(d.port, post("/ops/order-servers/down", b"s-1")[:-1]))[0] == 408
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_callers_who_finish_no_call_do_not_starve_the_door() -> None:
     async def test() -> None:
         async with door(Desk()) as d:
             idle = [
-                await soon(asyncio.open_connection(LOCAL, d.port)) for _ in range(3 * operators.CALLERS_MOST)
+                await with_timeout(asyncio.open_connection(LOOPBACK, d.port))
+                for _ in range(3 * operators.CALLERS_MOST)
             ]
             assert (await say(d.port, get("/ops/readiness")))[0] == 200
-            await until(lambda: len(d._callers) <= operators.CALLERS_MOST)
+            await wait_until(lambda: len(d._callers) <= operators.CALLERS_MOST)
             for _, writer in idle:
                 writer.close()
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_taken_address_is_tried_for_again(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         monkeypatch.setattr(operators, "BIND_AGAIN", 0.005)
         async with door(Desk()) as first:
-            second = Door((LOCAL, first.port), Desk())
+            second = Door((LOOPBACK, first.port), Desk())
             await second.start()
             first.close()
-            await until(lambda: second.port == first.port)
+            await wait_until(lambda: second.port == first.port)
             assert (await say(second.port, get("/ops/readiness")))[0] == 200
             second.close()
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_figures_are_rendered_one_a_line() -> None:
@@ -186,66 +197,68 @@
 
 def test_each_request_ends_in_one_figure_and_attempts_count_once_written() -> None:
     async def test() -> None:
-        async with world() as w:
-            client = await w.client()
-            for number, ending in enumerate((served(b"v"), b"-ERR failed\r\n")):
-                client.send(call("charge", number))
-                connection, _ = await w.backend.command()
-                assert read(w.gateway.operations.render_metrics())["in_progress"] == 1
-                assert read(w.gateway.operations.render_metrics())["upstream_tries"] == number + 1
+        async with gateway_harness() as harness:
+            client = await harness.connect_client()
+            for number, ending in enumerate((success_reply(b"v"), b"-ERR failed\r\n")):
+                client.send(call_command("charge", number))
+                connection, _ = await harness.backend.next_command()
+                assert read(harness.gateway.operations.render_metrics())["in_progress"] == 1
+                assert read(harness.gateway.operations.render_metrics())["upstream_tries"] == number + 1
                 connection.send(ending)
-                await client.next()
-            client.send(call("charge", 2, wait_ms=0))  # no time left for an attempt
-            assert str(await client.next()).startswith("BUSY ")
+                await client.next_message()
+            client.send(call_command("charge", 2, wait_ms=0))  # no time left for an attempt
+            assert str(await client.next_message()).startswith("BUSY ")
             client.send(b"*1\r\n$4\r\nPING\r\n*2\r\n$8\r\nCALL.GET\r\n$1\r\nx\r\n")
-            assert await client.next() == b"PONG"  # neither is a request
-            await client.next()
-            figures = read(w.gateway.operations.render_metrics())
+            assert await client.next_message() == b"PONG"  # neither is a request
+            await client.next_message()
+            figures = read(harness.gateway.operations.render_metrics())
             assert [figures[f"handled.charge.{how.value}"] for how in Ended] == [1, 1, 1]
             assert sum(n for name, n in figures.items() if name.startswith("handled.")) == 3
             assert (figures["upstream_tries"], figures["in_progress"]) == (2, 0)
             assert (figures["known_order_servers"], figures["skipped_order_servers"]) == (1, 0)
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_order_server_left_out_by_hand_gets_nothing_until_it_is_called_back() -> None:
     async def test() -> None:
-        async with world() as w:
-            gateway = w.gateway
+        async with gateway_harness() as harness:
+            gateway = harness.gateway
             assert not await gateway.operations.set_endpoint_disabled("nobody", True)
             assert not await gateway.operations.set_endpoint_disabled("nobody", False)
-            client = await w.client()
-            client.send(call(number=1))
-            connection, _ = await w.backend.command()
+            client = await harness.connect_client()
+            client.send(call_command(number=1))
+            connection, _ = await harness.backend.next_command()
             for _ in range(2):
                 assert await gateway.operations.set_endpoint_disabled("s-1", True)
             assert read(gateway.operations.render_metrics())["skipped_order_servers"] == 1
-            connection.send(served(b"v"))
-            assert await client.next() == b"v"  # what it had is finished
-            client.send(call(number=2))
-            assert str(await client.next()).startswith("BUSY")
+            connection.send(success_reply(b"v"))
+            assert await client.next_message() == b"v"  # what it had is finished
+            client.send(call_command(number=2))
+            assert str(await client.next_message()).startswith("BUSY")
             # Whatever discovery says meanwhile.
-            agent = w.agent
+            agent = harness.discovery
             for seq, words in enumerate((("terminating", 0), ("terminated", 0), ("in_service", 7)), 2):
-                agent.tell(listing(seq, host("s-1", w.backend.port, *words), whole=False))
-            await until(lambda: gateway.discovery._index == 4)
-            client.send(call(number=3))
-            assert str(await client.next()).startswith("BUSY")
+                agent.send_update(
+                    endpoint_list(seq, endpoint_entry("s-1", harness.backend.port, *words), whole=False)
+                )
+            await wait_until(lambda: gateway.discovery._index == 4)
+            client.send(call_command(number=3))
+            assert str(await client.next_message()).startswith("BUSY")
             assert read(gateway.operations.render_metrics())["skipped_order_servers"] == 1
             assert await gateway.operations.set_endpoint_disabled("s-1", False)
             assert await gateway.operations.set_endpoint_disabled("s-1", False)
             assert read(gateway.operations.render_metrics())["skipped_order_servers"] == 0
-            while not w.backend.commands.qsize():
-                client.send(call(number=4))
-                answered = asyncio.ensure_future(client.next())
+            while not harness.backend.commands.qsize():
+                client.send(call_command(number=4))
+                answered = asyncio.ensure_future(client.next_message())
                 await asyncio.wait(
                     (answered, asyncio.ensure_future(asyncio.sleep(0.1))), return_when=asyncio.FIRST_COMPLETED
                 )
                 if not answered.done():
-                    connection, _ = await w.backend.command()
-                    connection.send(served(b"back"))
+                    connection, _ = await harness.backend.next_command()
+                    connection.send(success_reply(b"back"))
                     assert await answered == b"back"
                     break
 
-    run(test)
+    run_on_loop(test)
--- a/tests/server/test_backends.py
+++ b/tests/server/test_backends.py
@@ -24,7 +24,17 @@
 from qos_gateway.server.metrics import Figures
 from qos_gateway.server.resp import AnswerFrames
 from qos_gateway.types import Outcome
-from tests.support.servers import LOCAL, Backend, Connection, bulk, listening, run, served, soon, until
+from tests.support.servers import (
+    LOOPBACK,
+    Connection,
+    FakeBackend,
+    bulk_string,
+    listening,
+    run_on_loop,
+    success_reply,
+    wait_until,
+    with_timeout,
+)
 
 SECOND = 1_000_000_000
 CLOCK = monotonic_unix_ns()
@@ -64,12 +74,12 @@
         return attempt
 
     async def end(self) -> Ended:
-        return await soon(self.ends.get())
+        return await with_timeout(self.ends.get())
 
 
 @asynccontextmanager
 async def bench(
-    backend: Backend | None = None,
+    backend: FakeBackend | None = None,
     most: int = 100,
     connect: float = 20.0,
     idle: float = 30.0,
@@ -79,11 +89,11 @@
     made = Bench(most, connect, idle, grace)
     try:
         if backend is None:
-            made.pools.learn(7, (LOCAL, port))
+            made.pools.learn(7, (LOOPBACK, port))
             yield made
         else:
             async with listening(backend):
-                made.pools.learn(7, (LOCAL, backend.port))
+                made.pools.learn(7, (LOOPBACK, backend.port))
                 yield made
     finally:
         made.pools.close()
@@ -92,9 +102,9 @@
 @pytest.mark.parametrize(
     ("answer", "outcome", "value", "report"),
     [
-        (served(b"\x00\r\n\xff"), Outcome.OK, b"\x00\r\n\xff", {"load_share": 0.5, "concurrent": 3.0}),
-        (served(b"", None), Outcome.OK, b"", {}),
-        (served(b"x" * (64 << 10), None), Outcome.OK, b"x" * (64 << 10), {}),
+        (success_reply(b"\x00\r\n\xff"), Outcome.OK, b"\x00\r\n\xff", {"load_share": 0.5, "concurrent": 3.0}),
+        (success_reply(b"", None), Outcome.OK, b"", {}),
+        (success_reply(b"x" * (64 << 10), None), Outcome.OK, b"x" * (64 << 10), {}),
         (b"-ERR failed\r\n", Outcome.ERROR, None, {}),
         (b"-ERR failed util=0.9,inflight=2\r\n", Outcome.ERROR, None, {"util": 0.9, "inflight": 2.0}),
         (b"-ERR failed used=37 util=0.9\r\n", Outcome.ERROR, None, {"used": 37.0, "util": 0.9}),
@@ -103,18 +113,18 @@
         (b"-BUSY\r\n", Outcome.OVERLOADED, None, {}),
         (b"-BUSY util=1\r\n", Outcome.OVERLOADED, None, {"util": 1.0}),
         # Good, with what can't be read where no value stands.
-        (served(b"v", b"load_share=much"), Outcome.OK, b"v", {}),
-        (served(b"v", b"\xff\x00,="), Outcome.OK, b"v", {}),
+        (success_reply(b"v", b"load_share=much"), Outcome.OK, b"v", {}),
+        (success_reply(b"v", b"\xff\x00,="), Outcome.OK, b"v", {}),
         (b"*3\r\n$1\r\nv\r\n*2\r\n:1\r\n$1\r\nx\r\n$-1\r\n", Outcome.OK, b"v", {}),
         (b"*3\r\n$1\r\nv\r\n-odd\r\n+odd\r\n", Outcome.OK, b"v", {}),
     ],
 )
 def test_outcome_of_each_answer(answer: bytes, outcome: Outcome, value: bytes | None, report: Report) -> None:
     async def test() -> None:
-        backend = Backend()
+        backend = FakeBackend()
         async with bench(backend) as b:
             b.start(1)
-            connection, words = await backend.command()
+            connection, words = await backend.next_command()
             assert words[:3] == [b"CALL.POST", b"c", b"i"]
             assert words[4] == b"B"
             left = words[3].removeprefix(b"c=x,d=").removesuffix(b",k=y")
@@ -122,7 +132,7 @@
             connection.send(answer)
             assert await b.end() == (1, outcome, value, report)
 
-    run(test)
+    run_on_loop(test)
 
 
 @pytest.mark.parametrize(
@@ -171,20 +181,20 @@
     monkeypatch.setattr(backends, "STALL", 0.05)
 
     async def test() -> None:
-        backend = Backend()
+        backend = FakeBackend()
         async with bench(backend) as b:
             b.start(1)
-            connection, _ = await backend.command()
+            connection, _ = await backend.next_command()
             head = answer[:3] if pieces else b""
             connection.send(head)
             await asyncio.sleep(0)
             connection.send(answer[len(head) :])
             assert await b.end() == (1, Outcome.RESET, None, {})
-            await until(lambda: backend.ended == 1)
+            await wait_until(lambda: backend.closed_connections == 1)
             assert b.pools.open == 0
             assert b.ends.empty()
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_half_an_answer_that_breaks_off_ends_the_attempt_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -193,14 +203,14 @@
     async def test() -> None:
         faults: list[object] = []
         asyncio.get_running_loop().set_exception_handler(lambda _loop, context: faults.append(context))
-        backend = Backend()
+        backend = FakeBackend()
         async with bench(backend) as b:
             attempt = b.start(1)
-            connection, _ = await backend.command()
+            connection, _ = await backend.next_command()
             connection.send(b"*3\r\n$5\r\nhal")
             link = attempt.link
             assert link is not None
-            await until(lambda: link.timer is not None)
+            await wait_until(lambda: link.timer is not None)
             connection.abort()
             assert (await b.end())[:2] == (1, Outcome.RESET)
             assert link.timer is None
@@ -208,19 +218,19 @@
             assert faults == []
             assert b.ends.empty()
 
-    run(test)
+    run_on_loop(test)
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 7])
 def test_answer_in_pieces_is_read_whole(size: int) -> None:
     async def test() -> None:
-        frames, whole = AnswerFrames(), served(b"\r\n$1\r\n" * 20)
+        frames, whole = AnswerFrames(), success_reply(b"\r\n$1\r\n" * 20)
         ends = [frames.scan(whole[at : at + size], 0) for at in range(0, len(whole), size)]
         assert ends[:-1] == [-1] * (len(ends) - 1)
         assert ends[-1] == (len(whole) - 1) % size + 1
         assert not frames.midway
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_no_answer_has_places_set_aside_before_its_elements_have_come(
@@ -234,17 +244,17 @@
             fed.append(data)
 
     async def test() -> None:
-        backend = Backend()
+        backend = FakeBackend()
         async with bench(backend) as b:
             attempt = b.start(1)
-            connection, _ = await backend.command()
+            connection, _ = await backend.next_command()
             assert attempt.link is not None
             monkeypatch.setattr(attempt.link, "reader", Noted())
             connection.send(b"*3\r\n$1\r\nv\r\n*100000000\r\n")
             assert (await b.end())[1] is Outcome.RESET
             assert not any(b"00000" in data for data in fed)
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_second_copy_in_a_later_packet_is_never_taken_for_the_next_answer(
@@ -253,56 +263,56 @@
     monkeypatch.setattr(backends, "SETTLE", 0.0)
 
     async def test() -> None:
-        with closing(socket.create_server((LOCAL, 0))) as server:
+        with closing(socket.create_server((LOOPBACK, 0))) as server:
             server.setblocking(False)
             loop = asyncio.get_running_loop()
             async with bench(port=server.getsockname()[1]) as b:
                 b.start(1)
-                taken, _ = await soon(loop.sock_accept(server))
-                assert await soon(loop.sock_recv(taken, 4096))
-                await soon(loop.sock_sendall(taken, served(b"v")))
+                taken, _ = await with_timeout(loop.sock_accept(server))
+                assert await with_timeout(loop.sock_recv(taken, 4096))
+                await with_timeout(loop.sock_sendall(taken, success_reply(b"v")))
                 assert (await b.end())[1] is Outcome.OK
                 # Between two turns of the loop: in the socket, and not yet read, when the next one starts.
-                taken.send(served(b"v"))
+                taken.send(success_reply(b"v"))
                 b.start(2)
-                other, _ = await soon(loop.sock_accept(server))
-                assert await soon(loop.sock_recv(other, 4096))
-                await soon(loop.sock_sendall(other, served(b"w")))
+                other, _ = await with_timeout(loop.sock_accept(server))
+                assert await with_timeout(loop.sock_recv(other, 4096))
+                await with_timeout(loop.sock_sendall(other, success_reply(b"w")))
                 assert (await b.end())[:3] == (2, Outcome.OK, b"w")
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_connection_rests_after_an_answer_where_another_may_be_opened() -> None:
     async def test() -> None:
-        backend = Backend()
+        backend = FakeBackend()
         async with bench(backend) as b:
             clock = [100.0]
             b.pools.time = lambda: clock[0]
             b.start(1)
-            connection, _ = await backend.command()
-            connection.send(served(b"v"))
+            connection, _ = await backend.next_command()
+            connection.send(success_reply(b"v"))
             await b.end()
             b.start(2)
-            other, _ = await backend.command()
+            other, _ = await backend.next_command()
             assert other is not connection
             clock[0] += 0.01
             b.start(3)
-            assert (await backend.command())[0] is connection
+            assert (await backend.next_command())[0] is connection
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_refused_connect_never_ran() -> None:
     async def test() -> None:
-        with closing(socket.create_server((LOCAL, 0))) as unused:
+        with closing(socket.create_server((LOOPBACK, 0))) as unused:
             port = unused.getsockname()[1]
         async with bench(port=port) as b:
             b.start(1)
             assert (await b.end())[:2] == (1, Outcome.CONNECT_FAILED)
             assert b.pools.open == 0
 
-    run(test)
+    run_on_loop(test)
 
 
 @pytest.mark.parametrize("given_up_by", ["connect time-out", "attempt time-out"])
@@ -310,7 +320,7 @@
     async def test() -> None:
         # A full accept queue leaves a connect unanswered, as a vanished machine does.
         with closing(socket.socket()) as full:
-            full.bind((LOCAL, 0))
+            full.bind((LOOPBACK, 0))
             full.listen(0)
             address = full.getsockname()
             fill = [socket.socket() for _ in range(4)]
@@ -325,16 +335,16 @@
             for one in fill:
                 one.close()
 
-    run(test)
+    run_on_loop(test)
 
 
 @pytest.mark.parametrize("how", ["reset", "end", "time-out", "cancel"])
 def test_after_the_last_byte_it_may_have_run(how: str) -> None:
     async def test() -> None:
-        backend = Backend()
+        backend = FakeBackend()
         async with bench(backend) as b:
             attempt = b.start(1)
-            connection, _ = await backend.command()
+            connection, _ = await backend.next_command()
             wanted = Outcome.RESET
             if how == "reset":
                 connection.abort()
@@ -348,24 +358,24 @@
                 wanted = Outcome.CANCELLED
             assert await b.end() == (1, wanted, None, {})
             # The connection is closed too: an answer that still comes belongs to nobody.
-            await until(lambda: backend.ended == 1)
+            await wait_until(lambda: backend.closed_connections == 1)
             assert b.pools.open == 0
             assert b.ends.empty()
 
-    run(test)
+    run_on_loop(test)
 
 
 @pytest.mark.parametrize("how", ["reset", "time-out"])
 def test_break_before_the_last_byte_never_ran(how: str) -> None:
     async def test() -> None:
-        with closing(socket.create_server((LOCAL, 0))) as server:
+        with closing(socket.create_server((LOOPBACK, 0))) as server:
             async with bench(port=server.getsockname()[1]) as b:
                 # More than both socket buffers hold, so that some of it stays behind.
                 attempt = b.start(1, body=b"x" * (32 << 20))
                 loop = asyncio.get_running_loop()
                 server.setblocking(False)
-                taken, _ = await soon(loop.sock_accept(server))
-                await until(lambda: attempt.link is not None and attempt.link.transport is not None)
+                taken, _ = await with_timeout(loop.sock_accept(server))
+                await wait_until(lambda: attempt.link is not None and attempt.link.transport is not None)
                 if how == "reset":
                     taken.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                     taken.close()
@@ -374,7 +384,7 @@
                     taken.close()
                 assert (await b.end())[:2] == (1, Outcome.CONNECT_FAILED)
 
-    run(test)
+    run_on_loop(test)
 
 
 @pytest.mark.parametrize("size", [1, 8 << 20])
@@ -382,37 +392,37 @@
     """What one write does not take is written later, by the loop itself: out is out from then on."""
 
     async def test() -> None:
-        with closing(socket.create_server((LOCAL, 0))) as server:
+        with closing(socket.create_server((LOOPBACK, 0))) as server:
             async with bench(port=server.getsockname()[1]) as b:
                 loop = asyncio.get_running_loop()
                 server.setblocking(False)
                 b.start(1, body=b"x" * (size - 1) + b"y")
-                taken, _ = await soon(loop.sock_accept(server))
+                taken, _ = await with_timeout(loop.sock_accept(server))
                 taken.setblocking(False)
                 data = b""
                 while not data.endswith(b"y\r\n"):
-                    data = await soon(loop.sock_recv(taken, 1 << 20))
+                    data = await with_timeout(loop.sock_recv(taken, 1 << 20))
                 taken.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 taken.close()
                 assert (await b.end())[:2] == (1, Outcome.RESET)
                 assert b.figures.tries == 1
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_pooled_connection_that_ended_unnoticed_is_not_written_to(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(backends, "SETTLE", 0.0)
 
     async def test() -> None:
-        with closing(socket.create_server((LOCAL, 0))) as server:
+        with closing(socket.create_server((LOOPBACK, 0))) as server:
             server.setblocking(False)
             loop = asyncio.get_running_loop()
             async with bench(port=server.getsockname()[1]) as b:
                 b.start(1)
                 for number in (1, 2, 3):
-                    taken, _ = await soon(loop.sock_accept(server))
-                    assert await soon(loop.sock_recv(taken, 4096))
-                    await soon(loop.sock_sendall(taken, served(b"v")))
+                    taken, _ = await with_timeout(loop.sock_accept(server))
+                    assert await with_timeout(loop.sock_recv(taken, 4096))
+                    await with_timeout(loop.sock_sendall(taken, success_reply(b"v")))
                     assert (await b.end())[:2] == (number, Outcome.OK)
                     # Reset or ended between two turns of the loop: the gateway has not heard of it.
                     if number == 1:
@@ -421,39 +431,39 @@
                     if number < 3:
                         b.start(number + 1)
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_late_answer_is_never_taken_for_the_next_attempt() -> None:
     async def test() -> None:
-        backend = Backend()
+        backend = FakeBackend()
         async with bench(backend) as b:
             attempt = b.start(1)
-            first, _ = await backend.command()
+            first, _ = await backend.next_command()
             b.pools.expire(attempt)
             assert (await b.end())[1] is Outcome.TIMEOUT
             b.start(2)
-            second, _ = await backend.command()
+            second, _ = await backend.next_command()
             assert second is not first
-            first.send(served(b"late"))
-            second.send(served(b"own"))
+            first.send(success_reply(b"late"))
+            second.send(success_reply(b"own"))
             assert (await b.end())[:3] == (2, Outcome.OK, b"own")
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_words_nobody_asked_for_close_the_connection() -> None:
     async def test() -> None:
-        backend = Backend()
+        backend = FakeBackend()
         async with bench(backend) as b:
             b.start(1)
-            connection, _ = await backend.command()
-            connection.send(served(b"v") + served(b"again"))
+            connection, _ = await backend.next_command()
+            connection.send(success_reply(b"v") + success_reply(b"again"))
             assert (await b.end())[1] is Outcome.OK
-            await until(lambda: backend.ended == 1)
+            await wait_until(lambda: backend.closed_connections == 1)
             assert b.pools.open == 0
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_connections_are_reused_last_in_first_out_with_one_request_each(
@@ -462,47 +472,47 @@
     monkeypatch.setattr(backends, "SETTLE", 0.0)
 
     async def test() -> None:
-        backend = Backend()
+        backend = FakeBackend()
         async with bench(backend) as b:
             b.start(1)
             b.start(2)
-            held = [await backend.command() for _ in range(2)]
+            held = [await backend.next_command() for _ in range(2)]
             assert held[0][0] is not held[1][0]
             for connection, _ in held:
-                connection.send(served(b"v"))
+                connection.send(success_reply(b"v"))
                 await b.end()
             for number in (3, 4):
                 b.start(number)
-                connection, _ = await backend.command()
+                connection, _ = await backend.next_command()
                 assert connection is held[1][0]
-                connection.send(served(b"v"))
+                connection.send(success_reply(b"v"))
                 await b.end()
             assert b.pools.open == 2
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_idle_connections_are_retired_before_the_backend_closes_them() -> None:
     async def test() -> None:
-        backend = Backend()
+        backend = FakeBackend()
         async with bench(backend, idle=0.0) as b:
             b.start(1)
-            connection, _ = await backend.command()
-            connection.send(served(b"v"))
+            connection, _ = await backend.next_command()
+            connection.send(success_reply(b"v"))
             await b.end()
             b.start(2)  # the old one is past its time, looked for or not
-            other, _ = await backend.command()
+            other, _ = await backend.next_command()
             assert other is not connection
-            other.send(served(b"v"))
+            other.send(success_reply(b"v"))
             await b.end()
-            await until(lambda: backend.ended == 2)  # the sweep finds the second
+            await wait_until(lambda: backend.closed_connections == 2)  # the sweep finds the second
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_connections_that_are_reset_after_a_rest_are_not_kept_so_long() -> None:
     async def test() -> None:
-        backend = Backend()
+        backend = FakeBackend()
         async with bench(backend) as b:
             clock = [100.0]
             b.pools.time = lambda: clock[0]
@@ -510,13 +520,13 @@
             async def rested(seconds: float, broken: bool) -> bool:
                 """A good answer, then another request after that rest; whether it came on the same one."""
                 b.start(1)
-                first, _ = await backend.command()
-                first.send(served(b"v"))
+                first, _ = await backend.next_command()
+                first.send(success_reply(b"v"))
                 await b.end()
                 clock[0] += seconds
                 b.start(2)
-                second, _ = await backend.command()
-                second.abort() if broken else second.send(served(b"v"))
+                second, _ = await backend.next_command()
+                second.abort() if broken else second.send(success_reply(b"v"))
                 assert (await b.end())[1] is (Outcome.RESET if broken else Outcome.OK)
                 clock[0] += 1000.0  # nothing of this round is used again
                 return second is first
@@ -529,7 +539,7 @@
                 b.pools.ages.decay()
             assert await rested(0.3, False)  # after a while it is tried again
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_breaks_that_come_at_any_age_or_seldom_shorten_no_rest() -> None:
@@ -546,45 +556,45 @@
 
 def test_connections_are_bounded_and_idle_ones_give_way() -> None:
     async def test() -> None:
-        one, two = Backend(), Backend()
+        one, two = FakeBackend(), FakeBackend()
         async with listening(two), bench(one, most=1) as b:
-            b.pools.learn(8, (LOCAL, two.port))
+            b.pools.learn(8, (LOOPBACK, two.port))
             b.start(1)
-            connection, _ = await one.command()
+            connection, _ = await one.next_command()
             b.start(2, backend=8)
             assert (await b.end())[:2] == (2, Outcome.CONNECT_FAILED)
-            connection.send(served(b"v"))
+            connection.send(success_reply(b"v"))
             assert (await b.end())[:2] == (1, Outcome.OK)
             b.start(3, backend=8)
-            connection, _ = await two.command()
-            connection.send(served(b"v"))
+            connection, _ = await two.next_command()
+            connection.send(success_reply(b"v"))
             assert (await b.end())[:2] == (3, Outcome.OK)
             assert b.pools.open == 1
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_backend_that_drains_loses_idle_connections_and_finishes_what_it_has() -> None:
     async def test() -> None:
-        backend = Backend()
+        backend = FakeBackend()
         async with bench(backend) as b:
             b.start(1)
             b.start(2)
-            held = [await backend.command() for _ in range(2)]
-            held[0][0].send(served(b"v"))
+            held = [await backend.next_command() for _ in range(2)]
+            held[0][0].send(success_reply(b"v"))
             await b.end()
             b.pools.learn(7, None)
-            await until(lambda: backend.ended == 1)
-            held[1][0].send(served(b"w"))
+            await wait_until(lambda: backend.closed_connections == 1)
+            held[1][0].send(success_reply(b"w"))
             assert (await b.end())[1:3] == (Outcome.OK, b"w")
-            await until(lambda: backend.ended == 2)
+            await wait_until(lambda: backend.closed_connections == 2)
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_nothing_still_connecting_is_written_past_the_drain_grace() -> None:
     async def test() -> None:
-        backend = Backend()
+        backend = FakeBackend()
         async with bench(backend, grace=0.0) as b:
             b.start(1)
             b.pools.learn(7, None)
@@ -592,23 +602,23 @@
             assert backend.commands.empty()
             assert b.pools.open == 0
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_nothing_still_connecting_is_written_past_the_window_of_its_key() -> None:
     """A repeat decided within the window, on a connection that comes up when the window is over."""
 
     async def test() -> None:
-        backend = Backend()
+        backend = FakeBackend()
         async with bench(backend) as b:
             b.start(1, before=CLOCK())
             assert (await b.end())[:2] == (1, Outcome.CONNECT_FAILED)
             b.start(2, before=CLOCK() + 60 * SECOND)
-            assert (await backend.command())[1][2] == b"i"
+            assert (await backend.next_command())[1][2] == b"i"
             assert backend.commands.empty()
             assert b.pools.open == 1
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_attempt_ends_once_though_it_is_given_up_while_its_failure_is_on_its_way() -> None:
@@ -621,7 +631,7 @@
             assert (await b.end())[:2] == (2, Outcome.CONNECT_FAILED)
             assert b.ends.empty()
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_unknown_backend_never_ran() -> None:
@@ -631,7 +641,7 @@
             assert b.ends.empty()  # told in a turn of its own
             assert (await b.end())[:2] == (1, Outcome.CONNECT_FAILED)
 
-    run(test)
+    run_on_loop(test)
 
 
 @pytest.mark.parametrize("number", [b"much", b"nan", b"inf", b"-1", b"+1", b"1_0", b" 1", b"1e999", b""])
@@ -645,33 +655,33 @@
 
 def test_connection_helper_reads_whole_answers() -> None:
     async def test() -> None:
-        backend = Backend()
+        backend = FakeBackend()
         async with listening(backend):
-            client = Connection(*await asyncio.open_connection(LOCAL, backend.port))
+            client = Connection(*await asyncio.open_connection(LOOPBACK, backend.port))
             client.send(b"*1\r\n$4\r\nPI")
             client.send(b"NG\r\n")
-            connection, words = await backend.command()
+            connection, words = await backend.next_command()
             assert words == [b"PING"]
-            connection.send(bulk(b"x"))
-            assert await client.next() == b"x"
+            connection.send(bulk_string(b"x"))
+            assert await client.next_message() == b"x"
             client.abort()
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_connection_that_has_not_rested_gives_way_rather_than_take_the_next_request() -> None:
     """With no room for another, a second copy of its answer would be taken for the next request's."""
 
     async def test() -> None:
-        backend = Backend()
+        backend = FakeBackend()
         async with bench(backend, most=1) as b:
             b.pools.time = lambda: 100.0
             for number in range(3):
                 b.start(number)
-                connection, _ = await backend.command()
+                connection, _ = await backend.next_command()
                 assert connection is backend.connections[number]
-                connection.send(served(b"v"))
+                connection.send(success_reply(b"v"))
                 assert (await b.end())[:2] == (number, Outcome.OK)
                 assert b.pools.open == 1
 
-    run(test)
+    run_on_loop(test)
--- a/tests/server/test_client_disconnects.py
+++ b/tests/server/test_client_disconnects.py
@@ -13,8 +13,18 @@
 from qos_gateway.server import backends, clients
 from qos_gateway.server.gateway import GatewayProcess
 from qos_gateway.types import Action, Arrival, AttemptEnded, ClientDisconnected, Outcome, Reject, Send
-from tests.server.test_clients import Script, only_backend, script
-from tests.support.servers import Tally, World, call, listening, run, served, soon, until, world
+from tests.server.test_clients import ScriptedEngine, only_backend, script_engine
+from tests.support.servers import (
+    FakeCounter,
+    GatewayHarness,
+    call_command,
+    gateway_harness,
+    listening,
+    run_on_loop,
+    success_reply,
+    wait_until,
+    with_timeout,
+)
 
 
 class HeldDoor:
@@ -33,24 +43,24 @@
         return await self._loop.create_connection(*words)
 
 
-async def only_another_is_written(w: World) -> None:
+async def only_another_is_written(harness: GatewayHarness) -> None:
     """A client that comes now is served, and the order server got nothing else meanwhile."""
-    other = await w.client()
-    other.send(call(number=99))
-    connection, words = await w.backend.command()
+    other = await harness.connect_client()
+    other.send(call_command(number=99))
+    connection, words = await harness.backend.next_command()
     assert words[2] == b"%016x" % 99
-    connection.send(served(b"v"))
-    assert await other.next() == b"v"
-    assert w.backend.commands.empty()
+    connection.send(success_reply(b"v"))
+    assert await other.next_message() == b"v"
+    assert harness.backend.commands.empty()
 
 
-def ignore_deadlines(w: World) -> None:
+def ignore_deadlines(harness: GatewayHarness) -> None:
     """Have nothing but their client's end finish requests."""
 
     def ignore(number: int) -> None:
         del number
 
-    w.gateway.requests.on_deadline = ignore  # type: ignore[method-assign]
+    harness.gateway.requests.on_deadline = ignore  # type: ignore[method-assign]
 
 
 def hold_door(gateway: GatewayProcess) -> HeldDoor:
@@ -61,24 +71,28 @@
 
 def test_attempt_that_still_connects_is_not_written_once_its_client_has_left() -> None:
     async def test() -> None:
-        async with world() as w:
-            held, gone, stays = hold_door(w.gateway), await w.client(), await w.client()
-            gone.send(call(number=1))
-            await soon(held.asked.wait())
+        async with gateway_harness() as harness:
+            held, gone, stays = (
+                hold_door(harness.gateway),
+                await harness.connect_client(),
+                await harness.connect_client(),
+            )
+            gone.send(call_command(number=1))
+            await with_timeout(held.asked.wait())
             gone.abort()
-            await until(lambda: w.gateway.clients.count() == 1)
+            await wait_until(lambda: harness.gateway.clients.count() == 1)
             held.go.set()
-            stays.send(call(number=2))
-            connection, words = await w.backend.command()
+            stays.send(call_command(number=2))
+            connection, words = await harness.backend.next_command()
             assert words[2] == b"%016x" % 2
-            connection.send(served(b"two"))
-            assert await stays.next() == b"two"
-            assert w.backend.commands.empty()
-            assert not w.gateway.requests._requests
-            assert w.gateway.dispatcher.engine.in_flight == 0
-            assert w.gateway.backends.open == 1
+            connection.send(success_reply(b"two"))
+            assert await stays.next_message() == b"two"
+            assert harness.backend.commands.empty()
+            assert not harness.gateway.requests._requests
+            assert harness.gateway.dispatcher.engine.in_flight == 0
+            assert harness.gateway.backends.open == 1
 
-    run(test)
+    run_on_loop(test)
 
 
 @pytest.mark.parametrize("how", ["reset", "close", "end"])
@@ -86,94 +100,96 @@
     """It sends more than is worked on at once, so that what lies unread hides that it went."""
 
     async def test() -> None:
-        async with world() as w:
-            backend, taken = only_backend(w), list[int]()
+        async with gateway_harness() as harness:
+            backend, taken = only_backend(harness), list[int]()
 
             def hold(a: Arrival) -> list[Action]:
                 taken.append(a.request_id)
                 return []
 
-            ignore_deadlines(w)
-            s = script(w, *[hold] * clients.PIPELINE, *[lambda a: [Send(a.request_id, backend, 0)]] * 9)
-            client = await w.client()
-            client.send(b"".join(call(number=n) for n in range(clients.PIPELINE + 8)))
-            await until(lambda: len(taken) == clients.PIPELINE and w.gateway.clients.held > 0)
+            ignore_deadlines(harness)
+            engine = script_engine(
+                harness, *[hold] * clients.PIPELINE, *[lambda a: [Send(a.request_id, backend, 0)]] * 9
+            )
+            client = await harness.connect_client()
+            client.send(b"".join(call_command(number=n) for n in range(clients.PIPELINE + 8)))
+            await wait_until(lambda: len(taken) == clients.PIPELINE and harness.gateway.clients.held > 0)
             if how == "end":
                 client.writer.write_eof()
             else:
                 sock = client.writer.get_extra_info("socket")
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", how == "reset", 0))
                 client.abort()
-            await until(lambda: len(s.of(ClientDisconnected)) == clients.PIPELINE)
-            assert w.gateway.clients.count() == 0
-            assert w.gateway.clients.held == 0
+            await wait_until(lambda: len(engine.events_of(ClientDisconnected)) == clients.PIPELINE)
+            assert harness.gateway.clients.count() == 0
+            assert harness.gateway.clients.held == 0
             for request in taken:
-                w.gateway.executor.execute(Reject(request, 0))
-            await only_another_is_written(w)
+                harness.gateway.executor.execute(Reject(request, 0))
+            await only_another_is_written(harness)
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_request_that_waits_for_the_counter_is_not_sent_on_once_its_client_has_left() -> None:
     async def test() -> None:
-        tally = Tally()
+        tally = FakeCounter()
         async with (
             listening(tally),
-            world(
+            gateway_harness(
                 counter=f"127.0.0.1:{tally.port}",
                 familyInfo__counter=True,
                 limits__peerMessages=False,
                 familyInfo__counterTimeout=15_000_000_000,
-            ) as w,
+            ) as harness,
         ):
-            await until(lambda: len(tally.connections) > 0)
-            gone, stays = await w.client(), await w.client()
-            gone.send(call(number=1))
-            ask = await tally.call()
+            await wait_until(lambda: len(tally.connections) > 0)
+            gone, stays = await harness.connect_client(), await harness.connect_client()
+            gone.send(call_command(number=1))
+            ask = await tally.next_call()
             gone.abort()
-            await until(lambda: w.gateway.clients.count() == 1)
+            await wait_until(lambda: harness.gateway.clients.count() == 1)
             ask.answer(b"ok 1")
-            await until(lambda: not w.gateway.dispatcher.engine.awaiting_reservation)
-            assert w.gateway.dispatcher.engine.in_flight == 0
-            assert not w.gateway.requests._requests
-            stays.send(call(number=2))
-            connection, words = await w.backend.command()
+            await wait_until(lambda: not harness.gateway.dispatcher.engine.awaiting_reservation)
+            assert harness.gateway.dispatcher.engine.in_flight == 0
+            assert not harness.gateway.requests._requests
+            stays.send(call_command(number=2))
+            connection, words = await harness.backend.next_command()
             assert words[2] == b"%016x" % 2
-            connection.send(served(b"two"))
-            assert await stays.next() == b"two"
-            assert w.backend.commands.empty()
+            connection.send(success_reply(b"two"))
+            assert await stays.next_message() == b"two"
+            assert harness.backend.commands.empty()
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_request_is_not_tried_again_once_its_client_has_left() -> None:
     async def test() -> None:
-        async with world() as w:
-            client, stays = await w.client(), await w.client()
-            client.send(call(number=1))
-            connection, _ = await w.backend.command()
+        async with gateway_harness() as harness:
+            client, stays = await harness.connect_client(), await harness.connect_client()
+            client.send(call_command(number=1))
+            connection, _ = await harness.backend.next_command()
             client.abort()
-            await until(lambda: w.gateway.clients.count() == 1)
+            await wait_until(lambda: harness.gateway.clients.count() == 1)
             connection.send(b"-BUSY\r\n")
-            await until(lambda: not w.gateway.requests._requests)
-            stays.send(call(number=2))
-            connection, words = await w.backend.command()
+            await wait_until(lambda: not harness.gateway.requests._requests)
+            stays.send(call_command(number=2))
+            connection, words = await harness.backend.next_command()
             assert words[2] == b"%016x" % 2
-            connection.send(served(b"two"))
-            assert await stays.next() == b"two"
-            assert w.backend.commands.empty()
+            connection.send(success_reply(b"two"))
+            assert await stays.next_message() == b"two"
+            assert harness.backend.commands.empty()
 
-    run(test)
+    run_on_loop(test)
 
 
 class Raw:
     """A client outside the loop: what it does is in the sockets at once, before the loop has turned."""
 
-    def __init__(self, w: World) -> None:
-        self.sock = socket.create_connection(("127.0.0.1", w.gateway.clients.port))
+    def __init__(self, harness: GatewayHarness) -> None:
+        self.sock = socket.create_connection(("127.0.0.1", harness.gateway.clients.port))
 
     def send(self, *numbers: int) -> None:
-        self.sock.sendall(b"".join(call(number=n) for n in numbers))
+        self.sock.sendall(b"".join(call_command(number=n) for n in numbers))
 
     def leave(self, how: str) -> None:
         if how == "end":
@@ -183,91 +199,91 @@
         self.sock.close()
 
 
-Moment = Callable[[World, Script, Raw, str], Awaitable[int]]
+Moment = Callable[[GatewayHarness, ScriptedEngine, Raw, str], Awaitable[int]]
 
 
 def hold(_a: Arrival) -> list[Action]:
     return []
 
 
-async def held(w: World, s: Script, client: Raw, how: str) -> int:
+async def held(harness: GatewayHarness, engine: ScriptedEngine, client: Raw, how: str) -> int:
     """A first attempt, once the counter's word has come."""
-    s.plans[:] = [hold]
+    engine.plans[:] = [hold]
     client.send(1)
-    await until(lambda: len(s.of(Arrival)) == 1)
+    await wait_until(lambda: len(engine.events_of(Arrival)) == 1)
     client.leave(how)
-    w.gateway.executor.execute(Send(s.of(Arrival)[0].request_id, only_backend(w), 0))
+    harness.gateway.executor.execute(Send(engine.events_of(Arrival)[0].request_id, only_backend(harness), 0))
     return 0
 
 
-async def retry(w: World, s: Script, client: Raw, how: str) -> int:
-    backend = only_backend(w)
-    s.plans[:] = [lambda a: [Send(a.request_id, backend, 0)]]
+async def retry(harness: GatewayHarness, engine: ScriptedEngine, client: Raw, how: str) -> int:
+    backend = only_backend(harness)
+    engine.plans[:] = [lambda a: [Send(a.request_id, backend, 0)]]
     client.send(1)
-    connection, _ = await w.backend.command()
+    connection, _ = await harness.backend.next_command()
     connection.send(b"-BUSY\r\n")
-    await until(lambda: len(s.of(AttemptEnded)) == 1)
+    await wait_until(lambda: len(engine.events_of(AttemptEnded)) == 1)
     client.leave(how)
-    w.gateway.executor.execute(Send(s.of(Arrival)[0].request_id, backend, 0))
+    harness.gateway.executor.execute(Send(engine.events_of(Arrival)[0].request_id, backend, 0))
     return 1
 
 
-async def second_copy(w: World, s: Script, client: Raw, how: str) -> int:
-    backend = only_backend(w)
-    s.plans[:] = [lambda a: [Send(a.request_id, backend, 0)]]
+async def second_copy(harness: GatewayHarness, engine: ScriptedEngine, client: Raw, how: str) -> int:
+    backend = only_backend(harness)
+    engine.plans[:] = [lambda a: [Send(a.request_id, backend, 0)]]
     client.send(1)
-    await w.backend.command()
+    await harness.backend.next_command()
     client.leave(how)
-    w.gateway.executor.execute(Send(s.of(Arrival)[0].request_id, backend, 0))
+    harness.gateway.executor.execute(Send(engine.events_of(Arrival)[0].request_id, backend, 0))
     return 1
 
 
-async def connecting(w: World, s: Script, client: Raw, how: str) -> int:
+async def connecting(harness: GatewayHarness, engine: ScriptedEngine, client: Raw, how: str) -> int:
     """Its connection comes up in the turn in which the client has gone."""
-    backend, door = only_backend(w), hold_door(w.gateway)
-    s.plans[:] = [lambda a: [Send(a.request_id, backend, 0)]]
+    backend, door = only_backend(harness), hold_door(harness.gateway)
+    engine.plans[:] = [lambda a: [Send(a.request_id, backend, 0)]]
     client.send(1)
-    await soon(door.asked.wait())
-    connected = w.gateway.backends._pools[backend].connected
+    await with_timeout(door.asked.wait())
+    connected = harness.gateway.backends._pools[backend].connected
 
     def leave_first(link: Any) -> None:
-        w.gateway.backends._pools[backend].connected = connected  # type: ignore[method-assign]
+        harness.gateway.backends._pools[backend].connected = connected  # type: ignore[method-assign]
         client.leave(how)
         connected(link)
 
-    w.gateway.backends._pools[backend].connected = leave_first  # type: ignore[method-assign]
+    harness.gateway.backends._pools[backend].connected = leave_first  # type: ignore[method-assign]
     door.go.set()
     return 0
 
 
-async def queued(w: World, s: Script, client: Raw, how: str) -> int:
+async def queued(harness: GatewayHarness, engine: ScriptedEngine, client: Raw, how: str) -> int:
     """Behind as many commands as are worked on at once, in input that is not read: they are answered, and
     the rest would be taken up, in the turn in which the client has gone."""
-    backend, most = only_backend(w), clients.PIPELINE
-    s.plans[:] = [hold] * most + [lambda a: [Send(a.request_id, backend, 0)]] * 8
+    backend, most = only_backend(harness), clients.PIPELINE
+    engine.plans[:] = [hold] * most + [lambda a: [Send(a.request_id, backend, 0)]] * 8
     client.send(*range(1, most + 9))
-    await until(lambda: len(s.of(Arrival)) == most and w.gateway.clients.held > 0)
+    await wait_until(lambda: len(engine.events_of(Arrival)) == most and harness.gateway.clients.held > 0)
     client.leave(how)
-    for arrival in s.of(Arrival)[:most]:
-        w.gateway.executor.execute(Reject(arrival.request_id, 0))
-    await until(lambda: w.gateway.clients.count() == 0 or len(s.of(Arrival)) > most)
+    for arrival in engine.events_of(Arrival)[:most]:
+        harness.gateway.executor.execute(Reject(arrival.request_id, 0))
+    await wait_until(lambda: harness.gateway.clients.count() == 0 or len(engine.events_of(Arrival)) > most)
     return 0
 
 
-async def warm(w: World, s: Script) -> None:
+async def warm(harness: GatewayHarness, engine: ScriptedEngine) -> None:
     """Two connections to the order server at rest, so that an attempt is written in the turn of its start."""
-    backend, others = only_backend(w), [await w.client() for _ in range(2)]
-    s.plans[:] = [lambda a: [Send(a.request_id, backend, 0)]] * 2
+    backend, others = only_backend(harness), [await harness.connect_client() for _ in range(2)]
+    engine.plans[:] = [lambda a: [Send(a.request_id, backend, 0)]] * 2
     for number, other in enumerate(others):
-        other.send(call(number=100 + number))
-    for connection, _ in [await w.backend.command() for _ in others]:
-        connection.send(served(b"v"))
+        other.send(call_command(number=100 + number))
+    for connection, _ in [await harness.backend.next_command() for _ in others]:
+        connection.send(success_reply(b"v"))
     for other in others:
-        assert await other.next() == b"v"
+        assert await other.next_message() == b"v"
         other.abort()
-    await until(lambda: w.gateway.backends.idle() == 2 and w.gateway.clients.count() == 0)
+    await wait_until(lambda: harness.gateway.backends.idle() == 2 and harness.gateway.clients.count() == 0)
     await asyncio.sleep(2 * backends.SETTLE)
-    s.events.clear()
+    engine.events.clear()
 
 
 @pytest.mark.parametrize("how", ["reset", "close", "end"])
@@ -276,18 +292,20 @@
     moment: Moment, how: str
 ) -> None:
     async def test() -> None:
-        async with world() as w:
-            s, backend = script(w), only_backend(w)
-            ignore_deadlines(w)
+        async with gateway_harness() as harness:
+            engine, backend = script_engine(harness), only_backend(harness)
+            ignore_deadlines(harness)
             if moment is not connecting:
-                await warm(w, s)
-            client = Raw(w)
-            tries = await moment(w, s, client, how)
+                await warm(harness, engine)
+            client = Raw(harness)
+            tries = await moment(harness, engine, client, how)
             # Where its answer was written before its end could be read, a rest may have been taken up.
-            await until(lambda: w.gateway.clients.count() == 0)
-            assert all(e.outcome is Outcome.NOT_SENT for e in s.of(AttemptEnded) if e.attempt >= tries)
-            s.plans.append(lambda a: [Send(a.request_id, backend, 0)])
-            await only_another_is_written(w)
+            await wait_until(lambda: harness.gateway.clients.count() == 0)
+            assert all(
+                e.outcome is Outcome.NOT_SENT for e in engine.events_of(AttemptEnded) if e.attempt >= tries
+            )
+            engine.plans.append(lambda a: [Send(a.request_id, backend, 0)])
+            await only_another_is_written(harness)
             client.sock.close()
 
-    run(test)
+    run_on_loop(test)
--- a/tests/server/test_descriptor_limits.py
+++ b/tests/server/test_descriptor_limits.py
@@ -19,20 +19,20 @@
 from qos_gateway.server.listener import Listener
 from tests.server.test_process import COMMAND
 from tests.support.servers import (
-    LOCAL,
-    Agent,
-    Backend,
+    LOOPBACK,
     Connection,
-    Tally,
-    call,
-    host,
+    FakeBackend,
+    FakeCounter,
+    FakeDiscovery,
+    call_command,
+    endpoint_entry,
+    endpoint_list,
     listening,
-    listing,
     raw_config,
-    run,
-    served,
-    soon,
-    until,
+    run_on_loop,
+    success_reply,
+    wait_until,
+    with_timeout,
 )
 
 DESCRIPTORS = 256
@@ -56,7 +56,7 @@
         preexec_fn=limit,
     )
     assert process.stderr is not None
-    while b"listening on" not in (line := await soon(process.stderr.readline())):
+    while b"listening on" not in (line := await with_timeout(process.stderr.readline())):
         assert line, "ended before it listened"
 
     async def read_on() -> None:
@@ -68,7 +68,7 @@
         yield int(line.rsplit(b":", 1)[1])
         assert process.returncode is None
         process.terminate()
-        assert await soon(process.wait()) == 0
+        assert await with_timeout(process.wait()) == 0
     finally:
         if process.returncode is None:
             process.kill()
@@ -80,7 +80,7 @@
     """A client that says this much and then waits until it is closed; comes again at once, or rests."""
     while True:
         try:
-            reader, writer = await asyncio.open_connection(LOCAL, port)
+            reader, writer = await asyncio.open_connection(LOOPBACK, port)
             writer.write(word)
             while await reader.read(1024):
                 pass
@@ -104,13 +104,13 @@
     served on its first connection."""
 
     async def test() -> None:
-        agent, old, new = Agent(), Backend(), Backend()
+        agent, old, new = FakeDiscovery(), FakeBackend(), FakeBackend()
         async with listening(old), listening(new):
-            discovery = await asyncio.start_server(agent.serve, LOCAL, 0)
+            discovery = await asyncio.start_server(agent.serve, LOOPBACK, 0)
             agent.port = discovery.sockets[0].getsockname()[1]
-            agent.first = listing(1, host("s-1", old.port))
+            agent.first_update = endpoint_list(1, endpoint_entry("s-1", old.port))
             with socket.socket() as free:
-                free.bind((LOCAL, 0))
+                free.bind((LOOPBACK, 0))
                 counter = free.getsockname()[1]
             raw = raw_config(
                 agent.port,
@@ -118,48 +118,54 @@
                 familyInfo__counterTimeout=50_000_000,
                 limits__peerMessages=False,
             )
-            raw |= {"limits": {"sockets": DESCRIPTORS}, "counter": f"{LOCAL}:{counter}"}
+            raw |= {"limits": {"sockets": DESCRIPTORS}, "counter": f"{LOOPBACK}:{counter}"}
             async with limited(tmp_path, raw, DESCRIPTORS) as port:
                 discovery.close()
-                agent.hang_up()
+                agent.abort()
                 crowd = [asyncio.create_task(idle(port, word, again)) for _ in range(400)]
                 await asyncio.sleep(0.5)
-                while not agent.asked.empty():
-                    agent.asked.get_nowait()
-                agent.first, tally = listing(2, host("s-2", new.port)), Tally(counter)
+                while not agent.requests.empty():
+                    agent.requests.get_nowait()
+                agent.first_update, tally = (
+                    endpoint_list(2, endpoint_entry("s-2", new.port)),
+                    FakeCounter(counter),
+                )
                 async with listening(agent), listening(tally):
-                    await soon(agent.asked.get())
-                    await until(lambda: len(tally.connections) > 0)
-                    late = Connection(*await soon(asyncio.open_connection(LOCAL, port)))
-                    late.send(call(wait_ms=20_000))
-                    connection, _ = await new.command()
-                    connection.send(served(b"v"))
-                    assert await late.next() == b"v"
+                    await with_timeout(agent.requests.get())
+                    await wait_until(lambda: len(tally.connections) > 0)
+                    late = Connection(*await with_timeout(asyncio.open_connection(LOOPBACK, port)))
+                    late.send(call_command(wait_ms=20_000))
+                    connection, _ = await new.next_command()
+                    connection.send(success_reply(b"v"))
+                    assert await late.next_message() == b"v"
                 for task in crowd:
                     task.cancel()
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_process_at_its_limit_of_descriptors_lives_on_and_serves_again(tmp_path: Path) -> None:
     """The limit is lower than the configuration says: to accept fails."""
 
     async def test() -> None:
-        agent, backend = Agent(), Backend()
+        agent, backend = FakeDiscovery(), FakeBackend()
         async with listening(agent), listening(backend):
-            agent.first = listing(1, host("s-1", backend.port))
+            agent.first_update = endpoint_list(1, endpoint_entry("s-1", backend.port))
             async with limited(tmp_path, raw_config(agent.port), 40) as port:
-                crowd = [Connection(*await soon(asyncio.open_connection(LOCAL, port))) for _ in range(60)]
+                crowd = [
+                    Connection(*await with_timeout(asyncio.open_connection(LOOPBACK, port)))
+                    for _ in range(60)
+                ]
                 await asyncio.sleep(0.3)
                 for each in crowd:
                     each.abort()
-                client = Connection(*await soon(asyncio.open_connection(LOCAL, port)))
-                client.send(call(wait_ms=20_000))
-                connection, _ = await backend.command()
-                connection.send(served(b"v"))
-                assert await client.next() == b"v"
+                client = Connection(*await with_timeout(asyncio.open_connection(LOOPBACK, port)))
+                client.send(call_command(wait_ms=20_000))
+                connection, _ = await backend.next_command()
+                connection.send(success_reply(b"v"))
+                assert await client.next_message() == b"v"
 
-    run(test)
+    run_on_loop(test)
 
 
 class Short(socket.socket):
@@ -198,10 +204,10 @@
             return free
 
         with Short() as sock:
-            sock.bind((LOCAL, 0))
+            sock.bind((LOOPBACK, 0))
             sock.short = 3 * room
             door = Listener(sock, lambda: Kept(made), has_room)
-            waits = [await soon(asyncio.open_connection(LOCAL, door.port)) for _ in range(3)]
+            waits = [await with_timeout(asyncio.open_connection(LOOPBACK, door.port)) for _ in range(3)]
             turns = 0
             while looks < 3:
                 turns += 1
@@ -209,14 +215,14 @@
             assert not made
             assert turns > 20
             free = True
-            await until(lambda: len(made) == 3 and door.coming == 0)
+            await wait_until(lambda: len(made) == 3 and door.coming == 0)
             door.close()
             for _, writer in waits:
                 writer.close()
             for each in made:
                 each.transport.close()
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_what_waits_without_room_for_long_is_shut_unread(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -224,11 +230,11 @@
     monkeypatch.setattr(listener, "QUEUE_MOST", 0.03)
 
     async def test() -> None:
-        with socket.create_server((LOCAL, 0)) as sock:
+        with socket.create_server((LOOPBACK, 0)) as sock:
             door = Listener(sock, lambda: Kept([]), lambda: False)
-            reader, writer = await soon(asyncio.open_connection(LOCAL, door.port))
-            assert await soon(reader.read()) == b""
+            reader, writer = await with_timeout(asyncio.open_connection(LOOPBACK, door.port))
+            assert await with_timeout(reader.read()) == b""
             door.close()
             writer.close()
 
-    run(test)
+    run_on_loop(test)
--- a/tests/server/test_discovery.py
+++ b/tests/server/test_discovery.py
@@ -17,21 +17,21 @@
 from qos_gateway.server.gateway import GatewayProcess
 from qos_gateway.server.peers import Peers
 from qos_gateway.types import Endpoint, Health, ListKind, PeerMessage
-from tests.server.test_clients import Script
+from tests.server.test_clients import ScriptedEngine
 from tests.support.servers import (
-    LOCAL,
-    Agent,
-    call,
-    config,
-    host,
+    LOOPBACK,
+    FakeDiscovery,
+    call_command,
+    endpoint_entry,
+    endpoint_list,
+    gateway_harness,
     listening,
-    listing,
+    make_config,
     raw_config,
-    run,
-    served,
-    soon,
-    until,
-    world,
+    run_on_loop,
+    success_reply,
+    wait_until,
+    with_timeout,
 )
 
 ZONES, KINDS = ("a", "b"), ("m1", "m2")
@@ -40,24 +40,24 @@
 class Follower:
     """Notes what a watch brings."""
 
-    def __init__(self, agent: Agent, index: int | None) -> None:
+    def __init__(self, agent: FakeDiscovery, index: int | None) -> None:
         self.updates: asyncio.Queue[Update] = asyncio.Queue()
-        self.watch = Discovery((LOCAL, agent.port), ZONES, KINDS, index, self.updates.put_nowait)
+        self.watch = Discovery((LOOPBACK, agent.port), ZONES, KINDS, index, self.updates.put_nowait)
         self.watch.start()
 
     async def next(self) -> Update:
-        return await soon(self.updates.get())
+        return await with_timeout(self.updates.get())
 
 
 def test_entry_is_mapped_as_on_the_simulators_wire() -> None:
-    entry = host("s-5be2a07c", 6379, "terminating", born_ms=1_700_000_000_123, block=3)
-    update = parse_update(listing(41, entry, whole=False), ZONES, KINDS)
+    entry = endpoint_entry("s-5be2a07c", 6379, "terminating", born_ms=1_700_000_000_123, block=3)
+    update = parse_update(endpoint_list(41, entry, whole=False), ZONES, KINDS)
     assert update.topology.kind is ListKind.DELTA
     assert update.topology.version == 41
     number = backend_id("s-5be2a07c")
     born = 1_700_000_000_123_000_000
     assert update.topology.entries == (Endpoint(number, 0, 1, 3, Health.DRAINING, 1.0, born),)
-    assert update.addresses == {number: (LOCAL, 6379)}
+    assert update.addresses == {number: (LOOPBACK, 6379)}
 
 
 def test_backend_number_hangs_on_the_name_alone() -> None:
@@ -68,20 +68,20 @@
 
 def test_born_long_ago_stays_zero_and_a_cold_backend_lies_on_the_modules_clock() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with gateway_harness() as harness:
             now_ms = time.time_ns() // 1_000_000
-            entries = host("old", 1, born_ms=0), host("new", 2, born_ms=now_ms)
-            w.agent.tell(listing(2, *entries))
-            servers = w.gateway.dispatcher.engine.load_balancer.endpoints
-            await until(lambda: backend_id("new") in servers)
+            entries = endpoint_entry("old", 1, born_ms=0), endpoint_entry("new", 2, born_ms=now_ms)
+            harness.discovery.send_update(endpoint_list(2, *entries))
+            servers = harness.gateway.dispatcher.engine.load_balancer.endpoints
+            await wait_until(lambda: backend_id("new") in servers)
             assert servers[backend_id("old")].endpoint.started_at == 0
-            start = w.gateway.config.settings.initial_capacity_fraction
-            warmth = w.gateway.dispatcher.engine.load_balancer.slow_start_fraction(
-                w.gateway.clock(), servers[backend_id("new")]
+            start = harness.gateway.config.settings.initial_capacity_fraction
+            warmth = harness.gateway.dispatcher.engine.load_balancer.slow_start_fraction(
+                harness.gateway.clock(), servers[backend_id("new")]
             )
             assert start <= warmth < 1.0
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_terminated_entry_needs_no_address() -> None:
@@ -97,10 +97,10 @@
         [],
         {},
         {"seq": 1, "whole": True},
-        listing(1, {"host": "s"}),
-        listing(1, host("s", 1, "odd")),
+        endpoint_list(1, {"host": "s"}),
+        endpoint_list(1, endpoint_entry("s", 1, "odd")),
         {"seq": "x", "whole": True, "hosts": []},
-        listing(1, host("s", 1) | {"dial": "nowhere"}),
+        endpoint_list(1, endpoint_entry("s", 1) | {"dial": "nowhere"}),
     ],
 )
 def test_unreadable_list_is_an_error_not_a_crash(raw: Any) -> None:
@@ -110,102 +110,115 @@
 
 def test_changes_come_in_order_and_a_broken_watch_goes_on_from_the_last_version() -> None:
     async def test() -> None:
-        agent = Agent()
+        agent = FakeDiscovery()
         async with listening(agent):
             f = Follower(agent, 40)
-            assert await soon(agent.asked.get()) == b"GET /api/targets?stream=1&index=40 HTTP/1.1"
-            agent.tell(listing(41, host("s-1", 1)))
+            assert await with_timeout(agent.requests.get()) == b"GET /api/targets?stream=1&index=40 HTTP/1.1"
+            agent.send_update(endpoint_list(41, endpoint_entry("s-1", 1)))
             line = b'{"seq":42,"whole":false,"hosts":[]}\n\n{"seq":43,"whole":false,"hosts":[]}\n{"se'
-            agent.raw(line)
+            agent.send_bytes(line)
             kinds = [(u.topology.version, u.topology.kind) for u in [await f.next() for _ in range(3)]]
             assert kinds == [(41, ListKind.FULL), (42, ListKind.DELTA), (43, ListKind.DELTA)]
-            agent.hang_up()
-            assert await soon(agent.asked.get()) == b"GET /api/targets?stream=1&index=43 HTTP/1.1"
-            agent.tell(listing(44, whole=False))
+            agent.abort()
+            assert await with_timeout(agent.requests.get()) == b"GET /api/targets?stream=1&index=43 HTTP/1.1"
+            agent.send_update(endpoint_list(44, whole=False))
             assert (await f.next()).topology.version == 44
             await f.watch.close()
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_watch_moves_to_another_agent_and_goes_on_from_the_last_version() -> None:
     async def test() -> None:
-        old, new = Agent(), Agent()
+        old, new = FakeDiscovery(), FakeDiscovery()
         async with listening(old), listening(new):
             f = Follower(old, None)
-            await soon(old.asked.get())
-            old.tell(listing(41, host("s-1", 1)))
+            await with_timeout(old.requests.get())
+            old.send_update(endpoint_list(41, endpoint_entry("s-1", 1)))
             await f.next()
-            f.watch.move((LOCAL, new.port))
-            assert b"index=41" in await soon(new.asked.get())
-            f.watch.move((LOCAL, new.port))  # where it already is
-            new.tell(listing(42, whole=False))
+            f.watch.move((LOOPBACK, new.port))
+            assert b"index=41" in await with_timeout(new.requests.get())
+            f.watch.move((LOOPBACK, new.port))  # where it already is
+            new.send_update(endpoint_list(42, whole=False))
             assert (await f.next()).topology.version == 42
-            assert new.asked.empty()
-            assert old.asked.empty()
+            assert new.requests.empty()
+            assert old.requests.empty()
             await f.watch.close()
-            f.watch.move((LOCAL, old.port))
+            f.watch.move((LOOPBACK, old.port))
             await asyncio.sleep(0)
-            assert old.asked.empty()
+            assert old.requests.empty()
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_drain_holds_though_an_agent_that_lags_tells_an_older_whole_list() -> None:
     async def test() -> None:
-        old, new = Agent(), Agent()
+        old, new = FakeDiscovery(), FakeDiscovery()
         async with listening(old), listening(new):
             f = Follower(old, None)
-            await soon(old.asked.get())
-            old.tell(listing(41, host("s-1", 1, "terminating"), host("s-2", 2, "terminating")))
+            await with_timeout(old.requests.get())
+            old.send_update(
+                endpoint_list(
+                    41, endpoint_entry("s-1", 1, "terminating"), endpoint_entry("s-2", 2, "terminating")
+                )
+            )
             await f.next()
-            f.watch.move((LOCAL, new.port))
-            await soon(new.asked.get())
+            f.watch.move((LOOPBACK, new.port))
+            await with_timeout(new.requests.get())
             # The second has been started anew, so it is another: it was told too, before its drain.
-            new.tell(listing(40, host("s-1", 1), host("s-2", 2, born_ms=5), host("s-3", 3)))
+            new.send_update(
+                endpoint_list(
+                    40,
+                    endpoint_entry("s-1", 1),
+                    endpoint_entry("s-2", 2, born_ms=5),
+                    endpoint_entry("s-3", 3),
+                )
+            )
             told = (await f.next()).topology
             assert [e.health for e in told.entries] == [Health.DRAINING, Health.READY, Health.READY]
-            new.tell(listing(42, host("s-1", 1), whole=False))
+            new.send_update(endpoint_list(42, endpoint_entry("s-1", 1), whole=False))
             assert (await f.next()).topology.entries[0].health is Health.READY
             await f.watch.close()
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_junk_on_the_watch_breaks_it_and_it_is_taken_up_again() -> None:
     async def test() -> None:
-        agent = Agent()
+        agent = FakeDiscovery()
         async with listening(agent):
             f = Follower(agent, None)
-            assert await soon(agent.asked.get()) == b"GET /api/targets?stream=1&index=0 HTTP/1.1"
-            agent.raw(b"no json\n")
-            await soon(agent.asked.get())
-            agent.tell(listing(1))
+            assert await with_timeout(agent.requests.get()) == b"GET /api/targets?stream=1&index=0 HTTP/1.1"
+            agent.send_bytes(b"no json\n")
+            await with_timeout(agent.requests.get())
+            agent.send_update(endpoint_list(1))
             assert (await f.next()).topology.version == 1
             await f.watch.close()
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_indented_list_is_read_however_its_pieces_come() -> None:
     async def test() -> None:
-        agent = Agent()
+        agent = FakeDiscovery()
         async with listening(agent):
             f = Follower(agent, None)
-            await soon(agent.asked.get())
-            whole = listing(41, host("s-1", 1), host("s-2", 2))
-            agent.raw(json.dumps(whole, indent=2).encode() + b"\n")
+            await with_timeout(agent.requests.get())
+            whole = endpoint_list(41, endpoint_entry("s-1", 1), endpoint_entry("s-2", 2))
+            agent.send_bytes(json.dumps(whole, indent=2).encode() + b"\n")
             assert len((await f.next()).topology.entries) == 2
-            text = json.dumps(listing(42, host("s-1", 1, "terminating"), whole=False), indent="\t").encode()
+            text = json.dumps(
+                endpoint_list(42, endpoint_entry("s-1", 1, "terminating"), whole=False), indent="\t"
+            ).encode()
             for byte in text + b"\n\n":
-                agent.raw(bytes([byte]))
+                agent.send_bytes(bytes([byte]))
             assert (await f.next()).topology.entries[0].health is Health.DRAINING
-            agent.tell(listing(43, host("s-2", 2, "terminated"), whole=False))
+            agent.send_update(endpoint_list(43, endpoint_entry("s-2", 2, "terminated"), whole=False))
             assert (await f.next()).topology.version == 43
-            assert agent.asked.empty()
+            assert agent.requests.empty()
             await f.watch.close()
 
-    run(test)
+    run_on_loop(test)
 
 
 @pytest.mark.parametrize(
@@ -223,32 +236,32 @@
     junk: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        agent = Agent()
+        agent = FakeDiscovery()
         async with listening(agent):
             f = Follower(agent, 41)
-            await soon(agent.asked.get())
-            agent.raw(junk)
-            assert b"index=41" in await soon(agent.asked.get())
+            await with_timeout(agent.requests.get())
+            agent.send_bytes(junk)
+            assert b"index=41" in await with_timeout(agent.requests.get())
             assert f.updates.empty()
             assert "discovery watch over" in caplog.text
-            agent.tell(listing(42, host("s-1", 1)))
+            agent.send_update(endpoint_list(42, endpoint_entry("s-1", 1)))
             assert (await f.next()).topology.version == 42
             await f.watch.close()
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_silent_watch_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         monkeypatch.setattr(discovery, "SILENCE", 0.05)
-        agent = Agent()
+        agent = FakeDiscovery()
         async with listening(agent):
             f = Follower(agent, 7)
             for _ in range(2):
-                assert b"index=7" in await soon(agent.asked.get())
+                assert b"index=7" in await with_timeout(agent.requests.get())
             await f.watch.close()
 
-    run(test)
+    run_on_loop(test)
 
 
 def fast(monkeypatch: pytest.MonkeyPatch) -> list[float]:
@@ -271,58 +284,58 @@
     waits = fast(monkeypatch)
 
     async def test() -> None:
-        agent = Agent()
+        agent = FakeDiscovery()
         async with listening(agent):
             f = Follower(agent, 7)
             for _ in range(8):
-                await soon(agent.asked.get())
-                agent.hang_up()
-            await soon(agent.asked.get())
+                await with_timeout(agent.requests.get())
+                agent.abort()
+            await with_timeout(agent.requests.get())
             assert max(waits[-2:]) >= discovery.BACKOFF_MOST / 2
-            agent.raw(b"\n")
+            agent.send_bytes(b"\n")
             watch_waits = len(waits)
             agent.writers[-1].close()  # after the line, so that it is read
-            await soon(agent.asked.get())
+            await with_timeout(agent.requests.get())
             assert waits[watch_waits] <= discovery.BACKOFF_FIRST
             await f.watch.close()
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_agent_that_hangs_up_is_called_again_within_the_drain_grace(monkeypatch: pytest.MonkeyPatch) -> None:
     waits = fast(monkeypatch)
 
     async def test() -> None:
-        agent = Agent()
+        agent = FakeDiscovery()
         async with listening(agent):
             told: list[Update] = []
-            watch = Discovery((LOCAL, agent.port), ZONES, KINDS, 7, told.append, 0.25)
+            watch = Discovery((LOOPBACK, agent.port), ZONES, KINDS, 7, told.append, 0.25)
             watch.start()
             for _ in range(9):
-                await soon(agent.asked.get())
-                agent.hang_up()
+                await with_timeout(agent.requests.get())
+                agent.abort()
             assert len(waits) >= 8
             assert max(waits) <= 0.125
             await watch.close()
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_connection_to_the_agent_that_comes_up_too_late_is_closed() -> None:
     """Cancelled in the very moment in which it came up, it would stay open and be told into."""
 
     async def test() -> None:
-        agent = Agent()
+        agent = FakeDiscovery()
         async with listening(agent):
             told: list[Any] = []
             watch = discovery._Watch("x", 7, told.append)
             watch.close()
-            await asyncio.get_running_loop().create_connection(lambda: watch, LOCAL, agent.port)
-            await until(lambda: watch._transport is not None and watch._transport.is_closing())
+            await asyncio.get_running_loop().create_connection(lambda: watch, LOOPBACK, agent.port)
+            await wait_until(lambda: watch._transport is not None and watch._transport.is_closing())
             assert watch._timer is None
-            assert agent.asked.empty()
+            assert agent.requests.empty()
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_old_list_serves_while_discovery_is_down(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -331,14 +344,14 @@
         monkeypatch.setattr(
             "qos_gateway.server.endpoint_feed.FIRST_LIST_TIMEOUT_S", 600.0
         )  # only without a list
-        gateway = GatewayProcess(config(1, listing(5, host("s-1", 1))))
+        gateway = GatewayProcess(make_config(1, endpoint_list(5, endpoint_entry("s-1", 1))))
         assert gateway.is_ready()
-        await soon(gateway.start())
+        await with_timeout(gateway.start())
         assert gateway.clients.port > 0
         await gateway.discovery.close()
         gateway.clients.shut()
 
-    run(test)
+    run_on_loop(test)
 
 
 class Lagging(asyncio.Protocol):
@@ -348,7 +361,7 @@
         self.descriptor = transport.get_extra_info("socket").fileno()
 
     def data_received(self, _data: bytes) -> None:
-        line = json.dumps(listing(6, host("s-1", 1, "terminating"))).encode() + b"\n"
+        line = json.dumps(endpoint_list(6, endpoint_entry("s-1", 1, "terminating"))).encode() + b"\n"
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         os.write(self.descriptor, head + b"%x\r\n%b\r\n" % (len(line), line))
         time.sleep(0.6)
@@ -360,65 +373,73 @@
     ready: list[bool] = []
 
     async def test() -> None:
-        agent = await asyncio.get_running_loop().create_server(Lagging, LOCAL, 0)
-        gateway = GatewayProcess(config(agent.sockets[0].getsockname()[1], listing(5, host("s-1", 1))))
+        agent = await asyncio.get_running_loop().create_server(Lagging, LOOPBACK, 0)
+        gateway = GatewayProcess(
+            make_config(agent.sockets[0].getsockname()[1], endpoint_list(5, endpoint_entry("s-1", 1)))
+        )
 
         async def opened() -> None:
             ready.append(gateway.is_ready())
             await Clients.start(gateway.clients)
 
         monkeypatch.setattr(gateway.clients, "start", opened)
-        await soon(gateway.start())
+        await with_timeout(gateway.start())
         assert ready == [False]
         await gateway.discovery.close()
         gateway.clients.shut()
         agent.close()
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_without_any_list_a_ping_is_not_answered_with_pong(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         monkeypatch.setattr("qos_gateway.server.endpoint_feed.FIRST_LIST_TIMEOUT_S", 0.01)
-        async with world() as w:
-            w.agent.tell(listing(2))
-            await until(lambda: not w.gateway.is_ready())
-            client = await w.client()
+        async with gateway_harness() as harness:
+            harness.discovery.send_update(endpoint_list(2))
+            await wait_until(lambda: not harness.gateway.is_ready())
+            client = await harness.connect_client()
             client.send(b"*1\r\n$4\r\nPING\r\n")
-            assert str(await client.next()).startswith("LOADING")
-            w.agent.tell(listing(3, host("s-1", w.backend.port)))
-            await until(w.gateway.is_ready)
+            assert str(await client.next_message()).startswith("LOADING")
+            harness.discovery.send_update(endpoint_list(3, endpoint_entry("s-1", harness.backend.port)))
+            await wait_until(harness.gateway.is_ready)
             client.send(b"*1\r\n$4\r\nPING\r\n")
-            assert await client.next() == b"PONG"
+            assert await client.next_message() == b"PONG"
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_drained_backend_gets_nothing_new_and_a_whole_list_takes_away_what_it_lacks() -> None:
     async def test() -> None:
-        async with world() as w:
-            client = await w.client()
-            client.send(call(number=1))
-            connection, _ = await w.backend.command()
-            connection.send(served(b"v"))
-            assert await client.next() == b"v"
-            w.agent.tell(listing(2, host("s-1", w.backend.port, "terminating"), whole=False))
-            await until(lambda: w.backend.ended == 1)  # the idle connection is closed
-            client.send(call(number=2))
-            assert str(await client.next()).startswith("BUSY")
-            w.agent.tell(listing(3, host("s-1", w.backend.port), whole=False))
-            await until(
-                lambda: w.gateway.dispatcher.engine.load_balancer.endpoints[backend_id("s-1")].in_service
+        async with gateway_harness() as harness:
+            client = await harness.connect_client()
+            client.send(call_command(number=1))
+            connection, _ = await harness.backend.next_command()
+            connection.send(success_reply(b"v"))
+            assert await client.next_message() == b"v"
+            harness.discovery.send_update(
+                endpoint_list(2, endpoint_entry("s-1", harness.backend.port, "terminating"), whole=False)
+            )
+            await wait_until(lambda: harness.backend.closed_connections == 1)  # the idle connection is closed
+            client.send(call_command(number=2))
+            assert str(await client.next_message()).startswith("BUSY")
+            harness.discovery.send_update(
+                endpoint_list(3, endpoint_entry("s-1", harness.backend.port), whole=False)
+            )
+            await wait_until(
+                lambda: (
+                    harness.gateway.dispatcher.engine.load_balancer.endpoints[backend_id("s-1")].in_service
+                )
             )
-            client.send(call(number=3))
-            connection, _ = await w.backend.command()
-            connection.send(served(b"w"))
-            assert await client.next() == b"w"
-            w.agent.tell(listing(4, host("s-2", w.backend.port)))
-            await until(lambda: w.backend.ended == 2)
-            assert backend_id("s-1") not in w.gateway.dispatcher.engine.load_balancer.endpoints
+            client.send(call_command(number=3))
+            connection, _ = await harness.backend.next_command()
+            connection.send(success_reply(b"w"))
+            assert await client.next_message() == b"w"
+            harness.discovery.send_update(endpoint_list(4, endpoint_entry("s-2", harness.backend.port)))
+            await wait_until(lambda: harness.backend.closed_connections == 2)
+            assert backend_id("s-1") not in harness.gateway.dispatcher.engine.load_balancer.endpoints
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_stopping_gateway_has_word_for_its_peers_up_to_the_longest_deadline(
@@ -431,30 +452,30 @@
     )  # short of the deadline here, to be quick
 
     async def test() -> None:
-        agent, told = Agent(), Told()
-        agent.first = listing(1, host("s-1", 1))
+        agent, told = FakeDiscovery(), Told()
+        agent.first_update = endpoint_list(1, endpoint_entry("s-1", 1))
         loop = asyncio.get_running_loop()
-        peer, _ = await loop.create_datagram_endpoint(lambda: told, local_addr=(LOCAL, 0))
-        own, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, local_addr=(LOCAL, 0))
+        peer, _ = await loop.create_datagram_endpoint(lambda: told, local_addr=(LOOPBACK, 0))
+        own, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, local_addr=(LOOPBACK, 0))
         ports = [":".join(map(str, end.get_extra_info("sockname"))) for end in (own, peer)]
         own.close()
         await asyncio.sleep(0)
         async with listening(agent):
             raw = raw_config(agent.port) | {"peer_listen": ports[0], "peers": ports}
             gateway = GatewayProcess(parse(raw, {}))
-            await soon(gateway.start())
+            await with_timeout(gateway.start())
             stopping = asyncio.create_task(gateway.stop())
-            await until(lambda: gateway.clients.closing and gateway.clients.count() == 0)
+            await wait_until(lambda: gateway.clients.closing and gateway.clients.count() == 0)
             told.at.clear()
-            await until(lambda: len(told.at) >= 3)
+            await wait_until(lambda: len(told.at) >= 3)
             assert not stopping.done()
-            await soon(stopping)
+            await with_timeout(stopping)
             last = len(told.at)
             await asyncio.sleep(0)
             assert len(told.at) == last
         peer.close()
 
-    run(test)
+    run_on_loop(test)
 
 
 class Told(asyncio.DatagramProtocol):
@@ -477,7 +498,7 @@
     async def test() -> None:
         loop = asyncio.get_running_loop()
         quiet = asyncio.DatagramProtocol
-        probes = [await loop.create_datagram_endpoint(quiet, local_addr=(LOCAL, 0)) for _ in range(4)]
+        probes = [await loop.create_datagram_endpoint(quiet, local_addr=(LOOPBACK, 0)) for _ in range(4)]
         ports = [transport.get_extra_info("sockname") for transport, _ in probes]
         stranger = probes[3][0]
         probes[0][0].close()
@@ -491,11 +512,11 @@
         zero.send(1, b"x" * 257)
         zero.send(9, b"nobody")
         zero.send(1, b"x" * 256)
-        await until(lambda: bool(heard1))
+        await wait_until(lambda: bool(heard1))
         zero.send(None, b"all")
-        await until(lambda: len(heard1) == 2)
+        await wait_until(lambda: len(heard1) == 2)
         one.send(0, b"back")
-        await until(lambda: bool(heard0))
+        await wait_until(lambda: bool(heard0))
         assert heard1 == [(0, b"x" * 256), (0, b"all")]
         assert heard0 == [(1, b"back")]
         for end in (zero, one):
@@ -503,17 +524,17 @@
         for transport, _ in probes[2:]:
             transport.close()
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_peer_message_reaches_the_module_and_junk_does_no_harm() -> None:
     async def test() -> None:
-        async with world() as w:
+        async with gateway_harness() as harness:
             for junk in (b"", b"\xff" * 7, b"\x01" * 256):
-                w.gateway.peers.datagram_received(junk, (LOCAL, 1))
-            s = Script()
-            w.gateway.dispatcher.engine = s  # type: ignore[assignment]
-            w.gateway.peers._on_message(PeerMessage(1, b"word"))
-            assert s.events == [PeerMessage(1, b"word")]
+                harness.gateway.peers.datagram_received(junk, (LOOPBACK, 1))
+            engine = ScriptedEngine()
+            harness.gateway.dispatcher.engine = engine  # type: ignore[assignment]
+            harness.gateway.peers._on_message(PeerMessage(1, b"word"))
+            assert engine.events == [PeerMessage(1, b"word")]
 
-    run(test)
+    run_on_loop(test)
--- a/tests/server/test_discovery_deadlines.py
+++ b/tests/server/test_discovery_deadlines.py
@@ -17,15 +17,22 @@
 from qos_gateway.server import discovery
 from qos_gateway.server.discovery import CONNECT, IN_FORCE, MOVED, SILENCE, TOLD, Discovery, Pacing, Update
 from tests.server.test_discovery import KINDS, ZONES, fast
-from tests.support.servers import LOCAL, Agent, host, listing, run, soon
+from tests.support.servers import (
+    LOOPBACK,
+    FakeDiscovery,
+    endpoint_entry,
+    endpoint_list,
+    run_on_loop,
+    with_timeout,
+)
 
 LATEST = TOLD - IN_FORCE  # s by which the next call begins
 BUSY = b"HTTP/1.1 %d Busy\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n"
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-WHOLE = json.dumps(listing(41, host("s-1", 1))).encode() + b"\n"
+WHOLE = json.dumps(endpoint_list(41, endpoint_entry("s-1", 1))).encode() + b"\n"
 
 
-class Moody(Agent):
+class Moody(FakeDiscovery):
     """Discovery whose next calls end as the test says; after these it answers, and then keeps silent."""
 
     def __init__(self, moods: list[str]) -> None:
@@ -35,7 +42,7 @@
 
     async def open(self) -> None:
         if not (self.moods and self.moods[0] == "refused"):
-            self.server = await asyncio.start_server(self.serve, LOCAL, self.port)
+            self.server = await asyncio.start_server(self.serve, LOOPBACK, self.port)
             self.port = self.server.sockets[0].getsockname()[1]
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -67,25 +74,25 @@
         agent, told = Moody([*moods]), asyncio.Queue[Update]()
         if moods[0] == "refused":
             with socket.socket() as free:
-                free.bind((LOCAL, 0))
+                free.bind((LOOPBACK, 0))
                 agent.port = free.getsockname()[1]
         await agent.open()
-        watch = Discovery((LOCAL, agent.port), ZONES, KINDS, None, told.put_nowait)
+        watch = Discovery((LOOPBACK, agent.port), ZONES, KINDS, None, told.put_nowait)
         watch.start()
         for _ in range(sum(mood in ("break", "silence") for mood in moods)):
-            await soon(told.get())
+            await with_timeout(told.get())
         if "refused" in moods:
             while len(waits) < len(moods):
                 await asyncio.get_running_loop().run_in_executor(None, bool)
             agent.moods.clear()
             await agent.open()
-        await soon(told.get())
+        await with_timeout(told.get())
         await watch.close()
         agent.never.set()
         if agent.server is not None:
             agent.server.close()
 
-    run(test)
+    run_on_loop(test)
     return waits
 
 
--- a/tests/server/test_graceful_shutdown.py
+++ b/tests/server/test_graceful_shutdown.py
@@ -14,9 +14,20 @@
 
 from qos_gateway.server import clients
 from qos_gateway.types import Arrival, Send
-from tests.server.test_clients import only_backend, script
+from tests.server.test_clients import only_backend, script_engine
 from tests.server.test_process import launched, running
-from tests.support.servers import Agent, Backend, call, listening, raw_config, run, served, soon, until, world
+from tests.support.servers import (
+    FakeBackend,
+    FakeDiscovery,
+    call_command,
+    gateway_harness,
+    listening,
+    raw_config,
+    run_on_loop,
+    success_reply,
+    wait_until,
+    with_timeout,
+)
 
 SECOND = 1_000_000_000
 ROOT = Path(__file__).parent.parent.parent
@@ -30,38 +41,40 @@
 @pytest.mark.usefixtures("door_shuts_at_once")
 def test_request_is_answered_though_it_lasts_longer_than_stopping_was_to() -> None:
     async def test() -> None:
-        async with world() as w:
-            w.gateway.clients._longest = -1.0
-            client = await w.client()
-            client.send(call(number=1))
-            connection, _ = await w.backend.command()
-            stopping = asyncio.create_task(w.gateway.stop())
-            await until(lambda: w.gateway.clients.closing)
-            connection.send(served(b"v"))
-            assert [await client.next(), await client.next()] == [b"v", None]
+        async with gateway_harness() as harness:
+            harness.gateway.clients._longest = -1.0
+            client = await harness.connect_client()
+            client.send(call_command(number=1))
+            connection, _ = await harness.backend.next_command()
+            stopping = asyncio.create_task(harness.gateway.stop())
+            await wait_until(lambda: harness.gateway.clients.closing)
+            connection.send(success_reply(b"v"))
+            assert [await client.next_message(), await client.next_message()] == [b"v", None]
             stopping.cancel()
 
-    run(test)
+    run_on_loop(test)
 
 
 @pytest.mark.usefixtures("door_shuts_at_once")
 def test_half_a_command_is_answered_and_not_reset_at_the_end() -> None:
     async def test() -> None:
-        async with world() as w:
-            w.gateway.clients._longest = -1.0
-            client = await w.client()
-            client.send(call(number=1)[:-3])
-            await until(lambda: any(c._half for c in w.gateway.clients._fresh))
-            stopping = asyncio.create_task(w.gateway.stop())
-            assert str(await client.next()) == "BUSY"
-            client.send(call(number=1)[-3:])  # crosses the end: read and dropped, or it would be reset
-            assert await client.next() is None
+        async with gateway_harness() as harness:
+            harness.gateway.clients._longest = -1.0
+            client = await harness.connect_client()
+            client.send(call_command(number=1)[:-3])
+            await wait_until(lambda: any(c._half for c in harness.gateway.clients._fresh))
+            stopping = asyncio.create_task(harness.gateway.stop())
+            assert str(await client.next_message()) == "BUSY"
+            client.send(
+                call_command(number=1)[-3:]
+            )  # crosses the end: read and dropped, or it would be reset
+            assert await client.next_message() is None
             client.writer.close()
-            await until(lambda: w.gateway.clients.count() == 0)
-            assert w.backend.commands.empty()
+            await wait_until(lambda: harness.gateway.clients.count() == 0)
+            assert harness.backend.commands.empty()
             stopping.cancel()
 
-    run(test)
+    run_on_loop(test)
 
 
 @pytest.mark.usefixtures("door_shuts_at_once")
@@ -72,64 +85,64 @@
     monkeypatch.setattr("qos_gateway.server.gateway.MAX_KILL_DEADLINE_NS", SECOND // 2)
 
     async def test() -> None:
-        async with world() as w:
-            backend = only_backend(w)
-            s = script(w, *[lambda a: [Send(a.request_id, backend, 0)]] * 2)
-            client = await w.client()
-            client.send(call(number=1))
-            first, _ = await w.backend.command()
-            stopping = asyncio.create_task(w.gateway.stop())
-            await until(lambda: w.gateway.clients.closing)
-            killed = w.gateway.clock() + SECOND // 2 + 7 * SECOND // 10
-            client.send(call(number=2))
-            second, _ = await w.backend.command()
-            assert [a.deadline < killed for a in s.of(Arrival)] == [False, True]
-            first.send(served(b"1"))
-            second.send(served(b"2"))
-            assert [await client.next() for _ in range(3)] == [b"1", b"2", None]
+        async with gateway_harness() as harness:
+            backend = only_backend(harness)
+            engine = script_engine(harness, *[lambda a: [Send(a.request_id, backend, 0)]] * 2)
+            client = await harness.connect_client()
+            client.send(call_command(number=1))
+            first, _ = await harness.backend.next_command()
+            stopping = asyncio.create_task(harness.gateway.stop())
+            await wait_until(lambda: harness.gateway.clients.closing)
+            killed = harness.gateway.clock() + SECOND // 2 + 7 * SECOND // 10
+            client.send(call_command(number=2))
+            second, _ = await harness.backend.next_command()
+            assert [a.deadline < killed for a in engine.events_of(Arrival)] == [False, True]
+            first.send(success_reply(b"1"))
+            second.send(success_reply(b"2"))
+            assert [await client.next_message() for _ in range(3)] == [b"1", b"2", None]
             stopping.cancel()
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_signals_twice_and_mixed_take_no_answer_along(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(tmp_path) as p:
             client = await p.client()
-            client.send(call(number=1))
-            connection, _ = await p.backend.command()
+            client.send(call_command(number=1))
+            connection, _ = await p.backend.next_command()
             for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGTERM):
                 p.process.send_signal(number)
             await p.logged(b"stopping")
             p.process.send_signal(signal.SIGHUP)
             p.process.send_signal(signal.SIGTERM)
-            connection.send(served(b"v"))
-            assert [await client.next(), await client.next()] == [b"v", None]
-            assert await soon(p.process.wait()) == 0
+            connection.send(success_reply(b"v"))
+            assert [await client.next_message(), await client.next_message()] == [b"v", None]
+            assert await with_timeout(p.process.wait()) == 0
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_signals_while_starting_end_it_in_good_order(tmp_path: Path) -> None:
     """Discovery is silent, so the start waits for its word; both signals come meanwhile."""
 
     async def test() -> None:
-        agent, backend = Agent(), Backend()
+        agent, backend = FakeDiscovery(), FakeBackend()
         async with listening(agent), listening(backend), launched(tmp_path, agent) as process:
-            await soon(agent.asked.get())
+            await with_timeout(agent.requests.get())
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGTERM)
             process.send_signal(signal.SIGTERM)
-            assert await soon(process.wait()) == 0
+            assert await with_timeout(process.wait()) == 0
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_new_configuration_told_before_the_program_can_hear_does_not_end_it(tmp_path: Path) -> None:
     """Until Python has loaded it the signal would have its default, which kills."""
 
     async def test() -> None:
-        agent = Agent()
+        agent = FakeDiscovery()
         path = tmp_path / "config.json"
         async with listening(agent):
             path.write_text(json.dumps(raw_config(agent.port)))
@@ -144,14 +157,14 @@
             )
             try:
                 words = Path(f"/proc/{process.pid}/cmdline")
-                await until(lambda: words.read_bytes().startswith(sys.executable.encode()))
+                await wait_until(lambda: words.read_bytes().startswith(sys.executable.encode()))
                 process.send_signal(signal.SIGHUP)
-                await soon(agent.asked.get())
+                await with_timeout(agent.requests.get())
                 process.send_signal(signal.SIGTERM)
-                assert await soon(process.wait()) == 0
+                assert await with_timeout(process.wait()) == 0
             finally:
                 if process.returncode is None:
                     process.kill()
                 await process.wait()
 
-    run(test)
+    run_on_loop(test)
--- a/tests/server/test_process.py
+++ b/tests/server/test_process.py
@@ -18,20 +18,20 @@
 from qos_gateway.server.clients import QUIET
 from qos_gateway.server.config import ConfigError, flatten, load, needs_restart, parse, reload
 from tests.support.servers import (
-    LOCAL,
-    Agent,
-    Backend,
+    LOOPBACK,
     Connection,
-    call,
-    host,
+    FakeBackend,
+    FakeDiscovery,
+    call_command,
+    endpoint_entry,
+    endpoint_list,
     listening,
-    listing,
     nested_settings,
     raw_config,
-    run,
-    served,
-    soon,
-    until,
+    run_on_loop,
+    success_reply,
+    wait_until,
+    with_timeout,
 )
 
 COMMAND = (sys.executable, "-m", "qos_gateway")
@@ -40,7 +40,9 @@
 class Process:
     """A gateway in a process of its own."""
 
-    def __init__(self, process: asyncio.subprocess.Process, port: int, backend: Backend, path: Path) -> None:
+    def __init__(
+        self, process: asyncio.subprocess.Process, port: int, backend: FakeBackend, path: Path
+    ) -> None:
         self.process, self.port, self.backend, self.path = process, port, backend, path
         self.door = 0
         self.read = b""  # of the log: what was read past on the way to lines asked for
@@ -48,26 +50,26 @@
     async def logged(self, words: bytes) -> bytes:
         """Reads the log up to a line that holds these words."""
         assert self.process.stderr is not None
-        while words not in (line := await soon(self.process.stderr.readline())):
+        while words not in (line := await with_timeout(self.process.stderr.readline())):
             assert line, "ended before it said so"
             self.read += line
         return line
 
     async def client(self) -> Connection:
-        return Connection(*await soon(asyncio.open_connection(LOCAL, self.port)))
+        return Connection(*await with_timeout(asyncio.open_connection(LOOPBACK, self.port)))
 
 
 @asynccontextmanager
 async def passing() -> AsyncIterator[socket.socket]:
     """A listening socket as the platform holds it."""
-    with socket.create_server((LOCAL, 0)) as sock:
+    with socket.create_server((LOOPBACK, 0)) as sock:
         sock.set_inheritable(True)
         yield sock
 
 
 @asynccontextmanager
 async def serving(
-    folder: Path, agent: Agent, backend: Backend, sock: socket.socket
+    folder: Path, agent: FakeDiscovery, backend: FakeBackend, sock: socket.socket
 ) -> AsyncIterator[Process]:
     """A gateway on a listening socket that the platform holds."""
     path = folder / "config.json"
@@ -80,7 +82,7 @@
             **os.environ,
             "ROUTER_CONFIG": str(path),
             "ROUTER_PASSED_SOCKET": str(sock.fileno()),
-            "ROUTER_OPERATOR": f"{LOCAL}:0",
+            "ROUTER_OPERATOR": f"{LOOPBACK}:0",
             "TMPDIR": str(folder),
         },
     )
@@ -97,46 +99,46 @@
 
 def test_upgrade_on_the_platforms_socket_answers_all_and_leaves_the_rest_to_the_new(tmp_path: Path) -> None:
     async def test() -> None:
-        agent, backend = Agent(), Backend()
+        agent, backend = FakeDiscovery(), FakeBackend()
         async with listening(agent), listening(backend), passing() as sock:
-            agent.first = listing(1, host("s-1", backend.port))
+            agent.first_update = endpoint_list(1, endpoint_entry("s-1", backend.port))
             async with serving(tmp_path, agent, backend, sock) as old:
                 taken, idle = await old.client(), await old.client()
                 idle.send(b"*1\r\n$4\r\nPING\r\n")
-                assert await idle.next() == b"PONG"
-                taken.send(call(number=1))
-                first, _ = await backend.command()
+                assert await idle.next_message() == b"PONG"
+                taken.send(call_command(number=1))
+                first, _ = await backend.next_command()
                 async with serving(tmp_path, agent, backend, sock) as new:
                     old.process.send_signal(signal.SIGTERM)
                     await old.logged(b"stopping")
-                    assert await idle.next() is None
+                    assert await idle.next_message() is None
                     for number in range(2, 12):  # the old accepts no more
                         client = await new.client()
-                        client.send(call(number=number))
-                        connection, words = await backend.command()
+                        client.send(call_command(number=number))
+                        connection, words = await backend.next_command()
                         assert words[2] == b"%016x" % number
-                        connection.send(served(b"new"))
-                        assert await client.next() == b"new"
+                        connection.send(success_reply(b"new"))
+                        assert await client.next_message() == b"new"
                     assert old.process.returncode is None
-                    first.send(served(b"old"))
-                    assert await taken.next() == b"old"
-                    assert await taken.next() is None
-                    assert await soon(old.process.wait()) == 0
+                    first.send(success_reply(b"old"))
+                    assert await taken.next_message() == b"old"
+                    assert await taken.next_message() is None
+                    assert await with_timeout(old.process.wait()) == 0
                     client = await new.client()
-                    client.send(call(number=20))
-                    connection, _ = await backend.command()
-                    connection.send(served(b"still"))
-                    assert await client.next() == b"still"
+                    client.send(call_command(number=20))
+                    connection, _ = await backend.next_command()
+                    connection.send(success_reply(b"still"))
+                    assert await client.next_message() == b"still"
 
-    run(test)
+    run_on_loop(test)
 
 
 async def operate(p: Process, path: str, body: bytes = b"") -> int:
     """Status of an operator's call."""
-    reader, writer = await soon(asyncio.open_connection(LOCAL, p.door))
+    reader, writer = await with_timeout(asyncio.open_connection(LOOPBACK, p.door))
     head = f"{'POST' if body else 'GET'} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n"
     writer.write(head.encode() + body)
-    answer = await soon(reader.read())
+    answer = await with_timeout(reader.read())
     writer.close()
     return int(answer.split()[1])
 
@@ -145,13 +147,15 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        agent, one, two = Agent(), Backend(), Backend()
+        agent, one, two = FakeDiscovery(), FakeBackend(), FakeBackend()
         async with listening(agent), listening(one), listening(two), passing() as sock:
-            agent.first = listing(1, host("s-1", one.port), host("s-2", two.port))
+            agent.first_update = endpoint_list(
+                1, endpoint_entry("s-1", one.port), endpoint_entry("s-2", two.port)
+            )
             async with serving(tmp_path, agent, one, sock) as old:
                 kept = await old.client()
-                kept.send(call(number=1, wait_ms=9000))
-                await until(lambda: one.commands.qsize() + two.commands.qsize() == 1)
+                kept.send(call_command(number=1, wait_ms=9000))
+                await wait_until(lambda: one.commands.qsize() + two.commands.qsize() == 1)
                 held = (one if one.commands.qsize() else two).commands.get_nowait()[0]
                 assert await operate(old, "/ops/order-servers/down", b"s-1") == 200
                 async with serving(tmp_path, agent, one, sock) as new:
@@ -166,28 +170,28 @@
                     await asyncio.sleep(0)
                     for number in range(2, 12):
                         client = await new.client()
-                        client.send(call(number=number))
-                        answered = asyncio.ensure_future(client.next())
+                        client.send(call_command(number=number))
+                        answered = asyncio.ensure_future(client.next_message())
                         while not answered.done():
                             assert two.commands.empty()  # left out: nothing may go there
                             if not one.commands.empty():
-                                one.commands.get_nowait()[0].send(served(b"v"))
+                                one.commands.get_nowait()[0].send(success_reply(b"v"))
                             await asyncio.sleep(0.001)
-                    held.send(served(b"old"))
-                    assert await kept.next() == b"old"
-                    assert await soon(old.process.wait()) == 0
+                    held.send(success_reply(b"old"))
+                    assert await kept.next_message() == b"old"
+                    assert await with_timeout(old.process.wait()) == 0
                     await new.logged(b"handover_other_process_ended")
                     assert await operate(new, "/ops/order-servers/up", b"s-2") == 200
                     assert await operate(new, "/ops/order-servers/up", b"s-3") == 404
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_old_process_has_everything_again_when_the_new_one_dies(tmp_path: Path) -> None:
     async def test() -> None:
-        agent, backend = Agent(), Backend()
+        agent, backend = FakeDiscovery(), FakeBackend()
         async with listening(agent), listening(backend), passing() as sock:
-            agent.first = listing(1, host("s-1", backend.port))
+            agent.first_update = endpoint_list(1, endpoint_entry("s-1", backend.port))
             async with serving(tmp_path, agent, backend, sock) as old:
                 async with serving(tmp_path, agent, backend, sock) as new:
                     new.process.kill()
@@ -198,10 +202,10 @@
                 assert await operate(old, "/ops/readiness") == 200
                 old.process.send_signal(signal.SIGTERM)
                 assert old.process.stderr is not None
-                assert b"handover_other_process_ended" not in await soon(old.process.stderr.read())
-                assert await soon(old.process.wait()) == 0
+                assert b"handover_other_process_ended" not in await with_timeout(old.process.stderr.read())
+                assert await with_timeout(old.process.wait()) == 0
 
-    run(test)
+    run_on_loop(test)
 
 
 @pytest.mark.parametrize(
@@ -230,28 +234,28 @@
 
         asked: list[bytes] = []
         server = await asyncio.start_unix_server(answer, tmp_path / "upgrade-n0.sock")
-        agent, backend = Agent(), Backend()
+        agent, backend = FakeDiscovery(), FakeBackend()
         async with listening(agent), listening(backend), passing() as sock:
-            agent.first = listing(1, host("s-1", backend.port))
+            agent.first_update = endpoint_list(1, endpoint_entry("s-1", backend.port))
             async with serving(tmp_path, agent, backend, sock) as p:
                 assert json.loads(asked[0]) == {"v": 1, "want": "state"}
                 client = await p.client()
-                client.send(call())
-                connection, _ = await backend.command()
-                connection.send(served(b"v"))
-                assert await client.next() == b"v"
+                client.send(call_command())
+                connection, _ = await backend.next_command()
+                connection.send(success_reply(b"v"))
+                assert await client.next_message() == b"v"
         server.close()
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_name_left_by_a_killed_process_is_taken_over_in_a_folder_with_a_long_path(tmp_path: Path) -> None:
     async def test() -> None:
         folder = tmp_path / ("long" * 30)
         folder.mkdir()
-        agent, backend = Agent(), Backend()
+        agent, backend = FakeDiscovery(), FakeBackend()
         async with listening(agent), listening(backend), passing() as sock:
-            agent.first = listing(1, host("s-1", backend.port))
+            agent.first_update = endpoint_list(1, endpoint_entry("s-1", backend.port))
             async with serving(folder, agent, backend, sock) as killed:
                 killed.process.kill()
                 await killed.process.wait()
@@ -260,7 +264,7 @@
                 async with serving(folder, agent, backend, sock) as new:
                     assert b"handover_completed endpoints_disabled=1" in new.read
 
-    run(test)
+    run_on_loop(test)
 
 
 @pytest.mark.parametrize("descriptor", ["0", "999"])
@@ -269,20 +273,27 @@
         async with running(tmp_path, ROUTER_PASSED_SOCKET=descriptor) as p:
             client = await p.client()
             client.send(b"*1\r\n$4\r\nPING\r\n")
-            assert await client.next() == b"PONG"
+            assert await client.next_message() == b"PONG"
 
-    run(test)
+    run_on_loop(test)
 
 
 @asynccontextmanager
-async def launched(folder: Path, agent: Agent, **more: str) -> AsyncIterator[asyncio.subprocess.Process]:
+async def launched(
+    folder: Path, agent: FakeDiscovery, **more: str
+) -> AsyncIterator[asyncio.subprocess.Process]:
     """A gateway's process, from its first moment."""
     path = folder / "config.json"
     path.write_text(json.dumps(raw_config(agent.port)))
     process = await asyncio.create_subprocess_exec(
         *COMMAND,
         stderr=asyncio.subprocess.PIPE,
-        env={**os.environ, "ROUTER_CONFIG": str(path), "ROUTER_DISCOVERY": f"{LOCAL}:{agent.port}", **more},
+        env={
+            **os.environ,
+            "ROUTER_CONFIG": str(path),
+            "ROUTER_DISCOVERY": f"{LOOPBACK}:{agent.port}",
+            **more,
+        },
     )
     try:
         yield process
@@ -294,12 +305,12 @@
 
 @asynccontextmanager
 async def running(folder: Path, **more: str) -> AsyncIterator[Process]:
-    agent, backend = Agent(), Backend()
+    agent, backend = FakeDiscovery(), FakeBackend()
     async with listening(agent), listening(backend):
-        agent.first = listing(1, host("s-1", backend.port))
+        agent.first_update = endpoint_list(1, endpoint_entry("s-1", backend.port))
         async with launched(folder, agent, **more) as process:
             assert process.stderr is not None
-            while b"listening on" not in (line := await soon(process.stderr.readline())):
+            while b"listening on" not in (line := await with_timeout(process.stderr.readline())):
                 assert line, "ended before it listened"
             yield Process(process, int(line.rsplit(b":", 1)[1]), backend, folder / "config.json")
 
@@ -309,29 +320,29 @@
         async with running(tmp_path) as p:
             taken, idle = await p.client(), await p.client()
             idle.send(b"*1\r\n$4\r\nPING\r\n")
-            assert await idle.next() == b"PONG"
-            taken.send(call(number=1))
-            first, _ = await p.backend.command()
+            assert await idle.next_message() == b"PONG"
+            taken.send(call_command(number=1))
+            first, _ = await p.backend.next_command()
             # Held still, so that all of this waits in socket and accept queue at the gateway's SIGTERM.
             p.process.send_signal(signal.SIGSTOP)
             late = await p.client()
-            late.send(call(number=2))
-            idle.send(call(number=3))
-            await soon(asyncio.gather(late.writer.drain(), idle.writer.drain()))
+            late.send(call_command(number=2))
+            idle.send(call_command(number=3))
+            await with_timeout(asyncio.gather(late.writer.drain(), idle.writer.drain()))
             p.process.send_signal(signal.SIGTERM)
             p.process.send_signal(signal.SIGCONT)
             held: dict[bytes, Connection] = {}
             for _ in range(2):
-                connection, words = await p.backend.command()
+                connection, words = await p.backend.next_command()
                 held[words[2]] = connection
-            held[b"%016x" % 3].send(served(b"3"))
-            held[b"%016x" % 2].send(served(b"2"))
-            first.send(served(b"1"))
-            assert [await client.next() for client in (taken, late, idle)] == [b"1", b"2", b"3"]
-            assert [await client.next() for client in (taken, late, idle)] == [None, None, None]
-            assert await soon(p.process.wait()) == 0
+            held[b"%016x" % 3].send(success_reply(b"3"))
+            held[b"%016x" % 2].send(success_reply(b"2"))
+            first.send(success_reply(b"1"))
+            assert [await client.next_message() for client in (taken, late, idle)] == [b"1", b"2", b"3"]
+            assert [await client.next_message() for client in (taken, late, idle)] == [None, None, None]
+            assert await with_timeout(p.process.wait()) == 0
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_connection_in_the_accept_queue_is_taken_though_the_stopping_gateway_lagged(tmp_path: Path) -> None:
@@ -339,20 +350,20 @@
         async with running(tmp_path) as p:
             p.process.send_signal(signal.SIGTERM)
             assert p.process.stderr is not None
-            while b"stopping" not in (line := await soon(p.process.stderr.readline())):
+            while b"stopping" not in (line := await with_timeout(p.process.stderr.readline())):
                 assert line
             p.process.send_signal(signal.SIGSTOP)
             late = await p.client()
-            late.send(call())
-            await soon(late.writer.drain())
+            late.send(call_command())
+            await with_timeout(late.writer.drain())
             await asyncio.sleep(QUIET + 0.1)  # its time to close the door passes meanwhile
             p.process.send_signal(signal.SIGCONT)
-            connection, _ = await p.backend.command()
-            connection.send(served(b"v"))
-            assert await late.next() == b"v"
-            assert await soon(p.process.wait()) == 0
+            connection, _ = await p.backend.next_command()
+            connection.send(success_reply(b"v"))
+            assert await late.next_message() == b"v"
+            assert await with_timeout(p.process.wait()) == 0
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_stopping_gateway_closes_its_door_though_new_connections_keep_coming(tmp_path: Path) -> None:
@@ -368,48 +379,52 @@
 
             kept: list[Connection] = []
             with pytest.raises(ConnectionRefusedError):
-                await soon(knock())
+                await with_timeout(knock())
             assert len(kept) > 1
-            assert await soon(p.process.wait()) == 0
+            assert await with_timeout(p.process.wait()) == 0
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_sighup_moves_discovery_and_keeps_the_rest_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
     async def test() -> None:
-        agent, second = Agent(), Backend()
+        agent, second = FakeDiscovery(), FakeBackend()
         async with listening(agent), listening(second), running(tmp_path) as p:
-            agent.first = listing(2, host("s-2", second.port), whole=False)
+            agent.first_update = endpoint_list(2, endpoint_entry("s-2", second.port), whole=False)
             client = await p.client()
-            client.send(call(number=1))
-            before, _ = await p.backend.command()
+            client.send(call_command(number=1))
+            before, _ = await p.backend.next_command()
             whole = json.dumps(raw_config(agent.port) | {"name": "other"})
-            for bad in (whole[:-9], json.dumps({"discovery": f"{LOCAL}:{agent.port}"})):
+            for bad in (whole[:-9], json.dumps({"discovery": f"{LOOPBACK}:{agent.port}"})):
                 p.path.write_text(bad)
                 p.process.send_signal(signal.SIGHUP)
                 await p.logged(b"configuration_invalid")
-            assert agent.asked.empty()
+            assert agent.requests.empty()
             p.path.write_text(whole)
             for _ in range(3):
                 p.process.send_signal(signal.SIGHUP)
             await p.logged(b"configuration_needs_restart settings=name")
-            assert b"index=1 " in await soon(agent.asked.get())
-            before.send(served(b"one"))
-            assert await client.next() == b"one"
+            assert b"index=1 " in await with_timeout(agent.requests.get())
+            before.send(success_reply(b"one"))
+            assert await client.next_message() == b"one"
             # The list in use stays, and what the new agent tells is added to it.
-            agent.tell(listing(3, host("s-1", p.backend.port, "terminating"), whole=False))
-            await until(lambda: p.backend.ended == 1)  # its connection at rest goes with the drain
-            client.send(call(number=2))
-            connection, _ = await second.command()
-            connection.send(served(b"two"))
-            assert await client.next() == b"two"
+            agent.send_update(
+                endpoint_list(3, endpoint_entry("s-1", p.backend.port, "terminating"), whole=False)
+            )
+            await wait_until(
+                lambda: p.backend.closed_connections == 1
+            )  # its connection at rest goes with the drain
+            client.send(call_command(number=2))
+            connection, _ = await second.next_command()
+            connection.send(success_reply(b"two"))
+            assert await client.next_message() == b"two"
             p.process.send_signal(signal.SIGTERM)
             await p.logged(b"stopping")
             for _ in range(3):
                 p.process.send_signal(signal.SIGHUP)
-            assert await soon(p.process.wait()) == 0
+            assert await with_timeout(p.process.wait()) == 0
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_kill_and_start_again_serves_from_nothing(tmp_path: Path) -> None:
@@ -417,13 +432,13 @@
         for number in (1, 2):
             async with running(tmp_path) as p:
                 client = await p.client()
-                client.send(call(number=number))
-                connection, words = await p.backend.command()
+                client.send(call_command(number=number))
+                connection, words = await p.backend.next_command()
                 assert words[2] == b"%016x" % number
-                connection.send(served(b"v"))
-                assert await client.next() == b"v"
+                connection.send(success_reply(b"v"))
+                assert await client.next_message() == b"v"
 
-    run(test)
+    run_on_loop(test)
 
 
 def _without(key: str) -> dict[str, Any]:
@@ -457,32 +472,32 @@
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE,
         )
-        out, err = await soon(process.communicate())
+        out, err = await with_timeout(process.communicate())
         assert process.returncode == 2
         assert out == b""
         (line,) = err.decode().splitlines()
         assert line.startswith("qos_gateway: ")
         assert words in line
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_address_in_use_ends_with_one_plain_line_and_exit_2(tmp_path: Path) -> None:
     async def test() -> None:
-        agent = Agent()
-        agent.first = listing(1, host("s-1", 1))
+        agent = FakeDiscovery()
+        agent.first_update = endpoint_list(1, endpoint_entry("s-1", 1))
         async with listening(agent):
             path = tmp_path / "config.json"
-            path.write_text(json.dumps(raw_config(agent.port) | {"listen": f"{LOCAL}:{agent.port}"}))
+            path.write_text(json.dumps(raw_config(agent.port) | {"listen": f"{LOOPBACK}:{agent.port}"}))
             process = await asyncio.create_subprocess_exec(
                 *COMMAND, env={**os.environ, "ROUTER_CONFIG": str(path)}, stderr=asyncio.subprocess.PIPE
             )
-            _, err = await soon(process.communicate())
+            _, err = await with_timeout(process.communicate())
             assert process.returncode == 2
             assert err.decode().splitlines()[-1].startswith("qos_gateway: cannot listen: ")
             assert b"Traceback" not in err
 
-    run(test)
+    run_on_loop(test)
 
 
 def test_environment_comes_before_the_file(tmp_path: Path) -> None:
@@ -507,9 +522,11 @@
     path.write_text(json.dumps(raw_config(1)))
     environment = {"ROUTER_CONFIG": str(path), "ROUTER_DISCOVERY": "127.0.0.8:2", "ROUTER_NAME": "n7"}
     old = load(environment)
-    path.write_text(json.dumps(raw_config(3, listing(4), zones=["c"]) | {"seed": "1", "name": "ignored"}))
+    path.write_text(
+        json.dumps(raw_config(3, endpoint_list(4), zones=["c"]) | {"seed": "1", "name": "ignored"})
+    )
     new = reload(environment)
-    assert new.discovery == (LOCAL, 3)
+    assert new.discovery == (LOOPBACK, 3)
     assert needs_restart(old, new) == ["zones"]
     assert needs_restart(old, old) == []
 
--- a/tests/server/test_time_to_ready.py
+++ b/tests/server/test_time_to_ready.py
@@ -16,7 +16,7 @@
 
 from benchmarks.common import DESIGN, line, servers, whole
 from tests.server.test_process import COMMAND
-from tests.support.servers import LOCAL, Agent, Connection, raw_config, run, soon
+from tests.support.servers import LOOPBACK, Connection, FakeDiscovery, raw_config, run_on_loop, with_timeout
 
 READY = 10.0  # s; seen beside other load: 2.2 to 2.4, and 5.8 where two calls are turned away first
 TURN, PART = 0.01, 3  # s that the process runs, and of how many such turns it has one
@@ -24,7 +24,7 @@
 BUSY = b"HTTP/1.1 503 Busy\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n"
 
 
-class Large(Agent):
+class Large(FakeDiscovery):
     """Discovery with a list of the size to design for, after so many calls that it turns away."""
 
     def __init__(self, refused: int = 0, silent: bool = False) -> None:
@@ -51,10 +51,10 @@
 ) -> AsyncIterator[tuple[int, float, list[str]]]:
     """A starting process that runs in every third turn; its port, when it began, and its log."""
     with socket.socket() as free:
-        free.bind((LOCAL, 0))
+        free.bind((LOOPBACK, 0))
         listen = free.getsockname()[1]
     raw = raw_config(port, json.loads(LIST) if known else None)
-    raw["listen"] = f"{LOCAL}:{listen}"
+    raw["listen"] = f"{LOOPBACK}:{listen}"
     path, log = folder / "config.json", list[str]()
     path.write_text(json.dumps(raw))
     began = time.monotonic()
@@ -88,9 +88,9 @@
     """Until the gateway says so, as a front asks."""
     while True:
         try:
-            client = Connection(*await asyncio.open_connection(LOCAL, port))
+            client = Connection(*await asyncio.open_connection(LOOPBACK, port))
             client.send(b"*1\r\n$4\r\nPING\r\n")
-            answer = await client.next()
+            answer = await client.next_message()
             client.writer.close()
             if answer == b"PONG":
                 return
@@ -109,12 +109,12 @@
     async def test() -> None:
         refused = {"crowded": 1000, "crowded at first": 2}.get(how, 0)
         agent = Large(refused, how == "silent")
-        server = await asyncio.start_server(agent.serve, LOCAL, 0)
+        server = await asyncio.start_server(agent.serve, LOOPBACK, 0)
         port = server.sockets[0].getsockname()[1]
         if how == "down":
             server.close()
         async with third_of_a_core(tmp_path, port, known) as (listen, began, log):
-            await soon(ready(listen))
+            await with_timeout(ready(listen))
             took = time.monotonic() - began
             assert took <= READY, (took, log)
             parts = next(text for text in log if "started name=" in text)
@@ -123,4 +123,4 @@
             )
         server.close()
 
-    run(test)
+    run_on_loop(test)
--- a/tests/support/servers.py
+++ b/tests/support/servers.py
@@ -14,25 +14,25 @@
 from qos_gateway.server.config import Config, parse
 from qos_gateway.server.gateway import GatewayProcess
 
-WAIT = 20.0  # s: only a hang reaches it, no verdict hangs on it
-LOCAL = "127.0.0.1"
+HANG_TIMEOUT_S = 20.0  # only a hang reaches it, no verdict depends on it
+LOOPBACK = "127.0.0.1"
 CUSTOMER = b"00000000b4d65521"
 T = TypeVar("T")
 
 
-def run(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
+def run_on_loop(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
     """Run a test's coroutine on the loop that the gateway runs on."""
-    uvloop.run(asyncio.wait_for(test(), 3 * WAIT))
+    uvloop.run(asyncio.wait_for(test(), 3 * HANG_TIMEOUT_S))
 
 
-async def soon(awaitable: Awaitable[T]) -> T:
-    return await asyncio.wait_for(awaitable, WAIT)
+async def with_timeout(awaitable: Awaitable[T]) -> T:
+    return await asyncio.wait_for(awaitable, HANG_TIMEOUT_S)
 
 
-async def until(holds: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     """Give the loop turns until something holds."""
-    async with asyncio.timeout(WAIT):
-        while not holds():
+    async with asyncio.timeout(HANG_TIMEOUT_S):
+        while not condition():
             await asyncio.sleep(0.001)
 
 
@@ -108,12 +108,12 @@
     return made
 
 
-def host(
+def endpoint_entry(
     name: str, port: int, health: str = "in_service", born_ms: int = 0, block: int = 0
 ) -> dict[str, Any]:
     return {
         "host": name,
-        "dial": f"{LOCAL}:{port}",
+        "dial": f"{LOOPBACK}:{port}",
         "site": "a",
         "class": "m2",
         "block": block,
@@ -123,15 +123,15 @@
     }
 
 
-def listing(seq: int, *hosts: dict[str, Any], whole: bool = True) -> dict[str, Any]:
+def endpoint_list(seq: int, *hosts: dict[str, Any], whole: bool = True) -> dict[str, Any]:
     return {"seq": seq, "whole": whole, "hosts": list(hosts)}
 
 
-def raw_config(agent: int, known: dict[str, Any] | None = None, **changes: Any) -> dict[str, Any]:
+def raw_config(discovery_port: int, known: dict[str, Any] | None = None, **changes: Any) -> dict[str, Any]:
     return {
         "name": "n0",
-        "listen": f"{LOCAL}:0",
-        "discovery": f"{LOCAL}:{agent}",
+        "listen": f"{LOOPBACK}:0",
+        "discovery": f"{LOOPBACK}:{discovery_port}",
         "seed": "8c1f30d27a5be964",
         "limits": {"sockets": 1024},
         "peers": [],
@@ -140,51 +140,51 @@
     }
 
 
-def config(
-    agent: int, known: dict[str, Any] | None = None, counter: str | None = None, **changes: Any
+def make_config(
+    discovery_port: int, known: dict[str, Any] | None = None, counter: str | None = None, **changes: Any
 ) -> Config:
-    return parse({**raw_config(agent, known, **changes), "counter": counter}, {})
+    return parse({**raw_config(discovery_port, known, **changes), "counter": counter}, {})
 
 
-class Agent:
+class FakeDiscovery:
     """Discovery: remembers what was asked for, and writes what a test tells it to."""
 
     def __init__(self) -> None:
-        self.asked: asyncio.Queue[bytes] = asyncio.Queue()
+        self.requests: asyncio.Queue[bytes] = asyncio.Queue()
         self.writers: list[asyncio.StreamWriter] = []
-        self.first: dict[str, Any] | None = None
+        self.first_update: dict[str, Any] | None = None
         self.port = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         head = await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.writers.append(writer)
-        if self.first is not None:
-            self.tell(self.first)
-        self.asked.put_nowait(head.split(b"\r\n")[0])
+        if self.first_update is not None:
+            self.send_update(self.first_update)
+        self.requests.put_nowait(head.split(b"\r\n")[0])
 
-    def tell(self, update: dict[str, Any]) -> None:
-        self.raw(json.dumps(update).encode() + b"\n")
+    def send_update(self, update: dict[str, Any]) -> None:
+        self.send_bytes(json.dumps(update).encode() + b"\n")
 
-    def raw(self, data: bytes) -> None:
+    def send_bytes(self, data: bytes) -> None:
         self.writers[-1].write(b"%x\r\n%b\r\n" % (len(data), data))
 
-    def hang_up(self) -> None:
+    def abort(self) -> None:
         self.writers[-1].transport.abort()
 
 
 class Connection:
-    """One end of a RESP connection, for reading whole commands or answers."""
+    """One end of a RESP connection, for reading whole commands or replies."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
         self._parser = hiredis.Reader(notEnoughData=self)
 
-    async def next(self) -> Any:
+    async def next_message(self) -> Any:
         """One command or answer; None at the end of the connection."""
         while (got := self._parser.gets()) is self:
             try:
-                data = await soon(self.reader.read(1 << 16))
+                data = await with_timeout(self.reader.read(1 << 16))
             except ConnectionError:
                 return None
             if not data:
@@ -199,44 +199,44 @@
         self.writer.transport.abort()
 
 
-class Backend:
+class FakeBackend:
     """Hands every command to the test as (connection, words)."""
 
     def __init__(self) -> None:
         self.commands: asyncio.Queue[tuple[Connection, list[bytes]]] = asyncio.Queue()
         self.connections: list[Connection] = []
-        self.ended = 0
+        self.closed_connections = 0
         self.port = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         connection = Connection(reader, writer)
         self.connections.append(connection)
-        while (words := await connection.next()) is not None:
+        while (words := await connection.next_message()) is not None:
             self.commands.put_nowait((connection, words))
-        self.ended += 1
+        self.closed_connections += 1
 
-    async def command(self) -> tuple[Connection, list[bytes]]:
-        return await soon(self.commands.get())
+    async def next_command(self) -> tuple[Connection, list[bytes]]:
+        return await with_timeout(self.commands.get())
 
 
-class Bump:
+class CounterCall:
     """One call to the counter, for a test to answer."""
 
     def __init__(self, writer: asyncio.StreamWriter, line: bytes) -> None:
         self._writer = writer
         verb, self.name, amount, life = line.split()
         assert verb == b"bump"
-        self.amount, self.life = float(amount), int(life)
+        self.amount, self.time_to_live = float(amount), int(life)
 
     def answer(self, line: bytes) -> None:
         self._writer.write(line + b"\r\n")
 
 
-class Tally:
+class FakeCounter:
     """The quota counter: hands every call to the test, and answers pings."""
 
     def __init__(self, port: int = 0) -> None:
-        self.calls: asyncio.Queue[Bump] = asyncio.Queue()
+        self.calls: asyncio.Queue[CounterCall] = asyncio.Queue()
         self.connections: list[asyncio.StreamWriter] = []
         self.port = port
 
@@ -246,14 +246,14 @@
             if line.strip() == b"ping":
                 writer.write(b"pong\r\n")
             else:
-                self.calls.put_nowait(Bump(writer, line))
+                self.calls.put_nowait(CounterCall(writer, line))
 
-    async def call(self) -> Bump:
-        return await soon(self.calls.get())
+    async def next_call(self) -> CounterCall:
+        return await with_timeout(self.calls.get())
 
 
 @asynccontextmanager
-async def listening(served: Agent | Backend | Tally) -> AsyncIterator[None]:
+async def listening(server: FakeDiscovery | FakeBackend | FakeCounter) -> AsyncIterator[None]:
     tasks: set[asyncio.Task[None]] = set()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -261,41 +261,44 @@
         assert task is not None
         tasks.add(task)
         try:
-            await served.serve(reader, writer)
+            await server.serve(reader, writer)
         except (ConnectionError, asyncio.IncompleteReadError, TimeoutError, asyncio.CancelledError):
             pass
         finally:
             tasks.discard(task)
 
-    server = await asyncio.start_server(serve, LOCAL, served.port)
-    served.port = server.sockets[0].getsockname()[1]
+    listener = await asyncio.start_server(serve, LOOPBACK, server.port)
+    server.port = listener.sockets[0].getsockname()[1]
     try:
         yield
     finally:
-        server.close()
+        listener.close()
         for task in list(tasks):
             task.cancel()
 
 
-class World:
+class GatewayHarness:
     """A gateway with one backend and its discovery, and clients for it."""
 
-    def __init__(self, gateway: GatewayProcess, agent: Agent, backend: Backend) -> None:
-        self.gateway, self.agent, self.backend = gateway, agent, backend
+    def __init__(self, gateway: GatewayProcess, discovery: FakeDiscovery, backend: FakeBackend) -> None:
+        self.gateway = gateway
+        self.discovery = discovery
+        self.backend = backend
 
-    async def client(self) -> Connection:
-        return Connection(*await soon(asyncio.open_connection(LOCAL, self.gateway.clients.port)))
+    async def connect_client(self) -> Connection:
+        return Connection(*await with_timeout(asyncio.open_connection(LOOPBACK, self.gateway.clients.port)))
 
 
 @asynccontextmanager
-async def world(counter: str | None = None, **changes: Any) -> AsyncIterator[World]:
-    agent, backend = Agent(), Backend()
-    async with listening(agent), listening(backend):
-        agent.first = listing(1, host("s-1", backend.port))
-        gateway = GatewayProcess(config(agent.port, None, counter, **changes))
-        await soon(gateway.start())
+async def gateway_harness(counter: str | None = None, **changes: Any) -> AsyncIterator[GatewayHarness]:
+    discovery = FakeDiscovery()
+    backend = FakeBackend()
+    async with listening(discovery), listening(backend):
+        discovery.first_update = endpoint_list(1, endpoint_entry("s-1", backend.port))
+        gateway = GatewayProcess(make_config(discovery.port, None, counter, **changes))
+        await with_timeout(gateway.start())
         try:
-            yield World(gateway, agent, backend)
+            yield GatewayHarness(gateway, discovery, backend)
         finally:
             await gateway.discovery.close()
             gateway.backends.close()
@@ -305,7 +308,7 @@
             gateway.clients.shut()
 
 
-def call(
+def call_command(
     cls: str = "look up", number: int = 1, wait_ms: int = 5000, body: bytes | None = None, extra: str = ""
 ) -> bytes:
     """A command as a client sends it."""
@@ -316,10 +319,12 @@
     return hiredis.pack_command(words)  # type: ignore[no-any-return,arg-type]
 
 
-def bulk(value: bytes) -> bytes:
+def bulk_string(value: bytes) -> bytes:
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
-def served(value: bytes, report: bytes | None = b"load_share=0.5,concurrent=3") -> bytes:
+def success_reply(value: bytes, report: bytes | None = b"load_share=0.5,concurrent=3") -> bytes:
     """A backend's good answer."""
-    return b"*3\r\n" + bulk(value) + b"$-1\r\n" + (b"$-1\r\n" if report is None else bulk(report))
+    return (
+        b"*3\r\n" + bulk_string(value) + b"$-1\r\n" + (b"$-1\r\n" if report is None else bulk_string(report))
+    )
