--- a/tests/server/test_admin.py
+++ b/tests/server/test_admin.py
@@ -220,7 +220,7 @@
     run_on_loop(test)
 
 
-def test_order_server_left_out_by_hand_gets_nothing_until_it_is_called_back() -> None:
+def test_endpoint_disabled_by_operators_gets_no_request_until_it_is_enabled() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             gateway = harness.gateway
--- a/tests/server/test_client_disconnects.py
+++ b/tests/server/test_client_disconnects.py
@@ -27,7 +27,7 @@
 )
 
 
-class HeldDoor:
+class DelayedConnects:
     """The loop, but for connections: each comes up when a test lets it."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -63,8 +63,8 @@
     harness.gateway.requests.on_deadline = ignore  # type: ignore[method-assign]
 
 
-def hold_door(gateway: GatewayProcess) -> HeldDoor:
-    held = HeldDoor(asyncio.get_running_loop())
+def delay_connects(gateway: GatewayProcess) -> DelayedConnects:
+    held = DelayedConnects(asyncio.get_running_loop())
     gateway.backends.loop = held  # type: ignore[assignment]
     return held
 
@@ -73,7 +73,7 @@
     async def test() -> None:
         async with gateway_harness() as harness:
             held, gone, stays = (
-                hold_door(harness.gateway),
+                delay_connects(harness.gateway),
                 await harness.connect_client(),
                 await harness.connect_client(),
             )
@@ -96,20 +96,20 @@
 
 
 @pytest.mark.parametrize("how", ["reset", "close", "end"])
-def test_client_that_leaves_while_its_input_is_not_read_is_noticed_and_the_rest_never_taken(how: str) -> None:
+def test_disconnect_of_a_client_whose_input_is_paused_is_noticed_and_the_rest_never_run(how: str) -> None:
     """It sends more than is worked on at once, so that what lies unread hides that it went."""
 
     async def test() -> None:
         async with gateway_harness() as harness:
             backend, taken = only_backend(harness), list[int]()
 
-            def hold(a: Arrival) -> list[Action]:
+            def leave_open(a: Arrival) -> list[Action]:
                 taken.append(a.request_id)
                 return []
 
             ignore_deadlines(harness)
             engine = script_engine(
-                harness, *[hold] * clients.PIPELINE, *[lambda a: [Send(a.request_id, backend, 0)]] * 9
+                harness, *[leave_open] * clients.PIPELINE, *[lambda a: [Send(a.request_id, backend, 0)]] * 9
             )
             client = await harness.connect_client()
             client.send(b"".join(call_command(number=n) for n in range(clients.PIPELINE + 8)))
@@ -202,13 +202,13 @@
 Moment = Callable[[GatewayHarness, ScriptedEngine, Raw, str], Awaitable[int]]
 
 
-def hold(_a: Arrival) -> list[Action]:
+def leave_open(_a: Arrival) -> list[Action]:
     return []
 
 
-async def held(harness: GatewayHarness, engine: ScriptedEngine, client: Raw, how: str) -> int:
+async def delayed_by_counter(harness: GatewayHarness, engine: ScriptedEngine, client: Raw, how: str) -> int:
     """A first attempt, once the counter's word has come."""
-    engine.plans[:] = [hold]
+    engine.plans[:] = [leave_open]
     client.send(1)
     await wait_until(lambda: len(engine.events_of(Arrival)) == 1)
     client.leave(how)
@@ -228,7 +228,7 @@
     return 1
 
 
-async def second_copy(harness: GatewayHarness, engine: ScriptedEngine, client: Raw, how: str) -> int:
+async def hedged(harness: GatewayHarness, engine: ScriptedEngine, client: Raw, how: str) -> int:
     backend = only_backend(harness)
     engine.plans[:] = [lambda a: [Send(a.request_id, backend, 0)]]
     client.send(1)
@@ -240,7 +240,7 @@
 
 async def connecting(harness: GatewayHarness, engine: ScriptedEngine, client: Raw, how: str) -> int:
     """Its connection comes up in the turn in which the client has gone."""
-    backend, door = only_backend(harness), hold_door(harness.gateway)
+    backend, door = only_backend(harness), delay_connects(harness.gateway)
     engine.plans[:] = [lambda a: [Send(a.request_id, backend, 0)]]
     client.send(1)
     await with_timeout(door.asked.wait())
@@ -260,7 +260,7 @@
     """Behind as many commands as are worked on at once, in input that is not read: they are answered, and
     the rest would be taken up, in the turn in which the client has gone."""
     backend, most = only_backend(harness), clients.PIPELINE
-    engine.plans[:] = [hold] * most + [lambda a: [Send(a.request_id, backend, 0)]] * 8
+    engine.plans[:] = [leave_open] * most + [lambda a: [Send(a.request_id, backend, 0)]] * 8
     client.send(*range(1, most + 9))
     await wait_until(lambda: len(engine.events_of(Arrival)) == most and harness.gateway.clients.held > 0)
     client.leave(how)
@@ -287,7 +287,7 @@
 
 
 @pytest.mark.parametrize("how", ["reset", "close", "end"])
-@pytest.mark.parametrize("moment", [held, retry, second_copy, connecting, queued])
+@pytest.mark.parametrize("moment", [delayed_by_counter, retry, hedged, connecting, queued])
 def test_no_attempt_begins_for_a_client_that_has_closed_though_the_loop_has_not_read_that(
     moment: Moment, how: str
 ) -> None:
--- a/tests/server/test_clients.py
+++ b/tests/server/test_clients.py
@@ -111,7 +111,7 @@
     run_on_loop(test)
 
 
-def test_arrival_tells_the_module_what_the_client_said() -> None:
+def test_arrival_carries_what_the_client_sent() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             engine = script_engine(
@@ -146,7 +146,7 @@
         (b"$-1\r\n", 0),
     ],
 )
-def test_module_is_told_the_use_of_the_quota_that_an_answer_carries(figures: bytes, used: int) -> None:
+def test_engine_gets_the_quota_usage_of_a_reply(figures: bytes, used: int) -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             told: list[int] = []
@@ -168,7 +168,7 @@
     run_on_loop(test)
 
 
-def test_what_the_module_counts_as_out_agrees_with_the_sockets_and_ends_at_zero() -> None:
+def test_in_flight_count_of_the_engine_agrees_with_the_sockets_and_ends_at_zero() -> None:
     """After good answers, errors, refusals, spoilt answers, resets, clients that leave, and a drain."""
 
     async def test() -> None:
@@ -296,7 +296,7 @@
     run_on_loop(test)
 
 
-def test_attempt_for_a_request_that_is_over_is_moot() -> None:
+def test_attempt_for_a_closed_request_is_reported_as_not_sent() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             backend = only_backend(harness)
@@ -316,7 +316,7 @@
     run_on_loop(test)
 
 
-def test_client_that_leaves_is_told_to_the_module_once() -> None:
+def test_disconnect_of_a_client_is_one_event() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             backend = only_backend(harness)
@@ -352,7 +352,7 @@
     run_on_loop(test)
 
 
-def test_attempt_whose_client_left_ends_with_its_time() -> None:
+def test_attempt_whose_client_disconnected_ends_at_its_deadline() -> None:
     """A backend that vanished says nothing: the connection would stay open, counted as out, for good."""
 
     async def test() -> None:
@@ -377,7 +377,7 @@
     run_on_loop(test)
 
 
-def test_action_that_cannot_be_carried_out_takes_no_other_with_it(
+def test_action_that_fails_keeps_no_other_from_being_carried_out(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     """The beat is asked for once a tick: lost with a fault it would stop, asked for again it would double."""
@@ -424,7 +424,7 @@
     run_on_loop(test)
 
 
-def test_beat_of_the_module_survives_a_fault() -> None:
+def test_timer_of_the_engine_survives_a_fault() -> None:
     class Faulty(ScriptedEngine):
         def handle(self, now: int, event: Event) -> list[Action]:
             super().handle(now, event)
@@ -439,7 +439,7 @@
     run_on_loop(test)
 
 
-def test_list_that_meets_a_fault_is_told_again() -> None:
+def test_list_that_meets_a_fault_is_requested_again() -> None:
     """A notice of a drain must not be lost to a fault: rule 3 counts from when it was written to us."""
 
     class Faulty(ScriptedEngine):
--- a/tests/server/test_discovery.py
+++ b/tests/server/test_discovery.py
@@ -367,7 +367,7 @@
         time.sleep(0.6)
 
 
-def test_word_of_the_agent_counts_though_the_starting_loop_lagged(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_update_of_discovery_counts_though_the_starting_loop_lagged(monkeypatch: pytest.MonkeyPatch) -> None:
     """What the agent has binds from the first moment: the list last known must not serve beside it."""
     monkeypatch.setattr("qos_gateway.server.endpoint_feed.CACHED_LIST_TIMEOUT_S", 0.5)
     ready: list[bool] = []
@@ -442,7 +442,7 @@
     run_on_loop(test)
 
 
-def test_stopping_gateway_has_word_for_its_peers_up_to_the_longest_deadline(
+def test_stopping_gateway_reports_to_its_peers_up_to_the_longest_deadline(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Or they would hold its slices of the quotas back for one that fell silent, while its customers lean
@@ -494,7 +494,7 @@
     return made
 
 
-def test_peers_are_known_by_their_address_and_strangers_and_junk_are_dropped() -> None:
+def test_peers_are_recognized_by_address_and_strangers_and_long_messages_are_dropped() -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         quiet = asyncio.DatagramProtocol
@@ -527,7 +527,7 @@
     run_on_loop(test)
 
 
-def test_peer_message_reaches_the_module_and_junk_does_no_harm() -> None:
+def test_peer_message_reaches_the_engine_and_malformed_ones_do_no_harm() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             for junk in (b"", b"\xff" * 7, b"\x01" * 256):
--- a/tests/server/test_graceful_shutdown.py
+++ b/tests/server/test_graceful_shutdown.py
@@ -34,11 +34,11 @@
 
 
 @pytest.fixture
-def door_shuts_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def listener_closes_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(clients, "QUIET", 0.0)
 
 
-@pytest.mark.usefixtures("door_shuts_at_once")
+@pytest.mark.usefixtures("listener_closes_at_once")
 def test_request_is_answered_though_it_lasts_longer_than_stopping_was_to() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -55,7 +55,7 @@
     run_on_loop(test)
 
 
-@pytest.mark.usefixtures("door_shuts_at_once")
+@pytest.mark.usefixtures("listener_closes_at_once")
 def test_half_a_command_is_answered_and_not_reset_at_the_end() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -77,7 +77,7 @@
     run_on_loop(test)
 
 
-@pytest.mark.usefixtures("door_shuts_at_once")
+@pytest.mark.usefixtures("listener_closes_at_once")
 def test_request_that_comes_while_stopping_ends_before_the_platform_kills(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -138,7 +138,7 @@
     run_on_loop(test)
 
 
-def test_new_configuration_told_before_the_program_can_hear_does_not_end_it(tmp_path: Path) -> None:
+def test_sighup_before_its_handler_is_in_place_does_not_end_the_process(tmp_path: Path) -> None:
     """Until Python has loaded it the signal would have its default, which kills."""
 
     async def test() -> None:
--- /dev/null
+++ b/tests/server/test_handover_channel.py
@@ -0,0 +1,127 @@
+"""The channel between two processes, with the other process played by the test."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import logging
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from qos_gateway.server import handover_channel
+from qos_gateway.server.handover_channel import HandoverChannel
+from qos_gateway.server.handover_messages import HandoverState
+from qos_gateway.state.snapshot import decode_snapshot
+from tests.support.servers import run_on_loop, wait_until, with_timeout
+
+FIXTURES = Path(__file__).parent.parent / "fixtures"
+ENGINE: dict[str, Any] = json.loads((FIXTURES / "handover_state.json").read_text())["written"]
+
+
+class Delegate:
+    """Stands in for the gateway."""
+
+    def __init__(self) -> None:
+        self.disabled: list[tuple[int, bool]] = []
+        self.ended = 0
+
+    def capture_state(self) -> HandoverState:
+        return HandoverState(None, 5, 9, decode_snapshot(ENGINE, 2, len(ENGINE["latency"])))
+
+    def apply_admin_disabled(self, endpoint: int, disabled: bool) -> None:
+        self.disabled.append((endpoint, disabled))
+
+    def on_other_process_ended(self) -> None:
+        self.ended += 1
+
+
+class OtherProcess:
+    """The process that takes over, line by line."""
+
+    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.reader = reader
+        self.writer = writer
+
+    async def next_message(self) -> Any:
+        return json.loads(await with_timeout(self.reader.readline()))
+
+    def send(self, line: bytes) -> None:
+        self.writer.write(line)
+
+
+async def connect(folder: Path) -> OtherProcess:
+    streams = asyncio.open_unix_connection(folder / "upgrade-n%2F0.sock", limit=1 << 20)
+    return OtherProcess(*await with_timeout(streams))
+
+
+async def listening_channel(folder: Path, delegate: Delegate) -> HandoverChannel:
+    channel = HandoverChannel(str(folder), "n/0", delegate)
+    assert await channel.request_state() is None  # nobody serves yet
+    await channel.listen()
+    return channel
+
+
+def test_state_is_handed_over_and_calls_are_shared_until_the_other_process_ends(tmp_path: Path) -> None:
+    async def test() -> None:
+        delegate = Delegate()
+        channel = await listening_channel(tmp_path, delegate)
+        other = await connect(tmp_path)
+        other.send(b'{"v": 1, "want": "state"}\n')
+        state = (await other.next_message())["state"]
+        assert list(state) == ["list", "clients", "backends", "decisions"]
+        assert (state["clients"], state["backends"]) == (5, 9)
+        other.send(b'{"v": 1, "backend": 7, "out": true, "n": 3}\n')
+        assert await other.next_message() == {"v": 1, "done": 3}
+        assert delegate.disabled == [(7, True)]
+        shared = asyncio.create_task(channel.broadcast_admin_disabled(8, False))
+        assert await other.next_message() == {"v": 1, "backend": 8, "out": False, "n": 1}
+        assert not shared.done()
+        other.send(b'{"v": 1, "done": 1}\n')
+        await with_timeout(shared)
+        assert delegate.ended == 0
+        other.writer.close()
+        await wait_until(lambda: delegate.ended == 1)
+        channel.close()
+
+    run_on_loop(test)
+
+
+def test_call_that_the_other_process_does_not_acknowledge_is_logged_and_goes_on(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+) -> None:
+    monkeypatch.setattr(handover_channel, "ACKNOWLEDGE_TIMEOUT_S", 0.01)
+
+    async def test() -> None:
+        channel = await listening_channel(tmp_path, Delegate())
+        other = await connect(tmp_path)
+        other.send(b'{"v": 1, "want": "state"}\n')
+        await other.next_message()
+        with caplog.at_level(logging.ERROR):
+            await with_timeout(channel.broadcast_admin_disabled(8, True))
+        assert "handover_call_unacknowledged endpoint=8 disabled=True" in caplog.text
+        channel.close()
+
+    run_on_loop(test)
+
+
+@pytest.mark.parametrize("line", [b"{\n", b'{"v": 2, "want": "state"}\n', b"x" * 70_000])
+def test_message_that_cannot_be_read_ends_the_connection(
+    line: bytes, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+) -> None:
+    monkeypatch.setattr(handover_channel, "MAX_LINE_BYTES", 1 << 16)
+
+    async def test() -> None:
+        delegate = Delegate()
+        channel = await listening_channel(tmp_path, delegate)
+        other = await connect(tmp_path)
+        other.send(line)
+        with pytest.raises((ConnectionError, json.JSONDecodeError)):
+            await other.next_message()
+        assert "handover_message_invalid" in caplog.text
+        await wait_until(lambda: not channel.connections)
+        assert delegate.ended == 0  # no state went over it
+        channel.close()
+
+    run_on_loop(test)
--- a/tests/server/test_process.py
+++ b/tests/server/test_process.py
@@ -97,7 +97,7 @@
         await process.wait()
 
 
-def test_upgrade_on_the_platforms_socket_answers_all_and_leaves_the_rest_to_the_new(tmp_path: Path) -> None:
+def test_upgrade_on_an_inherited_socket_answers_all_and_leaves_new_ones_to_the_next(tmp_path: Path) -> None:
     async def test() -> None:
         agent, backend = FakeDiscovery(), FakeBackend()
         async with listening(agent), listening(backend), passing() as sock:
@@ -143,7 +143,7 @@
     return int(answer.split()[1])
 
 
-def test_what_operators_leave_out_stays_out_over_an_upgrade_and_either_door_reaches_both(
+def test_disabled_endpoint_stays_so_over_an_upgrade_and_either_process_takes_the_call(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
@@ -187,7 +187,7 @@
     run_on_loop(test)
 
 
-def test_old_process_has_everything_again_when_the_new_one_dies(tmp_path: Path) -> None:
+def test_old_process_gets_its_shares_back_when_the_new_one_dies(tmp_path: Path) -> None:
     async def test() -> None:
         agent, backend = FakeDiscovery(), FakeBackend()
         async with listening(agent), listening(backend), passing() as sock:
@@ -221,7 +221,7 @@
         b'{"v":1,"state":{"list":null,"clients":1,"backends":1,"decisions":{"accounts":[[1]]}}}\n',
     ],
 )
-def test_process_before_that_says_nothing_or_nonsense_costs_a_bounded_moment(
+def test_silent_or_malformed_process_before_delays_the_start_by_a_bounded_time(
     tmp_path: Path, said: bytes | None
 ) -> None:
     async def test() -> None:
@@ -249,7 +249,7 @@
     run_on_loop(test)
 
 
-def test_name_left_by_a_killed_process_is_taken_over_in_a_folder_with_a_long_path(tmp_path: Path) -> None:
+def test_socket_of_a_killed_process_is_replaced_in_a_folder_with_a_long_path(tmp_path: Path) -> None:
     async def test() -> None:
         folder = tmp_path / ("long" * 30)
         folder.mkdir()
@@ -366,7 +366,7 @@
     run_on_loop(test)
 
 
-def test_stopping_gateway_closes_its_door_though_new_connections_keep_coming(tmp_path: Path) -> None:
+def test_stopping_gateway_closes_its_listener_though_new_connections_keep_coming(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(tmp_path) as p:
             p.process.send_signal(signal.SIGTERM)
@@ -427,7 +427,7 @@
     run_on_loop(test)
 
 
-def test_kill_and_start_again_serves_from_nothing(tmp_path: Path) -> None:
+def test_restart_after_a_kill_serves_without_any_state(tmp_path: Path) -> None:
     async def test() -> None:
         for number in (1, 2):
             async with running(tmp_path) as p:
