--- /dev/null
+++ b/tests/server/test_handover.py
@@ -0,0 +1,92 @@
+"""What two processes of one gateway share while both live, and what one has again once it is alone."""
+
+from __future__ import annotations
+
+import json
+import logging
+from typing import Any
+
+import pytest
+
+from qos_gateway.server.handover import EXTRA_BACKEND_CONNECTIONS, EXTRA_CLIENT_CONNECTIONS, FRACTIONS
+from qos_gateway.server.handover_messages import ReceivedState, StateResponse, encode_message
+from tests.support.servers import (
+    GatewayHarness,
+    call_command,
+    endpoint_entry,
+    endpoint_list,
+    gateway_harness,
+    run_on_loop,
+    success_reply,
+)
+
+
+async def serve_one(harness: GatewayHarness) -> None:
+    client = await harness.connect_client()
+    client.send(call_command())
+    connection, _ = await harness.backend.next_command()
+    connection.send(success_reply(b"v"))
+    assert await client.next_message() == b"v"
+
+
+def captured(harness: GatewayHarness) -> dict[str, Any]:
+    """The state as the next process receives it."""
+    line = encode_message(StateResponse(harness.gateway.handover.capture_state()))
+    raw: dict[str, Any] = json.loads(line)["state"]
+    return raw
+
+
+def test_old_process_keeps_its_open_connections_and_the_new_one_gets_the_others() -> None:
+    async def test() -> None:
+        async with gateway_harness() as old, gateway_harness() as new:
+            await serve_one(old)
+            max_clients, max_backends = old.gateway.clients.bound, old.gateway.backends.most
+            memory = old.gateway.clients.memory
+            raw = captured(old)
+            assert raw["clients"] == old.gateway.clients.bound == 1 + EXTRA_CLIENT_CONNECTIONS
+            assert raw["backends"] == old.gateway.backends.most == 1 + EXTRA_BACKEND_CONNECTIONS
+            new.gateway.handover.restore_state(ReceivedState(raw), list_is_current=True)
+            assert new.gateway.clients.bound == max_clients - raw["clients"]
+            assert new.gateway.backends.most == max_backends - raw["backends"]
+            assert old.gateway.clients.memory == int(memory * FRACTIONS.outgoing)
+            assert new.gateway.clients.memory == int(memory * FRACTIONS.incoming)
+            for harness in (old, new):
+                harness.gateway.handover.on_other_process_ended()
+                assert harness.gateway.clients.bound == max_clients
+                assert harness.gateway.backends.most == max_backends
+                assert harness.gateway.clients.memory == memory
+                assert harness.gateway.dispatcher.engine.quota.handover_fraction == 1.0
+
+    run_on_loop(test)
+
+
+@pytest.mark.parametrize("list_is_current", [True, False])
+def test_list_of_the_old_process_is_taken_over_only_where_discovery_has_told_of_none(
+    list_is_current: bool,
+) -> None:
+    async def test() -> None:
+        async with gateway_harness() as old, gateway_harness() as new:
+            raw = captured(old)
+            raw["list"] = endpoint_list(9, *(endpoint_entry(f"s-{n}", 1) for n in range(3)))
+            new.gateway.handover.restore_state(ReceivedState(raw), list_is_current)
+            assert new.gateway.endpoints.listed_count() == (1 if list_is_current else 3)
+
+    run_on_loop(test)
+
+
+@pytest.mark.parametrize("key", ["list", "clients", "backends", "decisions"])
+def test_state_that_lacks_a_key_leaves_the_new_process_with_all_its_limits(
+    key: str, caplog: pytest.LogCaptureFixture
+) -> None:
+    async def test() -> None:
+        async with gateway_harness() as old, gateway_harness() as new:
+            raw = captured(old)
+            del raw[key]
+            max_clients, max_backends = new.gateway.clients.bound, new.gateway.backends.most
+            with caplog.at_level(logging.ERROR):
+                new.gateway.handover.restore_state(ReceivedState(raw), list_is_current=True)
+            assert "handover_state_invalid" in caplog.text
+            assert (new.gateway.clients.bound, new.gateway.backends.most) == (max_clients, max_backends)
+            assert new.gateway.dispatcher.engine.quota.handover_fraction == 1.0
+
+    run_on_loop(test)
