--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,17 +1,40 @@
-"""All measures of scale in turn; tables on stdout, progress on stderr. Some six minutes beside other load."""
+"""Run all benchmarks in turn; tables go to stdout, progress to stderr. Some six minutes beside other load."""
 
 from __future__ import annotations
 
-from benchmarks import added, counter, customers, instances, leases, lists, waves
-from benchmarks.common import progress
+from benchmarks import (
+    added_latency,
+    connection_counts,
+    counter_calls,
+    customer_accounts,
+    endpoint_lists,
+    engine_instances,
+    gateway_restarts,
+    quota_leases,
+    time_to_ready,
+    zone_outage,
+)
+from benchmarks.tables import report_progress
+
+BENCHMARKS = (
+    counter_calls,
+    quota_leases,
+    endpoint_lists,
+    engine_instances,
+    customer_accounts,
+    zone_outage,
+    connection_counts,
+    gateway_restarts,
+    added_latency,
+    time_to_ready,
+)
 
 
 def main() -> None:
-    for module in (counter, leases, lists, instances, customers, waves, added):
-        progress(f"-- {module.__name__}")
-        module.main()
-        if module is counter:
-            counter.faults()
+    """Print the tables of all benchmarks."""
+    for benchmark in BENCHMARKS:
+        report_progress(f"-- {benchmark.__name__}")
+        benchmark.main()
 
 
 if __name__ == "__main__":
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -12,7 +12,9 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from benchmarks.counter import Fault, Spell, cut_off, simulate
+from benchmarks.fleet_simulation import simulate
+from benchmarks.quota_counter import Fault, FaultWindow, partition_half
+from benchmarks.scenario import FleetSize, Restart, Scenario
 from qos_gateway.decisions.engine import DecisionEngine
 from qos_gateway.decisions.lease import EVEN_FRACTION, LEASED_FRACTION, MAX_SAVED_FRACTION, RENEWAL_LEAD
 from qos_gateway.server.config import LEASE_MOST, ConfigError, parse
@@ -243,36 +245,34 @@
 
 
 @pytest.mark.parametrize(
-    "spells",
+    "fault_windows",
     [
-        [],
-        [Spell(fault, 6.0, 9.0) for fault in Fault],
-        [cut_off(12, 6.0, 9.0)],
+        (),
+        tuple(FaultWindow(fault, 6.0, 9.0) for fault in Fault),
+        (partition_half(12, 6.0, 9.0),),
     ],
     ids=["well", "all faults", "cut"],
 )
-def test_fleet_calls_a_tenth_as_often_within_quotas_and_never_over_a_ceiling(spells: list[Spell]) -> None:
+def test_fleet_calls_a_tenth_as_often_within_quotas_and_never_over_a_ceiling(
+    fault_windows: tuple[FaultWindow, ...],
+) -> None:
     """On the virtual clock of the scale tests, short terms, and gateways that start anew in the middle."""
 
     def leased(made: Settings, seed: int, now: int) -> DecisionEngine:
         return DecisionEngine(replace(made, lease_term=5 * SECOND), seed, now)
 
-    of_each, of_leases = (
-        simulate(
-            12,
-            140,
-            1200.0,
-            seconds=12.0,
-            after=4.0,
-            spells=spells,
-            restarts=[(7.0, i) for i in range(3)],
-            make=make,
-        )
-        for make in (DecisionEngine, leased)
+    scenario = Scenario(
+        FleetSize(12, 140, 1200.0),
+        count_from_s=4.0,
+        end_s=12.0,
+        fault_windows=fault_windows,
+        restarts=tuple(Restart(7.0, gateway) for gateway in range(3)),
     )
+    of_each = simulate(scenario)
+    of_leases = simulate(replace(scenario, make_engine=leased))
     assert of_leases.calls <= 0.2 * of_each.calls
-    assert of_leases.granted >= 0.9
-    assert of_leases.price <= 0.03
+    assert of_leases.granted_fraction >= 0.9
+    assert of_leases.unpaid_fraction <= 0.03
     assert of_leases.over_ceiling == 0
 
 
--- a/tests/server/test_time_to_ready.py
+++ b/tests/server/test_time_to_ready.py
@@ -14,13 +14,14 @@
 
 import pytest
 
-from benchmarks.common import DESIGN, line, servers, whole
+from benchmarks.design import DESIGN
+from benchmarks.discovery_updates import encode_full_list
 from tests.server.test_process import COMMAND
 from tests.support.servers import LOCAL, Agent, Connection, raw_config, run, soon
 
 READY = 10.0  # s; seen beside other load: 2.2 to 2.4, and 5.8 where two calls are turned away first
 TURN, PART = 0.01, 3  # s that the process runs, and of how many such turns it has one
-LIST = line(whole(servers(DESIGN.order_servers)))
+LIST = encode_full_list(DESIGN.endpoints)
 BUSY = b"HTTP/1.1 503 Busy\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n"
 
 
