--- a/benchmarks/call_rates.py
+++ b/benchmarks/call_rates.py
@@ -99,12 +99,15 @@
     counts: FleetCounts
 
 
+UNANSWERED_COLUMN = Column[LabelledCounts](
+    "unanswered/s", lambda row: row.counts.per_second(row.counts.unanswered_calls)
+)
 FAULT_COLUMNS: tuple[Column[LabelledCounts], ...] = (
     Column("fault", lambda row: row.label),
     Column("gateways", lambda row: row.counts.gateways),
     Column("calls/s", lambda row: row.counts.per_second(row.counts.calls)),
     Column("answered/s", lambda row: row.counts.per_second(row.counts.answered_calls)),
-    Column("unanswered/s", lambda row: row.counts.per_second(row.counts.unanswered_calls)),
+    UNANSWERED_COLUMN,
     Column("granted (fraction)", lambda row: row.counts.granted_fraction),
     Column("over-quota price (fraction)", lambda row: row.counts.unpaid_fraction),
     Column("over ceiling/s", lambda row: row.counts.per_second(row.counts.over_ceiling)),
--- a/benchmarks/endpoint_lists.py
+++ b/benchmarks/endpoint_lists.py
@@ -8,6 +8,7 @@
 from itertools import count
 from statistics import median
 
+from benchmarks.customer_population import GATEWAYS_PER_CUSTOMER
 from benchmarks.design import DESIGN, ENDPOINT_TYPES, START, ZONES
 from benchmarks.discovery_updates import (
     EndpointRecord,
@@ -119,7 +120,9 @@
             request_id = next(self._request_ids)
             self._now += REQUEST_INTERVAL
             customer = request_id % CUSTOMERS_PER_GATEWAY + 1
-            request = arrival(request_id, self._now, customer_id=customer, gateway_spread=10)
+            request = arrival(
+                request_id, self._now, customer_id=customer, gateway_spread=GATEWAYS_PER_CUSTOMER
+            )
             actions = self._engine.handle(self._now, request)
             (sent,) = (action for action in actions if isinstance(action, Send))
             ended = successful_attempt(request_id, sent.endpoint, ATTEMPT_DURATION)
--- a/benchmarks/engines.py
+++ b/benchmarks/engines.py
@@ -10,7 +10,7 @@
 from qos_gateway.types import AttemptEnded, ListKind, Outcome, Topology
 from tests.support.builders import backend, full_list, plan, settings
 
-ENGINE_SEED = 7
+ENGINE_SEED = 7  # any number will do, but the results depend on it
 UNLIMITED_PLAN = plan(rate=1e6, burst=1e6)  # a quota that no benchmark reaches
 
 
--- a/benchmarks/fleet_simulation.py
+++ b/benchmarks/fleet_simulation.py
@@ -31,8 +31,8 @@
 from qos_gateway.units import MILLISECOND, SECOND
 from tests.support.builders import settings
 
-FIRST_ENGINE_SEED = 7
-ENDPOINTS_PER_GATEWAY = 2
+FIRST_ENGINE_SEED = 7  # of the first gateway; every other one has another seed
+ENDPOINTS_PER_GATEWAY = 2  # few, as attempts always succeed: only quotas matter here
 START_INTERVAL = 100 * MILLISECOND  # ns; gateways start within it, and requests arrive from its end on
 SHORTEST_ATTEMPT = 0.6  # times the mean duration
 LONGEST_ATTEMPT = 1.4
--- a/benchmarks/quota_leases.py
+++ b/benchmarks/quota_leases.py
@@ -12,6 +12,7 @@
 from benchmarks.call_rates import (
     CALL_RATE_COLUMNS,
     FAULT_COLUMNS,
+    UNANSWERED_COLUMN,
     CallRates,
     LabelledCounts,
     extrapolated_rates,
@@ -32,7 +33,7 @@
 END_S = 110.0
 PROCESSES = 4  # at once; other work needs the rest of the machine
 LEASE_FLEET_SIZES = FLEET_SIZES[:3]  # 9,700 requests a second over two terms would take most of an hour
-FAULT_COLUMNS_OF_LEASES = [column for column in FAULT_COLUMNS if column.heading != "unanswered/s"]
+LEASE_FAULT_COLUMNS = [column for column in FAULT_COLUMNS if column is not UNANSWERED_COLUMN]
 
 
 @dataclass(frozen=True)
@@ -129,7 +130,7 @@
         print_table(title, CALL_RATE_COLUMNS, rates)
         faults = [pending.result() for pending in pending_fault_cases]
     title = f"Leases, with a fault of an unlimited counter over the counted term of {LEASE_TERM_S} s"
-    print_table(title, FAULT_COLUMNS_OF_LEASES, faults)
+    print_table(title, LEASE_FAULT_COLUMNS, faults)
 
 
 if __name__ == "__main__":
