--- a/benchmarks/connection_counts.py
+++ b/benchmarks/connection_counts.py
@@ -6,8 +6,8 @@
 from statistics import mean
 
 from benchmarks.design import DESIGN, START, ZONES
-from benchmarks.discovery_updates import encode_full_list
-from benchmarks.engines import ENGINE_SEED, parse_line
+from benchmarks.discovery_updates import encode_full_list, parse_line
+from benchmarks.engines import ENGINE_SEED
 from benchmarks.tables import Column, print_table, report_progress
 from qos_gateway.decisions.engine import DecisionEngine
 from qos_gateway.types import Endpoint, Health, ListKind, Topology
--- a/benchmarks/discovery_updates.py
+++ b/benchmarks/discovery_updates.py
@@ -8,6 +8,7 @@
 from typing import TypedDict
 
 from benchmarks.design import ENDPOINT_TYPES, LIST_CREATED_AT_S, SECONDS_PER_DAY, ZONES
+from qos_gateway.server.discovery import Update, parse_update
 
 LARGE_TYPE_PROBABILITY = 0.3
 START_TIME_PROBABILITY = 0.5  # discovery publishes the start time of only a part of the endpoints
@@ -96,3 +97,8 @@
 def encode_full_list(endpoints: int) -> bytes:
     """Return the line that publishes a whole list of so many endpoints."""
     return encode_update(full_update(endpoint_records(endpoints)))
+
+
+def parse_line(line: bytes) -> Update:
+    """Return the update that a line of a discovery watch holds."""
+    return parse_update(json.loads(line), ZONES, ENDPOINT_TYPES)
--- a/benchmarks/endpoint_lists.py
+++ b/benchmarks/endpoint_lists.py
@@ -17,9 +17,10 @@
     endpoint_records,
     full_update,
     health_update,
+    parse_line,
     records_in_zone,
 )
-from benchmarks.engines import make_engine, parse_line, successful_attempt
+from benchmarks.engines import make_engine, successful_attempt
 from benchmarks.measurement import REPEATS, cpu_seconds, resident_memory_kb, run_in_fresh_process
 from benchmarks.tables import Column, print_table, print_timed_table, report_progress
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
--- a/benchmarks/engine_instances.py
+++ b/benchmarks/engine_instances.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 
 from benchmarks.design import DESIGN, START
-from benchmarks.discovery_updates import encode_full_list
-from benchmarks.engines import make_engine, parse_line
+from benchmarks.discovery_updates import encode_full_list, parse_line
+from benchmarks.engines import make_engine
 from benchmarks.measurement import cpu_seconds, resident_memory_kb, run_in_fresh_process
 from benchmarks.tables import Column, print_timed_table, report_progress
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
--- a/benchmarks/engines.py
+++ b/benchmarks/engines.py
@@ -2,11 +2,8 @@
 
 from __future__ import annotations
 
-import json
-
-from benchmarks.design import DESIGN, ENDPOINT_TYPES, START, ZONES
+from benchmarks.design import DESIGN, START
 from qos_gateway.decisions.engine import DecisionEngine
-from qos_gateway.server.discovery import Update, parse_update
 from qos_gateway.types import AttemptEnded, ListKind, Outcome, Topology
 from tests.support.builders import backend, full_list, plan, settings
 
@@ -22,11 +19,6 @@
     return DecisionEngine(engine_settings, ENGINE_SEED, START)
 
 
-def parse_line(line: bytes) -> Update:
-    """Return the update that a line of a discovery watch holds."""
-    return parse_update(json.loads(line), ZONES, ENDPOINT_TYPES)
-
-
 def cached_list(endpoints: int) -> Topology:
     """Return a list of so many ready endpoints, numbered from 1 on, as read from a cache."""
     entries = map(backend, range(1, endpoints + 1))
--- a/benchmarks/zone_outage.py
+++ b/benchmarks/zone_outage.py
@@ -12,9 +12,10 @@
     encode_update,
     endpoint_records,
     health_update,
+    parse_line,
     records_in_zone,
 )
-from benchmarks.engines import make_engine, parse_line
+from benchmarks.engines import make_engine
 from benchmarks.measurement import REPEATS, cpu_seconds
 from benchmarks.tables import Column, print_timed_table, report_progress
 from qos_gateway.units import SECOND
--- a/tests/benchmarks/test_endpoint_lists.py
+++ b/tests/benchmarks/test_endpoint_lists.py
@@ -3,9 +3,8 @@
 from __future__ import annotations
 
 from benchmarks.design import DESIGN, ZONES
-from benchmarks.discovery_updates import encode_full_list, endpoint_records
+from benchmarks.discovery_updates import encode_full_list, endpoint_records, parse_line
 from benchmarks.endpoint_lists import measure_sizes
-from benchmarks.engines import parse_line
 from qos_gateway.types import ListKind
 
 
