--- a/qos_gateway/decisions/admission.py
+++ b/qos_gateway/decisions/admission.py
@@ -1,7 +1,5 @@
 """Admission: the customer's cap, the limit on all in flight, and the quota, in this order."""
 
-from __future__ import annotations
-
 from ..state.customer import CustomerAccount
 from ..state.priority_demand import PriorityDemand
 from ..state.quota_decision import QuotaReply, Verdict
@@ -23,47 +21,40 @@
 
     def __init__(self, dispatcher: Dispatcher, commitments: CommitmentTable) -> None:
         self.dispatcher = dispatcher
-        self.commitments = commitments
-        self.settings = dispatcher.settings
-        self.model = dispatcher.model
         self.quota = dispatcher.quota
-        self.requests = dispatcher.requests
+        self.commitments = commitments
         self.priority_demand = PriorityDemand(LONG_MEMORY)
         self.awaiting_reservation: dict[int, RequestState] = {}  # by the reservation's number
 
     def on_arrival(self, now: int, arrival: Arrival) -> list[Action]:
         """Admit, reject or hold a request."""
-        account = self.quota.account(
-            now, arrival.customer_id, arrival.plan_index, arrival.gateway_spread, arrival.first_gateway
-        )
+        account = self.quota.account_for(now, arrival)
         priority = self._observe(now, account, arrival)
         if not account.in_flight_cap:
             self.commitments.evaluate(now, account, {})
         self.quota.refill(now, account)
         if account.in_flight >= account.in_flight_cap or self._is_shed(now, priority):
             return [self.dispatcher.reject(arrival)]
-        request_class = self.settings.classes[arrival.class_index]
+        request_class = self.dispatcher.settings.classes[arrival.class_index]
         return self._charge(now, RequestState(arrival, request_class, account, arrived_at=now))
 
     def _observe(self, now: int, account: CustomerAccount, arrival: Arrival) -> float:
         """Update what the customer asks for; return the request's priority, by the time it takes."""
-        cls = self.settings.classes[arrival.class_index]
-        account.last_request_at = now
-        account.demand.add(now, arrival.units)
-        account.long_demand.add(now, arrival.units)
-        service_time = max(1.0, self.model.uncongested_latency(arrival.class_index))
+        cls = self.dispatcher.settings.classes[arrival.class_index]
+        account.observe(now, arrival.units)
+        service_time = max(1.0, self.dispatcher.model.uncongested_latency(arrival.class_index))
         priority = cls.priority_weight * account.plan.weight_factor * arrival.units / service_time
         account.priority_weight += PRIORITY_SMOOTHING * (priority - account.priority_weight)
         self.priority_demand.add(now, arrival.kind, priority)
-        headroom = TARGET_WAIT_FRACTION * self.model.headroom(arrival.class_index)
+        headroom = TARGET_WAIT_FRACTION * self.dispatcher.model.headroom(arrival.class_index)
         account.headroom = min(account.headroom, headroom) * HEADROOM_GROWTH if account.headroom else headroom
         account.latency_objective = max(account.latency_objective, cls.latency_objective)
         return priority
 
     def _is_shed(self, now: int, priority: float) -> bool:
         """Tell whether the limit on all in flight sheds a request: the lowest priority meets it first."""
-        limit = self.model.concurrency_limit
-        in_flight = self.requests.working
+        limit = self.dispatcher.model.concurrency_limit
+        in_flight = self.dispatcher.requests.working
         if limit is None or in_flight < LOWEST_PRIORITY_FRACTION * limit:
             return False
         below = self.priority_demand.fraction_below(now, priority)
@@ -72,22 +63,22 @@
     def _charge(self, now: int, request: RequestState) -> list[Action]:
         """Charge the customer's quota, or hold the request until whoever keeps it has answered."""
         arrival = request.arrival
-        decision = self.quota.decide(
-            now, request.account, arrival.units, arrival.deadline, self.model.congested
-        )
+        decision = self.quota.decide(now, request.account, arrival, self.dispatcher.model.congested)
         if decision.verdict is Verdict.ADMITTED:
             return decision.actions + self._admit(now, request, decision.report_usage)
         if decision.verdict is Verdict.REJECTED:
             return [*decision.actions, self.dispatcher.reject(arrival)]
         request.reservation_sent_at = now
         self.awaiting_reservation[decision.reservation] = request
-        self.requests.open[arrival.request_id] = request
+        self.dispatcher.requests.open[arrival.request_id] = request
         return decision.actions
 
     def _admit(self, now: int, request: RequestState, report_usage: bool) -> list[Action]:
-        send = self.dispatcher.send_first(now, request)
+        send = self.dispatcher.send(now, request)
         if send is None:
             return [self.dispatcher.reject(request.arrival)]
+        self.dispatcher.requests.open[request.arrival.request_id] = request
+        self.dispatcher.retry_budget.deposit()
         if not report_usage:
             return [send]
         request.holds_in_flight_slot = True
@@ -100,23 +91,19 @@
             return reply.actions
         request.holds_in_flight_slot = reply.granted is True
         actions = list(reply.actions)
-        if self.requests.open.pop(request.arrival.request_id, None) is not None:
+        if self.dispatcher.requests.open.pop(request.arrival.request_id, None) is not None:
             granted = reply.granted
             if granted is None:
                 granted = self.quota.decide_locally(now, request.account, request.arrival.units)
             actions += (
                 self._admit(now, request, False) if granted else [self.dispatcher.reject(request.arrival)]
             )
-        return actions + self.dispatcher.release_slot(now, request)
+        return actions + self.quota.release_slot(now, request)
 
     def expire_reservations(self, now: int) -> list[Action]:
         """Decide locally on requests whose reservation was not answered in time."""
+        waiting = self.awaiting_reservation
         expired = [
-            number
-            for number, request in self.awaiting_reservation.items()
-            if now - request.reservation_sent_at >= RESERVATION_TIMEOUT
+            n for n, request in waiting.items() if now - request.reservation_sent_at >= RESERVATION_TIMEOUT
         ]
-        actions: list[Action] = []
-        for number in expired:
-            actions += self.on_reply(now, QuotaReply(number))
-        return actions
+        return [action for number in expired for action in self.on_reply(now, QuotaReply(number))]
--- a/qos_gateway/decisions/commitments.py
+++ b/qos_gateway/decisions/commitments.py
@@ -1,21 +1,48 @@
-"""The table of commitments: each active customer's cap on requests in flight (the paper, section 5)."""
+"""The table of commitments and the seven cases, which choose each customer's cap (the paper, section 5)."""
 
-from __future__ import annotations
-
-from math import ceil
+from collections.abc import Callable
+from math import ceil, inf
 
 from ..state.customer import CustomerAccount, Demand
 from ..units import SECOND
 from .queue_model import QueueModel
-from .quota import EVALUATION_INTERVAL, Quota
-from .seven_cases import seven_cases
+from .quota.base import Quota
 
-COMMITMENT_IDLE_TIME = (
-    10 * SECOND
-)  # without requests, after which one ends: outlasts a steady customer's lulls
+COMMITMENT_IDLE_TIME = 10 * SECOND  # without requests until one ends: outlasts a steady customer's lulls
+EVALUATION_INTERVAL = 2 * SECOND  # long enough for a fit, short for a burst
 MIN_OFFERED = 2  # requests in flight that a customer asks for at least, so that a small burst passes
 MIN_THROUGHPUT = 1e-3  # requests per second: below it a customer sets no limit to others' response times
 BUSY_IN_FLIGHT = 0.05  # mean in flight from which a customer's commitment counts
+Goal = Callable[[int], bool]  # whether a goal holds at a concurrency
+
+
+def seven_cases(requested: int, response: Goal, throughput: Goal, commitments: Goal) -> int:
+    """Return the concurrency to offer by the seven cases, 0 to reject.
+
+    `response` and `throughput` are the customer's own goals (RMAX, XMIN); `commitments` tells whether those
+    of all other customers hold; `requested` is the paper's Nreq.
+    """
+
+    def first(levels: range, *goals: Goal) -> int:
+        return next((level for level in levels if all(goal(level) for goal in goals)), 0)
+
+    fewer = range(requested - 1, 0, -1)
+    more = range(requested + 1, 2 * requested + 1)
+    fast = response(requested)
+    enough = throughput(requested)
+    kept = commitments(requested)
+    if kept and fast and enough:  # case 1
+        return requested
+    if kept and enough:  # case 2: too slow; fewer, or else the fewest that keep the throughput
+        return first(fewer, response, throughput) or first(fewer[::-1], throughput) or requested
+    if kept and fast:  # case 3: too little throughput; more, or else as many as stay fast enough
+        both = first(more, response, throughput, commitments)
+        return both or first(more[::-1], response, commitments) or requested
+    if kept:  # case 4: neither
+        return first(fewer, response) or first(more, throughput, commitments) or requested
+    # Cases 5 to 7: fewer, with both own goals, with the throughput alone, or with neither.
+    offered = first(fewer, response, throughput, commitments) or first(fewer, commitments, throughput)
+    return (enough and offered) or first(fewer, commitments)
 
 
 class CommitmentTable:
@@ -52,19 +79,17 @@
         busy = [
             a for a in self.active.values() if a is not account and a.mean_in_flight.value > BUSY_IN_FLIGHT
         ]
-        others = sum(_expected_in_flight(a) for a in busy)
+        others = sum(a.expected_in_flight for a in busy)
         headroom = min((a.headroom for a in busy), default=account.headroom)
         for other in busy:
             if other.customer_id not in throughputs:
                 throughputs[other.customer_id] = max(self._demand(now, other).throughput, MIN_THROUGHPUT)
-        responses = (
-            a.in_flight_cap * SECOND / throughputs[a.customer_id] for a in busy if a.in_flight_cap > 1
-        )
-        slowest = min(responses, default=float("inf"))
+        capped = [a for a in busy if a.in_flight_cap > 1]
+        slowest = min((a.in_flight_cap * SECOND / throughputs[a.customer_id] for a in capped), default=inf)
         delay = self.model.delay
 
         def wait(level: int) -> float:
-            return self.model.response_time(others + level) - delay
+            return self.model.network.wait(others + level)
 
         offered = seven_cases(
             max(demand.concurrency, ceil(account.mean_in_flight.value)),
@@ -81,8 +106,3 @@
         burst = account.plan.burst * part
         concurrency = ceil(rate * account.latency_objective / SECOND + burst)
         return Demand(max(MIN_OFFERED, concurrency), min(rate, account.demand.rate(now)))
-
-
-def _expected_in_flight(account: CustomerAccount) -> float:
-    mean = account.mean_in_flight.value
-    return mean if account.in_flight_cap > 1 else min(1.0, mean)
--- a/qos_gateway/decisions/dispatch.py
+++ b/qos_gateway/decisions/dispatch.py
@@ -1,22 +1,18 @@
 """Attempts of admitted requests: where each is sent, when it is given up, and what follows its end."""
 
-from __future__ import annotations
-
 from ..state.request import RequestState
 from ..state.request_table import RequestTable
 from ..state.retry_budget import RetryBudget
-from ..types.actions import Action, CancelAttempt, Fail, Reject, Send
+from ..types.actions import Action, Fail, Reject, Send
 from ..types.events import NOT_EXECUTED, Arrival, AttemptEnded, Outcome
 from ..types.settings import Settings
 from ..units import SECOND
 from . import retry_rules
 from .load_balancer import LoadBalancer
 from .queue_model import QueueModel
-from .quota import Quota
+from .quota.base import Quota
 
-UNANSWERED_RATIO_FOR_TIMEOUT = (
-    0.05  # part of recent attempts without a response from which they get a time-out
-)
+UNANSWERED_RATIO_FOR_TIMEOUT = 0.05  # part of recent attempts unanswered from which they get a time-out
 UNANSWERED_PRIOR_SAMPLES = 3.0  # answered attempts that this part is taken to rest on from the start
 TIMEOUT_LATENCIES = 3  # mean latencies after which an attempt times out; half its objective at least
 HEDGE_AFTER_LATENCIES = 6  # mean latencies after which few responses still come: work varies, too
@@ -30,31 +26,16 @@
 class Dispatcher:
     """Sends attempts, and turns their outcomes into retries or the request's end."""
 
-    def __init__(
-        self,
-        settings: Settings,
-        model: QueueModel,
-        balancer: LoadBalancer,
-        quota: Quota,
-        requests: RequestTable,
-    ) -> None:
+    def __init__(self, settings: Settings, model: QueueModel, balancer: LoadBalancer, quota: Quota) -> None:
         self.settings = settings
         self.model = model
         self.load_balancer = balancer
         self.quota = quota
-        self.requests = requests
+        self.requests = RequestTable()
         self.retry_budget = RetryBudget(RETRY_BUDGET_RATIO, RETRY_BUDGET_BURST)
 
-    def send_first(self, now: int, request: RequestState) -> Send | None:
-        """Send an admitted request's first attempt; None where there is no endpoint or no time for it."""
-        send = self.send(now, request)
-        if send is not None:
-            self.requests.open[request.arrival.request_id] = request
-            self.retry_budget.deposit()
-        return send
-
     def send(self, now: int, request: RequestState, untried_only: bool = False) -> Send | None:
-        """Send an attempt to the endpoint that is picked for it, preferably one not tried yet."""
+        """Send an attempt to the endpoint picked for it, preferably one not tried yet; None if that fails."""
         arrival = request.arrival
         if now >= arrival.deadline or request.attempts_sent >= self.settings.max_attempts:
             return None
@@ -91,10 +72,7 @@
 
     def cancel_attempts(self, request: RequestState, except_for: int = -1) -> list[Action]:
         """Cancel a request's attempts in flight but for one."""
-        if not self.settings.may_cancel:
-            return []
-        request_id = request.arrival.request_id
-        return [CancelAttempt(request_id, n) for n in self.requests.attempts_of(request) if n != except_for]
+        return self.requests.cancellations(request, except_for) if self.settings.may_cancel else []
 
     def attempt_ended(self, now: int, event: AttemptEnded) -> list[Action]:
         """Learn from an attempt's outcome; then the request is over, retried, or waits for other attempts."""
@@ -109,7 +87,7 @@
                 actions += self.cancel_attempts(request)
         if not request.attempts_in_flight and event.request_id in self.requests.open:
             actions.append(self._retry_or_end(now, request, max(MIN_RETRY_COST, min(1.0, latencies))))
-        return actions + self.release_slot(now, request)
+        return actions + self.quota.release_slot(now, request)
 
     def _learn(self, now: int, event: AttemptEnded, request: RequestState) -> float:
         """Pass on what an outcome tells; return how many mean latencies the attempt took."""
@@ -146,11 +124,3 @@
         objective = self.settings.classes[arrival.class_index].latency_objective
         wait = min(RETRY_AFTER, objective // RETRY_AFTER_OBJECTIVE_DIVISOR, self.settings.max_retry_after)
         return Reject(arrival.request_id, wait * self.settings.sends_retry_after)
-
-    def release_slot(self, now: int, request: RequestState) -> list[Action]:
-        """Release the slot that the request holds at the quota counter, once nothing is in flight."""
-        if request.attempts_in_flight or not request.holds_in_flight_slot:
-            return []
-        released = self.quota.release(now, request.account)
-        request.holds_in_flight_slot = not released
-        return released
--- a/qos_gateway/decisions/queue_model.py
+++ b/qos_gateway/decisions/queue_model.py
@@ -1,11 +1,10 @@
 """The closed queuing model: a delay, and one shared queue whose demand is fitted to recent latency."""
 
-from __future__ import annotations
-
 from math import ceil
 
-from .. import mean_value_analysis
-from ..state.decaying_mean import DecayingMean, LatencyMean, decay_factor
+from ..mean_value_analysis import ClosedNetwork
+from ..state.class_latency import ClassLatency
+from ..state.decaying_mean import DecayingMean
 from ..state.outstanding import OutstandingAttempt
 from ..types import Settings
 from ..units import SECOND
@@ -27,13 +26,12 @@
     """Latency by class, and whether and how far it has risen with the number in flight. Times are in ns."""
 
     def __init__(self, settings: Settings) -> None:
-        self.latency_objectives = [float(c.latency_objective) for c in settings.classes]
-        self.latency = [LatencyMean(SHORT_MEMORY) for _ in settings.classes]
-        self.baseline_latency = [0.0] * len(self.latency_objectives)
+        self.objectives = [float(c.latency_objective) for c in settings.classes]
+        self.latency = [ClassLatency(SHORT_MEMORY) for _ in settings.classes]
         self.mean_in_flight = DecayingMean(SHORT_MEMORY)
         self.mean_latency = 0.0
         self.delay = 0.0  # latency outside the queue, over all classes
-        self.response_times = [0.0]  # by number in flight
+        self.network = ClosedNetwork()
         self.congested = False
         self.concurrency_limit: int | None = None  # None without congestion
 
@@ -49,52 +47,39 @@
             if latency.weight < MIN_LATENCY_SAMPLES:
                 continue
             late = [a.age for a in outstanding if a.class_index == class_index and a.age > latency.value]
-            decay = decay_factor(now - latency.recent.updated_at, time_constant)
-            samples = latency.recent.weight * decay + len(late)
-            self._move_baseline(class_index)
-            total += latency.recent.weighted_sum * decay + sum(late)
-            weight += samples
-            delay += (self.baseline_latency[class_index] or latency.value) * samples
-            headroom += samples * self.headroom(class_index)
+            samples = latency.samples_with(now, late)
+            if latency.weight >= MIN_BASELINE_SAMPLES:
+                latency.move_baseline(1.0 + BASELINE_GROWTH_PER_S * TICK / SECOND)
+            total += samples.total
+            weight += samples.weight
+            delay += latency.baseline_or_mean() * samples.weight
+            headroom += samples.weight * self.headroom(class_index)
         self.congested = False
         self.concurrency_limit = None
-        if weight <= 1e-6:
-            return
+        if weight > 1e-6:
+            # One response at baseline is taken as given: when none come any more, no congestion is left.
+            self.mean_latency = (total + delay / weight) / (weight + 1.0)
+            self.delay = min(delay / weight, self.mean_latency)
+            self._judge(CONGESTION_THRESHOLD * headroom / weight)
+
+    def _judge(self, noise: float) -> None:
+        """Tell whether latency has risen beyond noise, and fit the network and the limit to it."""
         level = ceil(self.mean_in_flight.value)
-        # One response at baseline is taken as given: when none come any more, no congestion is left.
-        self.mean_latency = (total + delay / weight) / (weight + 1.0)
-        self.delay = min(delay / weight, self.mean_latency)
-        rise = self.mean_latency - self.delay
-        self.congested = rise > CONGESTION_THRESHOLD * headroom / weight and level > 1
+        self.congested = self.mean_latency - self.delay > noise and level > 1
         if self.congested:
-            self._fit_demand(level)
-
-    def _move_baseline(self, class_index: int) -> None:
-        latency = self.latency[class_index]
-        if latency.weight >= MIN_BASELINE_SAMPLES:
-            grown = self.baseline_latency[class_index] * (1.0 + BASELINE_GROWTH_PER_S * TICK / SECOND)
-            self.baseline_latency[class_index] = min(grown, latency.value) if grown else latency.value
-
-    def _fit_demand(self, level: int) -> None:
-        demand = mean_value_analysis.fit_demand(self.delay, level, self.mean_latency, BISECTION_STEPS)
-        self.response_times = mean_value_analysis.response_times(demand, self.delay, 4 * level + 20)
-        target = TARGET_WAIT_FRACTION * min(self.headroom(c) for c in range(len(self.latency_objectives)))
-        within = sum(time - self.delay <= target for time in self.response_times)
-        self.concurrency_limit = max(2, within - 1)
+            self.network = ClosedNetwork.fitted(self.delay, level, self.mean_latency, BISECTION_STEPS)
+            headroom = min(self.headroom(class_index) for class_index in range(len(self.objectives)))
+            self.concurrency_limit = max(2, self.network.in_flight_within(TARGET_WAIT_FRACTION * headroom))
 
     def headroom(self, class_index: int) -> float:
         """Return what the class's objective leaves over its baseline."""
-        objective = self.latency_objectives[class_index]
-        return max(objective - self.baseline_latency[class_index], objective * MIN_HEADROOM_FRACTION)
+        objective = self.objectives[class_index]
+        return max(objective - self.latency[class_index].baseline, objective * MIN_HEADROOM_FRACTION)
 
     def uncongested_latency(self, class_index: int) -> float:
         """Return the class's baseline as far as it is known, else an estimate by its objective."""
-        known = self.baseline_latency[class_index] or self.latency[class_index].value
-        return known or self.latency_objectives[class_index] / OBJECTIVE_PER_BASELINE
-
-    def response_time(self, in_flight: float) -> float:
-        """Return the predicted response time with so many in flight, over all customers."""
-        return self.response_times[min(max(0, round(in_flight)), len(self.response_times) - 1)]
+        known = self.latency[class_index].baseline_or_mean()
+        return known or self.objectives[class_index] / OBJECTIVE_PER_BASELINE
 
 
 def _time_constant(rate: float) -> int:
--- a/qos_gateway/decisions/retry_rules.py
+++ b/qos_gateway/decisions/retry_rules.py
@@ -1,7 +1,5 @@
 """What a request's class allows once an attempt may have executed (rule 2 of the protocol page)."""
 
-from __future__ import annotations
-
 from collections.abc import Callable
 
 from ..state.request import RequestState
--- a/qos_gateway/mean_value_analysis.py
+++ b/qos_gateway/mean_value_analysis.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 
 def response_times(demand: float, delay: float, max_in_flight: int) -> list[float]:
     """Return the response times for 0 to `max_in_flight` requests in flight; all times in one unit."""
@@ -24,3 +26,25 @@
         else:
             low = demand
     return high
+
+
+@dataclass(frozen=True, slots=True)
+class ClosedNetwork:
+    """A network whose response times are known by the number in flight, from 0 on."""
+
+    delay: float = 0.0
+    times: tuple[float, ...] = (0.0,)
+
+    @classmethod
+    def fitted(cls, delay: float, in_flight: int, response_time: float, steps: int) -> ClosedNetwork:
+        """Fit the demand to one response time; later ones are known for several times as many in flight."""
+        demand = fit_demand(delay, in_flight, response_time, steps)
+        return cls(delay, tuple(response_times(demand, delay, 4 * in_flight + 20)))
+
+    def wait(self, in_flight: float) -> float:
+        """Return the predicted time in the queue; beyond what is known, the last that is."""
+        return self.times[min(max(0, round(in_flight)), len(self.times) - 1)] - self.delay
+
+    def in_flight_within(self, wait: float) -> int:
+        """Return how many may be in flight with at most that time in the queue; -1 for none."""
+        return sum(time - self.delay <= wait for time in self.times) - 1
--- a/qos_gateway/state/decaying_mean.py
+++ b/qos_gateway/state/decaying_mean.py
@@ -44,19 +44,3 @@
     def value(self) -> float:
         """Return the mean; 0 without samples."""
         return self.weighted_sum / self.weight if self.weight > 1e-9 else 0.0
-
-
-class LatencyMean(DecayingMean):
-    """A class's mean latency, and beside it what came of late, for a mean over all classes."""
-
-    __slots__ = ("recent",)
-
-    def __init__(self, time_constant: int) -> None:
-        """Start both with the same time constant (ns); each may be changed."""
-        super().__init__(time_constant)
-        self.recent = DecayingMean(time_constant)
-
-    def add(self, now: int, value: float, weight: float = 1.0) -> None:
-        """Add a sample to both."""
-        super().add(now, value, weight)
-        self.recent.add(now, value, weight)
--- a/qos_gateway/state/request_table.py
+++ b/qos_gateway/state/request_table.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..types import Endpoint
+from ..types import Action, CancelAttempt, Endpoint
 from .request import RequestState
 
 AttemptKey = tuple[int, int]  # request id and number of the attempt
@@ -47,7 +47,8 @@
         request.response_started = True
         return request
 
-    def attempts_of(self, request: RequestState) -> list[int]:
-        """Return the numbers of a request's attempts in flight."""
+    def cancellations(self, request: RequestState, except_for: int = -1) -> list[Action]:
+        """Return the cancellations of a request's attempts in flight, but for the one of that number."""
         request_id = request.arrival.request_id
-        return [n for n in range(request.attempts_sent) if (request_id, n) in self.attempts]
+        numbers = (n for n in range(request.attempts_sent) if (request_id, n) in self.attempts)
+        return [CancelAttempt(request_id, n) for n in numbers if n != except_for]
--- a/tests/decisions/test_late_requests.py
+++ b/tests/decisions/test_late_requests.py
@@ -6,6 +6,7 @@
 
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
 from qos_gateway.decisions.queue_model import TICK
+from qos_gateway.decisions.stalled_requests import give_up_late, hedge
 from qos_gateway.state.outstanding import OutstandingAttempt
 from qos_gateway.types import (
     Action,
@@ -88,7 +89,7 @@
     off = ended(1, second.endpoint, Outcome.CANCELLED, attempt=1, finished=True)
     assert g.handle(START + 3 * MS, off) == []
     g.model.congested = True
-    late = g.stalled.give_up_late(START + 3 * SECOND) + g.stalled.hedge(START + 3 * SECOND)
+    late = give_up_late(START + 3 * SECOND, g.dispatcher) + hedge(START + 3 * SECOND, g.dispatcher)
     assert late == []
     assert g.handle(START + 4 * SECOND, ended(1, first.endpoint, elapsed=2 * MS)) == []
     assert g.request_table.in_flight == 0
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import json
 import random
 from collections import defaultdict
 from dataclasses import dataclass, field, replace
@@ -12,13 +11,16 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from benchmarks.counter import Fault, Spell, cut_off, simulate
+from benchmarks.fleet_simulation import simulate
+from benchmarks.quota_counter import Fault, FaultWindow, partition_half
+from benchmarks.scenario import FleetSize, Restart, Scenario
 from qos_gateway.decisions.engine import DecisionEngine
 from qos_gateway.decisions.lease import EVEN_FRACTION, LEASED_FRACTION, MAX_SAVED_FRACTION, RENEWAL_LEAD
+from qos_gateway.decisions.quota.counter import LeasedQuota
 from qos_gateway.server.config import LEASE_MOST, ConfigError, parse
-from qos_gateway.state import capture as heritage
 from qos_gateway.types import Action, AddToCounter, CounterReplied, ListKind, Outcome, Reject, Send, Settings
 from tests.support.builders import MS, SECOND, arrival, backend, ended, full_list, plan, settings
+from tests.support.handover import capture_json, restore_json
 from tests.support.servers import raw_config
 
 TERM, SET = 50 * SECOND, 10
@@ -36,7 +38,7 @@
 
 
 @dataclass
-class Set:
+class CustomerGateways:
     """The gateways of one customer, and the counter; `ways`: what becomes of the calls, in turn."""
 
     ways: list[str] = field(default_factory=list)
@@ -103,66 +105,69 @@
     ways: list[str], seed: int, skew: int, per_s: int
 ) -> None:
     """A claim without an answer makes way for an even slice, of which only the floor is anybody else's."""
-    front = Set([*ways])
+    customer = CustomerGateways([*ways])
     for at in range(0, 12, 3):
-        front.press(at, 3.0, per_s, random.Random(seed + at), skew)
-        term = [made.quota.accounts[1] for made in front.gateways if 1 in made.quota.accounts]
+        customer.press(at, 3.0, per_s, random.Random(seed + at), skew)
+        term = [made.quota.accounts[1] for made in customer.gateways if 1 in made.quota.accounts]
         now = (at + 3) * SECOND
-        slices = sum(share == 1 / SET for share in front.shares(now))
+        slices = sum(share == 1 / SET for share in customer.shares(now))
         assert (
-            sum(front.shares(now))
+            sum(customer.shares(now))
             <= EVEN_FRACTION + LEASED_FRACTION + slices * (1 - EVEN_FRACTION) / SET + 1e-6
         )
         assert len(term) <= SET
-    assert front.waited == 0
+    assert customer.waited == 0
 
 
-def test_pool_goes_to_where_the_requests_come_and_no_request_waits() -> None:
-    front = Set()
-    front.press(0.0, 10.0, 9, random.Random(1), 2)  # nine tenths of the quota, more than half at two of ten
-    sent = front.press(10.0, 20.0, 9, random.Random(2), 2)
+def test_leases_go_to_where_the_requests_come_and_no_request_waits() -> None:
+    customer = CustomerGateways()
+    customer.press(
+        0.0, 10.0, 9, random.Random(1), 2
+    )  # nine tenths of the quota, more than half at two of ten
+    sent = customer.press(10.0, 20.0, 9, random.Random(2), 2)
     assert sent >= 0.85 * 180
-    assert front.waited == 0
-    busy = sorted(front.shares(30 * SECOND), reverse=True)
+    assert customer.waited == 0
+    busy = sorted(customer.shares(30 * SECOND), reverse=True)
     assert sum(busy[:2]) >= 0.5
-    assert front.calls <= 0.2 * 270
+    assert customer.calls <= 0.2 * 270
 
 
 def test_customer_far_beyond_its_quota_gets_it_and_little_more() -> None:
-    front = Set()
-    front.press(0.0, 20.0, 50, random.Random(1))
-    sent = front.press(20.0, 20.0, 50, random.Random(2))
+    customer = CustomerGateways()
+    customer.press(0.0, 20.0, 50, random.Random(1))
+    sent = customer.press(20.0, 20.0, 50, random.Random(2))
     assert 0.9 * 200 <= sent <= 1.15 * 200
 
 
-def test_quiet_customers_floors_need_hardly_a_call() -> None:
-    front = Set()
-    assert front.press(0.0, 40.0, 3, random.Random(1)) == 120
-    assert front.calls <= 2
+def test_light_customers_even_slices_need_hardly_a_call() -> None:
+    customer = CustomerGateways()
+    assert customer.press(0.0, 40.0, 3, random.Random(1)) == 120
+    assert customer.calls <= 2
 
 
 def test_lease_is_claimed_ahead_and_each_gateway_at_a_time_of_its_own() -> None:
-    front, rng = Set(), random.Random(1)
-    front.press(0.0, 30.0, 9, rng, 2)
-    leases = front.gateways[0].quota.leases
+    customer, rng = CustomerGateways(), random.Random(1)
+    customer.press(0.0, 30.0, 9, rng, 2)
+    leases = customer.gateways[0].quota.leases
     assert leases is not None
-    term, left = leases.term(30 * SECOND, front.gateways[0].quota.accounts[1])
-    change = (30 * SECOND + left) / SECOND
-    front.press(30.0, change - 30.0, 9, rng, 2)
+    current = leases.term(30 * SECOND, customer.gateways[0].quota.accounts[1])
+    term = current.number
+    change = (30 * SECOND + current.remaining) / SECOND
+    customer.press(30.0, change - 30.0, 9, rng, 2)
     now = int(change * SECOND)
-    accounts = [made.quota.accounts[1] for made in front.gateways if 1 in made.quota.accounts]
+    accounts = [made.quota.accounts[1] for made in customer.gateways if 1 in made.quota.accounts]
     ahead = [a for a in accounts if a.lease_fractions.get(term, 0.0) > 0.0]
     assert len(ahead) >= 2
     assert sum(term + 1 in a.lease_fractions for a in ahead) >= 0.5 * len(ahead)
-    before, after = front.shares(now - 1), front.shares(now + 1)
+    before, after = customer.shares(now - 1), customer.shares(now + 1)
     assert sum(after) >= 0.75 * sum(before)
-    assert front.press(change, 10.0, 9, rng, 2) >= 0.85 * 90
+    assert customer.press(change, 10.0, 9, rng, 2) >= 0.85 * 90
 
 
-def test_names_life_outlasts_lead_and_term() -> None:
-    front = Set()
-    front.press(0.0, 5.0, 30, random.Random(1))
-    made = front.gateways[0]
+def test_key_lifetime_outlasts_lead_and_term() -> None:
+    customer = CustomerGateways()
+    customer.press(0.0, 5.0, 30, random.Random(1))
+    made = customer.gateways[0]
     leases, account = made.quota.leases, made.quota.accounts[1]
     assert leases is not None
     account.next_claim_at, account.local_tokens = 0, 0.0
@@ -174,105 +179,101 @@
 
 
 def test_restarted_gateway_claims_what_is_left_and_has_its_floor() -> None:
-    front, rng = Set(), random.Random(1)
-    front.press(0.0, 10.0, 50, rng)
-    total = sum(front.shares(10 * SECOND))
-    front.gateways[3] = gateway(3, 10 * SECOND, 99)
-    front.press(10.0, 5.0, 50, rng)
-    shares = front.shares(15 * SECOND)
+    customer, rng = CustomerGateways(), random.Random(1)
+    customer.press(0.0, 10.0, 50, rng)
+    total = sum(customer.shares(10 * SECOND))
+    customer.gateways[3] = gateway(3, 10 * SECOND, 99)
+    customer.press(10.0, 5.0, 50, rng)
+    shares = customer.shares(15 * SECOND)
     assert shares[3] >= EVEN_FRACTION / SET
     assert sum(shares) <= total + 1e-6
     # The next term counts it like any other.
-    front.press(15.0, 2 * TERM / SECOND, 50, rng)
-    assert sum(front.shares(115 * SECOND)) == pytest.approx(EVEN_FRACTION + LEASED_FRACTION, abs=0.2)
+    customer.press(15.0, 2 * TERM / SECOND, 50, rng)
+    assert sum(customer.shares(115 * SECOND)) == pytest.approx(EVEN_FRACTION + LEASED_FRACTION, abs=0.2)
 
 
 def test_leases_are_handed_over_and_both_processes_have_no_more_than_one_had() -> None:
-    front = Set()
-    front.press(0.0, 10.0, 9, random.Random(1), 2)
-    old, new = front.gateways[0], gateway(0, 10 * SECOND, 99)
+    customer = CustomerGateways()
+    customer.press(0.0, 10.0, 9, random.Random(1), 2)
+    old, new = customer.gateways[0], gateway(0, 10 * SECOND, 99)
     before = old.quota.accounts[1].lease_fractions
-    heritage.restore(
-        new, 10 * SECOND, json.loads(json.dumps(heritage.capture(old, 10 * SECOND))), old.settings
-    )
+    restore_json(new, 10 * SECOND, capture_json(old, 10 * SECOND), old.settings)
     assert before
     assert new.quota.accounts[1].lease_fractions == before
     assert old.quota.handover_fraction + new.quota.handover_fraction == 1.0
-    of_older = heritage.capture(old, 10 * SECOND)
+    of_older = capture_json(old, 10 * SECOND)
     del of_older["leases"]
-    heritage.restore(gateway(0, 10 * SECOND, 98), 10 * SECOND, of_older, old.settings)
+    restore_json(gateway(0, 10 * SECOND, 98), 10 * SECOND, of_older, old.settings)
 
 
 def test_counter_out_of_reach_for_an_hour_leaves_even_slices_few_calls_and_leases_at_its_return() -> None:
-    front, rng = Set(), random.Random(1)
-    front.press(0.0, 10.0, 30, rng)
-    front.ways = ["refused"] * 100_000
-    front.press(10.0, 60.0, 30, rng)
-    assert sum(front.shares(70 * SECOND)) <= 1.0 + 1e-6
-    calls = front.calls
-    sent = front.press(3550.0, 60.0, 30, rng)
+    customer, rng = CustomerGateways(), random.Random(1)
+    customer.press(0.0, 10.0, 30, rng)
+    customer.ways = ["refused"] * 100_000
+    customer.press(10.0, 60.0, 30, rng)
+    assert sum(customer.shares(70 * SECOND)) <= 1.0 + 1e-6
+    calls = customer.calls
+    sent = customer.press(3550.0, 60.0, 30, rng)
     assert 0.85 * 600 <= sent <= 600 + MAX_SAVED_FRACTION * PLAN.burst
-    assert front.calls - calls <= 2 * SET * 60 / 2.5
-    front.ways = []
-    front.press(3610.0, 60.0, 30, rng)
-    assert max(front.shares(3670 * SECOND)) > 1 / SET
+    assert customer.calls - calls <= 2 * SET * 60 / 2.5
+    customer.ways = []
+    customer.press(3610.0, 60.0, 30, rng)
+    assert max(customer.shares(3670 * SECOND)) > 1 / SET
 
 
 def test_counter_that_comes_back_empty_gives_the_pool_once_more_and_only_for_that_term() -> None:
-    front, rng = Set(), random.Random(1)
-    front.press(0.0, 10.0, 50, rng)
-    front.ways = ["empty"]
-    for made in front.gateways:
+    customer, rng = CustomerGateways(), random.Random(1)
+    customer.press(0.0, 10.0, 50, rng)
+    customer.ways = ["empty"]
+    for made in customer.gateways:
         made.quota.accounts[1].next_claim_at = 0  # as if all had run short anew
-    front.press(10.0, 10.0, 50, rng)
-    assert sum(front.shares(20 * SECOND)) <= EVEN_FRACTION + 2 * LEASED_FRACTION + 1e-6
-    front.press(20.0, 2 * TERM / SECOND, 50, rng)
-    assert sum(front.shares(120 * SECOND)) <= EVEN_FRACTION + LEASED_FRACTION + 1e-6
+    customer.press(10.0, 10.0, 50, rng)
+    assert sum(customer.shares(20 * SECOND)) <= EVEN_FRACTION + 2 * LEASED_FRACTION + 1e-6
+    customer.press(20.0, 2 * TERM / SECOND, 50, rng)
+    assert sum(customer.shares(120 * SECOND)) <= EVEN_FRACTION + LEASED_FRACTION + 1e-6
 
 
-def test_region_that_is_cut_off_serves_by_even_slices() -> None:
-    front, rng = Set(), random.Random(1)
+def test_partitioned_region_serves_by_even_slices() -> None:
+    customer, rng = CustomerGateways(), random.Random(1)
     for second in range(100):
         for i in range(50):
             position = rng.randrange(SET)
-            front.ways = ["late"] if position >= SET // 2 else []
-            front.ask(second * SECOND + i * 20 * MS, position)
-    shares = front.shares(100 * SECOND)
+            customer.ways = ["late"] if position >= SET // 2 else []
+            customer.ask(second * SECOND + i * 20 * MS, position)
+    shares = customer.shares(100 * SECOND)
     assert sum(shares[: SET // 2]) <= EVEN_FRACTION / 2 + LEASED_FRACTION + 1e-6
     assert sum(shares[SET // 2 :]) <= 0.5 + 1e-6  # 1.35 times the quota in all, and no less than its half
 
 
 @pytest.mark.parametrize(
-    "spells",
+    "fault_windows",
     [
-        [],
-        [Spell(fault, 6.0, 9.0) for fault in Fault],
-        [cut_off(12, 6.0, 9.0)],
+        (),
+        tuple(FaultWindow(fault, 6.0, 9.0) for fault in Fault),
+        (partition_half(12, 6.0, 9.0),),
     ],
     ids=["well", "all faults", "cut"],
 )
-def test_fleet_calls_a_tenth_as_often_within_quotas_and_never_over_a_ceiling(spells: list[Spell]) -> None:
+def test_fleet_calls_a_tenth_as_often_within_quotas_and_never_over_a_ceiling(
+    fault_windows: tuple[FaultWindow, ...],
+) -> None:
     """On the virtual clock of the scale tests, short terms, and gateways that start anew in the middle."""
 
     def leased(made: Settings, seed: int, now: int) -> DecisionEngine:
         return DecisionEngine(replace(made, lease_term=5 * SECOND), seed, now)
 
-    of_each, of_leases = (
-        simulate(
-            12,
-            140,
-            1200.0,
-            seconds=12.0,
-            after=4.0,
-            spells=spells,
-            restarts=[(7.0, i) for i in range(3)],
-            make=make,
-        )
-        for make in (DecisionEngine, leased)
+    scenario = Scenario(
+        FleetSize(12, 140, 1200.0),
+        count_from_s=4.0,
+        end_s=12.0,
+        fault_windows=fault_windows,
+        restarts=tuple(Restart(7.0, gateway) for gateway in range(3)),
     )
+    of_each = simulate(scenario)
+    of_leases = simulate(replace(scenario, make_engine=leased))
     assert of_leases.calls <= 0.2 * of_each.calls
-    assert of_leases.granted >= 0.9
-    assert of_leases.price <= 0.03
+    assert of_leases.granted_fraction >= 0.9
+    assert of_leases.unpaid_fraction <= 0.03
     assert of_leases.over_ceiling == 0
 
 
@@ -288,6 +289,7 @@
     for each, leased in ((CEILED, True), (small, False)):
         made = gateway(0, plans=(each,))
         made.handle(SECOND, arrival(1, SECOND, gateway_spread=SET))
+        assert isinstance(made.quota, LeasedQuota)
         assert made.quota.is_leased(made.quota.accounts[1]) is leased
 
 
--- a/tests/decisions/test_queue_model.py
+++ b/tests/decisions/test_queue_model.py
@@ -4,8 +4,8 @@
 
 import pytest
 
+from qos_gateway.decisions.commitments import Goal, seven_cases
 from qos_gateway.decisions.queue_model import TICK, QueueModel
-from qos_gateway.decisions.seven_cases import Goal, seven_cases
 from qos_gateway.mean_value_analysis import response_times
 from qos_gateway.state.outstanding import OutstandingAttempt
 from tests.support.builders import MS, SECOND, settings
@@ -36,7 +36,8 @@
 def test_fitted_demand_reproduces_the_recent_mean() -> None:
     model = loaded_model(500 * MS, 20)
     assert model.congested
-    assert model.response_time(model.mean_in_flight.value) == pytest.approx(model.mean_latency, rel=0.1)
+    predicted = model.delay + model.network.wait(model.mean_in_flight.value)
+    assert predicted == pytest.approx(model.mean_latency, rel=0.1)
 
 
 def test_no_rise_means_no_limit() -> None:
@@ -125,7 +126,7 @@
 
 def test_class_without_answers_takes_its_rest_from_its_aim() -> None:
     model = QueueModel(settings())
-    assert 0.0 < model.uncongested_latency(0) < model.latency_objectives[0]
+    assert 0.0 < model.uncongested_latency(0) < model.objectives[0]
     for i in range(40):
         model.latency[0].add(i * 20 * MS, 100 * MS)
     model.fit(SECOND, 1, [])
--- a/tests/state/test_earlier_versions.py
+++ b/tests/state/test_earlier_versions.py
@@ -10,14 +10,16 @@
 
 from qos_gateway.decisions.engine import DecisionEngine
 from qos_gateway.peer_messages import (
+    CustomerTotal,
+    GossipMessage,
     Reservation,
     decode_reservation,
     decode_totals,
     encode_reservation,
     encode_totals,
 )
-from qos_gateway.state import capture as heritage
 from tests.support.builders import SECOND, backend, full_list, plan, settings
+from tests.support.handover import capture_json, restore_json
 
 FIXTURES = Path(__file__).parent.parent / "fixtures"
 START = 100 * SECOND
@@ -32,9 +34,10 @@
     )
     gateway = DecisionEngine(made, 7, 0)
     gateway.handle(0, full_list(backend(1), backend(2, booted=START - SECOND), backend(3)))
-    heritage.restore(gateway, START + SECOND, states["written"], made)
-    captured = json.loads(json.dumps(heritage.capture(gateway, START + SECOND)))
-    assert captured == states["written_again_by_the_next"]
+    restore_json(gateway, START + SECOND, states["written"], made)
+    captured = capture_json(gateway, START + SECOND)
+    # As text, for the order of the keys belongs to the form too.
+    assert json.dumps(captured) == json.dumps(states["written_again_by_the_next"])
 
 
 @pytest.mark.parametrize("message", PEER_MESSAGES["owner"])
@@ -47,6 +50,6 @@
 @pytest.mark.parametrize("message", PEER_MESSAGES["gossip"])
 def test_gossip_has_the_same_bytes(message: dict[str, Any]) -> None:
     written = bytes.fromhex(message["bytes"])
-    totals = [tuple(each) for each in message["totals"]]
+    totals = [CustomerTotal(*each) for each in message["totals"]]
     assert encode_totals(message["incarnation"], message["age"], totals) == written
-    assert decode_totals(written) == (message["incarnation"], message["age"], totals)
+    assert decode_totals(written) == GossipMessage(message["incarnation"], message["age"], totals)
--- a/tests/test_source_limits.py
+++ b/tests/test_source_limits.py
@@ -13,8 +13,18 @@
 DECISIONS = PACKAGE / "decisions"
 # What carries decisions out may import them; all else in the package is what they rest on.
 ADAPTERS = (PACKAGE / "server", PACKAGE / "simulator", PACKAGE / "__main__.py")
-# Numbers that are no one's choice: units, and sizes that the wire has.
-CONSTANTS_OF_THE_WIRE = {"units.py": {"MILLISECOND", "SECOND"}, "peer_messages.py": {"MAX_MESSAGE_BYTES"}}
+# Numbers that are no one's choice: units, sentinels, and what the layout of messages and counters has.
+CONSTANTS_OF_THE_WIRE = {
+    "units.py": {"MILLISECOND", "SECOND"},
+    "peer_messages.py": {"MAX_MESSAGE_BYTES"},
+    "counter_total.py": {
+        "COUNTER_KEY_LIFETIME",
+        "IN_FLIGHT_UNIT",
+    },  # the longest allowed; base of the encoding
+    "customer.py": {"NEVER"},
+    "lease_terms.py": {"TERM_SCATTER"},  # a hash multiplier
+    "peer_totals.py": {"RESTARTED_GROWTH"},  # half of a 16-bit total
+}
 
 
 def policy_files() -> list[str]:
