--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,4 +1,4 @@
-"""Run all benchmarks in turn; tables go to stdout, progress to stderr. Some six minutes beside other load."""
+"""Run all benchmarks in turn; tables go to stdout, progress to stderr. Some ten minutes beside other load."""
 
 from __future__ import annotations
 
