--- a/benchmarks/customer_accounts.py
+++ b/benchmarks/customer_accounts.py
@@ -45,7 +45,7 @@
     gc.collect()
     return AccountCost(
         accounts=len(simulation.engine.quota.accounts),
-        commitments=len(simulation.engine.commitments),
+        commitments=len(simulation.engine.commitments.active),
         request_us=simulation.stopwatch.request_us,
         median_tick_ms=simulation.stopwatch.median_tick_ms,
         longest_tick_ms=simulation.stopwatch.longest_tick_ms,
--- a/qos_gateway/server/action_executor.py
+++ b/qos_gateway/server/action_executor.py
@@ -24,8 +24,8 @@
     WatchEndpoints,
 )
 from ..units import SECOND
-from .backends import Backends, ProbeAttempt
-from .counter import Counter
+from .backends import BackendConnections, ProbeAttempt
+from .counter import CounterClient
 from .event_dispatcher import EventDispatcher
 from .peers import Peers
 from .request_attempts import RequestAttempts
@@ -40,9 +40,9 @@
 
     requests: RequestTable
     attempts: RequestAttempts
-    backends: Backends
+    backends: BackendConnections
     peers: Peers
-    counter: Counter | None  # None where quotas go without one
+    counter: CounterClient | None  # None where quotas go without one
 
 
 class ActionExecutor:
@@ -96,7 +96,7 @@
             self._counter.call(action.key, action.time_to_live, action.amount)
 
     def _close_idle_connections(self, action: CloseIdleConnections) -> None:
-        self._backends.close_idle(action.endpoint)
+        self._backends.close_idle_connections(action.endpoint)
 
     def _probe(self, action: Probe) -> None:
         if self._probe_timeout is None:
@@ -104,7 +104,7 @@
             return
         now = self._clock()
         attempt = ProbeAttempt(action.endpoint, now, now + self._probe_timeout)
-        self._backends.start(attempt, self._probe_timeout / SECOND)
+        self._backends.start_attempt(attempt, self._probe_timeout / SECOND)
 
     def _log_line(self, action: LogLine) -> None:
         log.info("%s", action.text)
--- a/qos_gateway/server/activity_log.py
+++ b/qos_gateway/server/activity_log.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 
 from ..types import Outcome
-from .backends import Backends
-from .clients import Clients
+from .backends import BackendConnections
+from .clients import ClientConnections
 from .request_table import RequestTable
 
 log = logging.getLogger(__name__)
@@ -22,8 +22,8 @@
     """What the line tells the present numbers of."""
 
     requests: RequestTable
-    clients: Clients
-    backends: Backends
+    clients: ClientConnections
+    backends: BackendConnections
 
 
 class ActivityLog:
@@ -51,9 +51,9 @@
             _format_outcomes(self.attempt_outcomes),
             _format_outcomes(self.counter_outcomes),
             len(sources.requests),
-            sources.clients.count(),
-            sources.backends.open,
-            sources.backends.idle(),
+            sources.clients.connection_count(),
+            sources.backends.open_connections,
+            sources.backends.idle_count(),
         )
         self.attempt_outcomes.clear()
         self.counter_outcomes.clear()
--- a/qos_gateway/server/admin.py
+++ b/qos_gateway/server/admin.py
@@ -16,15 +16,19 @@
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
 
-HEAD_MOST = 8 << 10  # bytes of a call's head: a browser's are smaller
-BODY_MOST = 256  # bytes of a body: one id
-CALLERS_MOST = 24  # connections at once; one more makes whoever has been slowest to finish its call give way
-CALL_TIME = 2.0  # s from connecting in which a call must be whole: operators wait half as long for the answer
-LINGER = 0.5  # s for a caller to take the answer and close
-BIND_AGAIN = 0.25  # s between tries for an address that the process before still has
-
-
-class Desk(Protocol):
+MAX_HEAD_BYTES = 8 << 10  # bytes of a call's head: a browser's are smaller
+MAX_BODY_BYTES = 256  # bytes of a body: one id
+MAX_CONNECTIONS = (
+    24  # connections at once; one more makes whoever has been slowest to finish its call give way
+)
+REQUEST_TIMEOUT_S = (
+    2.0  # s from connecting in which a call must be whole: operators wait half as long for the answer
+)
+CLOSE_TIMEOUT_S = 0.5  # s for a caller to take the answer and close
+BIND_RETRY_INTERVAL_S = 0.25  # s between tries for an address that the process before still has
+
+
+class AdminHandler(Protocol):
     """What the door needs of the gateway."""
 
     def accepts_clients(self) -> bool: ...
@@ -34,7 +38,7 @@
     def set_endpoint_disabled(self, name: str, disabled: bool) -> Awaitable[bool]: ...
 
 
-class _No(Exception):
+class HttpError(Exception):
     """A call that gets a no, with status and reason."""
 
     def __init__(self, status: int, reason: str) -> None:
@@ -42,7 +46,7 @@
         self.status = status
 
 
-_CALLS = {
+_ROUTES = {
     "/ops/readiness": "GET",
     "/ops/stats": "GET",
     "/ops/order-servers/down": "POST",
@@ -50,13 +54,13 @@
 }
 
 
-class _Caller(asyncio.Protocol):
+class AdminConnection(asyncio.Protocol):
     """One connection: it is `waited_for` until its call has come whole."""
 
-    def __init__(self, door: Door) -> None:
-        self.door = door
-        self.waited_for = True
-        self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_MOST)
+    def __init__(self, door: AdminServer) -> None:
+        self.server = door
+        self.awaits_request = True
+        self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._request: h11.Request | None = None
         self._body = b""
         self._transport: asyncio.Transport | None = None
@@ -64,15 +68,15 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        self._timer = self.door.loop.call_later(CALL_TIME, self._late)
-        self.door.came(self)
+        self._timer = self.server.loop.call_later(REQUEST_TIMEOUT_S, self._timed_out)
+        self.server.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        if not self.waited_for:
+        if not self.awaits_request:
             return  # the one call has come; what follows it is read and dropped
         try:
             self._http.receive_data(data)
-            while self.waited_for:
+            while self.awaits_request:
                 event = self._http.next_event()
                 if event is h11.NEED_DATA:
                     if self._http.they_are_waiting_for_100_continue:
@@ -81,37 +85,37 @@
                     return
                 if isinstance(event, h11.Request):
                     self._request = event
-                    self._allowed()
+                    self._check_route()
                 elif isinstance(event, h11.Data):
                     self._body += event.data
-                    if len(self._body) > BODY_MOST:
-                        raise _No(413, "body too long")
+                    if len(self._body) > MAX_BODY_BYTES:
+                        raise HttpError(413, "body too long")
                 elif isinstance(event, h11.EndOfMessage):
-                    self.waited_for = False
-                    self.door.carry_out(self, *self._call())
+                    self.awaits_request = False
+                    self.server.handle(self, *self._target_and_body())
                 else:
                     return  # the caller has closed
         except h11.RemoteProtocolError as error:
             self.answer(error.error_status_hint, f"no call: {error}\n".encode())
-        except _No as no:
+        except HttpError as no:
             self.answer(no.status, f"{no}\n".encode())
 
-    def _call(self) -> tuple[str, str]:
+    def _target_and_body(self) -> tuple[str, str]:
         target = cast(h11.Request, self._request).target.decode("ascii", "replace").partition("?")[0]
         try:
             return target, self._body.decode().strip()
         except UnicodeDecodeError:
-            raise _No(400, "the body is no text") from None
+            raise HttpError(400, "the body is no text") from None
 
-    def _allowed(self) -> None:
+    def _check_route(self) -> None:
         request = cast(h11.Request, self._request)
-        method = _CALLS.get(self._call()[0])
+        method = _ROUTES.get(self._target_and_body()[0])
         if method is None:
-            raise _No(404, "no such call")
+            raise HttpError(404, "no such call")
         if request.method.decode("ascii", "replace") != method:
-            raise _No(405, f"this call is a {method}")
+            raise HttpError(405, f"this call is a {method}")
 
-    def _late(self) -> None:
+    def _timed_out(self) -> None:
         self.answer(408, b"no whole call in time\n")
 
     def _write(self, data: bytes | None) -> None:
@@ -121,7 +125,7 @@
 
     def answer(self, status: int, text: bytes) -> None:
         """The one answer; the caller closes, or is closed a moment later."""
-        self.waited_for = False
+        self.awaits_request = False
         if self._timer is not None:
             self._timer.cancel()
         transport = cast(asyncio.Transport, self._transport)
@@ -134,35 +138,35 @@
                 ("Connection", "close"),
             ]
             if status == 405:
-                headers.append(("Allow", _CALLS[self._call()[0]]))
+                headers.append(("Allow", _ROUTES[self._target_and_body()[0]]))
             self._write(self._http.send(h11.Response(status_code=status, headers=headers)))
             if self._request is None or self._request.method != b"HEAD":
                 self._write(self._http.send(h11.Data(data=text)))
         # Half-close: to close on bytes that came unread would reset the connection, answer and all.
         transport.write_eof()
-        self._timer = self.door.loop.call_later(LINGER, self.drop)
+        self._timer = self.server.loop.call_later(CLOSE_TIMEOUT_S, self.abort)
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
         if self._transport is not None:
             self._transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.waited_for = False
+        self.awaits_request = False
         if self._timer is not None:
             self._timer.cancel()
-        self.door.went(self)
+        self.server.connection_closed(self)
 
 
-class Door:
+class AdminServer:
     """The listening socket and the callers in front of it."""
 
-    def __init__(self, address: Address, desk: Desk) -> None:
+    def __init__(self, address: Address, desk: AdminHandler) -> None:
         self.loop = asyncio.get_running_loop()
         self.port = 0
-        self._address, self._desk = address, desk
-        self._callers: dict[_Caller, None] = {}  # oldest first
+        self._address, self._handler = address, desk
+        self._connections: dict[AdminConnection, None] = {}  # oldest first
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
 
@@ -176,13 +180,15 @@
                 self._spawn(self._listen_later())
 
     async def _listen(self) -> None:
-        self._server = await self.loop.create_server(lambda: _Caller(self), *self._address, backlog=64)
+        self._server = await self.loop.create_server(
+            lambda: AdminConnection(self), *self._address, backlog=64
+        )
         self.port = int(self._server.sockets[0].getsockname()[1])
         log.info("operators' door at %s:%d", self._address[0], self.port)
 
     async def _listen_later(self) -> None:
         while self._server is None:
-            await asyncio.sleep(BIND_AGAIN)
+            await asyncio.sleep(BIND_RETRY_INTERVAL_S)
             try:
                 await self._listen()
             except OSError:
@@ -193,32 +199,32 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def came(self, caller: _Caller) -> None:
-        if len(self._callers) >= CALLERS_MOST:
-            oldest = next((c for c in self._callers if c.waited_for), next(iter(self._callers)))
+    def connection_opened(self, caller: AdminConnection) -> None:
+        if len(self._connections) >= MAX_CONNECTIONS:
+            oldest = next((c for c in self._connections if c.awaits_request), next(iter(self._connections)))
             log.warning("operators' door is crowded: the oldest caller without a whole call is closed")
-            self.went(oldest)
-            oldest.drop()
-        self._callers[caller] = None
+            self.connection_closed(oldest)
+            oldest.abort()
+        self._connections[caller] = None
 
-    def went(self, caller: _Caller) -> None:
-        self._callers.pop(caller, None)
+    def connection_closed(self, caller: AdminConnection) -> None:
+        self._connections.pop(caller, None)
 
-    def carry_out(self, caller: _Caller, target: str, body: str) -> None:
+    def handle(self, caller: AdminConnection, target: str, body: str) -> None:
         """Answers at once, but for calls that the process next door must hear of too."""
         if target == "/ops/readiness":
-            ready = self._desk.accepts_clients()
+            ready = self._handler.accepts_clients()
             caller.answer(200 if ready else 503, b"ready\n" if ready else b"not taking clients\n")
         elif target == "/ops/stats":
-            caller.answer(200, self._desk.render_metrics())
+            caller.answer(200, self._handler.render_metrics())
         else:
-            self._spawn(self._leave_out(caller, body, target.endswith("/down")))
+            self._spawn(self._set_endpoint_enabled(caller, body, target.endswith("/down")))
 
-    async def _leave_out(self, caller: _Caller, name: str, out: bool) -> None:
+    async def _set_endpoint_enabled(self, caller: AdminConnection, name: str, out: bool) -> None:
         if not name:
             return caller.answer(400, b"the body names no order server\n")
         try:
-            known = await self._desk.set_endpoint_disabled(name, out)
+            known = await self._handler.set_endpoint_disabled(name, out)
         except Exception:
             log.exception("order server %r could not be %s", name, "left out" if out else "used again")
             return caller.answer(500, b"internal fault\n")
@@ -234,5 +240,5 @@
             self._server.close()
         for task in list(self._tasks):
             task.cancel()
-        for caller in list(self._callers):
-            caller.drop()
+        for caller in list(self._connections):
+            caller.abort()
--- a/qos_gateway/server/config.py
+++ b/qos_gateway/server/config.py
@@ -26,24 +26,26 @@
     listen: Address
     discovery: Address
     seed: int
-    sockets: int
-    memory: int  # bytes
+    max_descriptors: int
+    memory_bytes: int  # bytes
     peer_listen: Address | None
     peers: tuple[Address, ...]
-    peers_all: Address | None
-    known: dict[str, Any] | None
+    peer_broadcast: Address | None
+    cached_list: dict[str, Any] | None
     settings: Settings
     classes: tuple[bytes, ...]
     plans: tuple[bytes, ...]
     zones: tuple[str, ...]
-    kinds: tuple[str, ...]
+    machine_classes: tuple[str, ...]
     connect_timeout: int
     connection_idle: int
     counter: Address | None
     counter_timeout: int
-    operator: Address | None  # where the operators call; None keeps their door shut
-    passed: int | None  # the descriptor of the clients' listening socket, where the platform holds it
-    folder: str | None  # shared with the process before and the one after this
+    admin: Address | None  # where the operators call; None keeps their door shut
+    inherited_descriptor: (
+        int | None
+    )  # the descriptor of the clients' listening socket, where the platform holds it
+    shared_folder: str | None  # shared with the process before and the one after this
 
 
 def flatten(value: Any, path: str = "") -> Iterator[str]:
@@ -76,7 +78,7 @@
     return host, int(port)
 
 
-def _part(holder: Any, key: str, kind: type | tuple[type, ...], what: str) -> Any:
+def _field(holder: Any, key: str, kind: type | tuple[type, ...], what: str) -> Any:
     value = holder.get(key)
     if not isinstance(value, kind) or isinstance(value, bool):
         raise ConfigError(f"{what}{key}: missing or of the wrong type")
@@ -84,32 +86,36 @@
 
 
 def _names(settings: dict[str, Any], key: str) -> tuple[str, ...]:
-    return tuple(str(item) for item in _part(settings, key, list, "settings."))
+    return tuple(str(item) for item in _field(settings, key, list, "settings."))
 
 
 def _name_keys(settings: dict[str, Any], key: str) -> tuple[bytes, ...]:
-    return tuple(str(item.get("name")).encode() for item in _part(settings, key, list, "settings."))
+    return tuple(str(item.get("name")).encode() for item in _field(settings, key, list, "settings."))
 
 
-LEASE_LEAST, LEASE_MOST = 5, 50  # s: a number of the counter's lives for 60 s, term and lead
+MIN_LEASE_S, MAX_LEASE_S = 5, 50  # s: a number of the counter's lives for 60 s, term and lead
 
 
 def _lease(raw: dict[str, Any]) -> int:
     """Length of the terms for which parts of quotas are leased, in ns; 0 where that is not asked for."""
     value = raw.get("quota_lease_s", 0)
     number = isinstance(value, int | float) and not isinstance(value, bool)
-    if not (number and (value == 0 or LEASE_LEAST <= value <= LEASE_MOST)):
-        raise ConfigError(f"quota_lease_s: {value!r} is neither 0 nor {LEASE_LEAST} to {LEASE_MOST} seconds")
+    if not (number and (value == 0 or MIN_LEASE_S <= value <= MAX_LEASE_S)):
+        raise ConfigError(f"quota_lease_s: {value!r} is neither 0 nor {MIN_LEASE_S} to {MAX_LEASE_S} seconds")
     return int(value * 1_000_000_000)
 
 
-LIVE = frozenset({"counter", "discovery", "seed", "known"})  # moved while running, or of use at a start alone
+RELOADABLE = frozenset(
+    {"counter", "discovery", "seed", "cached_list"}
+)  # moved while running, or of use at a start alone
 
 
 def needs_restart(old: Config, new: Config) -> list[str]:
     """What a new configuration changes that a running gateway does not take up."""
     return [
-        f.name for f in fields(Config) if f.name not in LIVE and getattr(old, f.name) != getattr(new, f.name)
+        f.name
+        for f in fields(Config)
+        if f.name not in RELOADABLE and getattr(old, f.name) != getattr(new, f.name)
     ]
 
 
@@ -136,12 +142,12 @@
 
 def parse(raw: dict[str, Any], environment: Mapping[str, str]) -> Config:
     """Typed values from the JSON object; raises `ConfigError` on what is missing or impossible."""
-    nested = _part(raw, "settings", dict, "")
+    nested = _field(raw, "settings", dict, "")
     try:
         settings = parse_settings("\n".join(flatten(nested)))
     except SettingsError as error:
         raise ConfigError(f"settings.{error}") from None
-    limits = _part(nested, "limits", dict, "settings.")
+    limits = _field(nested, "limits", dict, "settings.")
     try:
         seed = int(str(raw.get("seed", "0")), 16)
         sockets = int(raw.get("limits", {}).get("sockets", 1024))
@@ -150,7 +156,7 @@
         raise ConfigError("seed or limits: not a number") from None
     peers = tuple(address(peer, "peers") for peer in raw.get("peers") or [])
     peer_listen, peers_all = raw.get("peer_listen"), raw.get("peers_all")
-    known, family = raw.get("known"), _part(nested, "familyInfo", dict, "settings.")
+    known, family = raw.get("known"), _field(nested, "familyInfo", dict, "settings.")
     counter = address(raw["counter"], "counter") if settings.has_counter and raw.get("counter") else None
     operator, passed = environment.get("ROUTER_OPERATOR") or raw.get("operator"), None
     if text := environment.get("ROUTER_PASSED_SOCKET"):
@@ -162,12 +168,12 @@
         listen=address(environment.get("ROUTER_LISTEN") or raw.get("listen"), "listen"),
         discovery=address(environment.get("ROUTER_DISCOVERY") or raw.get("discovery"), "discovery"),
         seed=seed,
-        sockets=sockets,
-        memory=memory,
+        max_descriptors=sockets,
+        memory_bytes=memory,
         peer_listen=address(peer_listen, "peer_listen") if peer_listen else None,
         peers=peers,
-        peers_all=address(peers_all, "peers_all") if peers_all else None,
-        known=known if isinstance(known, dict) else None,
+        peer_broadcast=address(peers_all, "peers_all") if peers_all else None,
+        cached_list=known if isinstance(known, dict) else None,
         # Without a counter's address the module goes by its even slices.
         settings=replace(
             settings,
@@ -178,14 +184,14 @@
         classes=_name_keys(nested, "classes"),
         plans=_name_keys(nested, "packages"),
         zones=_names(nested, "zones"),
-        kinds=_names(nested, "kinds"),
-        connect_timeout=int(_part(limits, "connectTimeout", (int, float), "settings.limits.")),
-        connection_idle=int(_part(limits, "connIdle", (int, float), "settings.limits.")),
+        machine_classes=_names(nested, "kinds"),
+        connect_timeout=int(_field(limits, "connectTimeout", (int, float), "settings.limits.")),
+        connection_idle=int(_field(limits, "connIdle", (int, float), "settings.limits.")),
         counter=counter,
         counter_timeout=int(
-            _part(family, "counterTimeout", (int, float), "settings.familyInfo.") if counter else 0
+            _field(family, "counterTimeout", (int, float), "settings.familyInfo.") if counter else 0
         ),
-        operator=address(operator, "operator") if operator else None,
-        passed=passed,
-        folder=environment.get("TMPDIR") or None,
+        admin=address(operator, "operator") if operator else None,
+        inherited_descriptor=passed,
+        shared_folder=environment.get("TMPDIR") or None,
     )
--- a/qos_gateway/server/counter.py
+++ b/qos_gateway/server/counter.py
@@ -17,33 +17,40 @@
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
 
-BACKOFF_FIRST, BACKOFF_MOST = 0.05, 0.5  # s between attempts to connect; doubles, and a connection resets it
-LINES = 4  # connections: one whose answer never comes holds up none but its own calls
-SILENT = 1.0  # s without the oldest call's answer after which a connection is given up: its machine is gone
-PING_AFTER = 2.0  # s without a call: the counter closes what is idle, and a vanished one shows before a call
-LOOK = 0.25  # s between looks for either
-WAITING_MOST = 256  # calls of a connection without an answer: more than the counter serves within `SILENT`
-LINE_MOST = 512  # bytes of an answer
-LIFE_MOST = 60_000  # ms
+INITIAL_BACKOFF_S, MAX_BACKOFF_S = (
+    0.05,
+    0.5,
+)  # s between attempts to connect; doubles, and a connection resets it
+CONNECTIONS = 4  # connections: one whose answer never comes holds up none but its own calls
+RESPONSE_TIMEOUT_S = (
+    1.0  # s without the oldest call's answer after which a connection is given up: its machine is gone
+)
+PING_INTERVAL_S = (
+    2.0  # s without a call: the counter closes what is idle, and a vanished one shows before a call
+)
+CHECK_INTERVAL_S = 0.25  # s between looks for either
+MAX_PENDING = 256  # calls of a connection without an answer: more than the counter serves within `SILENT`
+MAX_RESPONSE_BYTES = 512  # bytes of an answer
+MAX_TIME_TO_LIVE_MS = 60_000  # ms
 MILLISECOND = 1_000_000
 _TOTAL = re.compile(rb"[+-]?[0-9]{1,20}(?:\.[0-9]{0,20})?(?:[eE][+-]?[0-9]{1,2})?")
 
 
-class _Bump:
+class PendingIncrement:
     """One call, or a ping, until its answer has come and it is told what came of it."""
 
-    __slots__ = ("amount", "at", "lifetime", "line", "name", "told")
+    __slots__ = ("amount", "called_at", "completed", "connection", "key", "time_to_live")
 
     def __init__(self, name: int, lifetime: int, amount: float, at: float) -> None:
-        self.name, self.lifetime, self.amount, self.at = name, lifetime, amount, at
-        self.line: _Line | None = None  # where it was written
-        self.told = name < 0
+        self.key, self.time_to_live, self.amount, self.called_at = name, lifetime, amount, at
+        self.connection: CounterConnection | None = None  # where it was written
+        self.completed = name < 0
 
-    def text(self) -> bytes:
-        if self.name < 0:
+    def encode(self) -> bytes:
+        if self.key < 0:
             return b"ping\r\n"
-        life = min(LIFE_MOST, max(1, self.lifetime // MILLISECOND))
-        return b"bump %d %b %d\r\n" % (self.name, f"{self.amount:.6f}".encode(), life)
+        life = min(MAX_TIME_TO_LIVE_MS, max(1, self.time_to_live // MILLISECOND))
+        return b"bump %d %b %d\r\n" % (self.key, f"{self.amount:.6f}".encode(), life)
 
 
 def read_answer(line: bytes) -> tuple[Outcome, float] | None:
@@ -54,60 +61,60 @@
     return (Outcome.OK, float(total)) if word == b"ok" and _TOTAL.fullmatch(total) else None
 
 
-class _Line(asyncio.Protocol):
+class CounterConnection(asyncio.Protocol):
     """One connection; `waiting` holds what was written on it and not answered, told of or not."""
 
-    def __init__(self, owner: Counter) -> None:
-        self.owner, self.waiting, self._rest = owner, deque[_Bump](), b""
+    def __init__(self, owner: CounterClient) -> None:
+        self.owner, self.pending, self._partial_line = owner, deque[PendingIncrement](), b""
         self.transport: asyncio.Transport | None = None
-        self.wrote_at = owner.time()
-        self.over = False
+        self.last_write_at = owner.time()
+        self.closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
-    def write(self, bump: _Bump) -> None:
-        bump.line, self.wrote_at = self, self.owner.time()
-        self.waiting.append(bump)
-        cast(asyncio.Transport, self.transport).write(bump.text())
+    def write(self, bump: PendingIncrement) -> None:
+        bump.connection, self.last_write_at = self, self.owner.time()
+        self.pending.append(bump)
+        cast(asyncio.Transport, self.transport).write(bump.encode())
 
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         closing = self.transport is None or self.transport.is_closing()
-        return not closing and len(self.waiting) < WAITING_MOST
+        return not closing and len(self.pending) < MAX_PENDING
 
     def data_received(self, data: bytes) -> None:
-        *lines, self._rest = (self._rest + data).split(b"\n")
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         for line in lines:
-            if not self._answer(line.rstrip(b"\r")):
+            if not self._read_line(line.rstrip(b"\r")):
                 return
-        if len(self._rest) > LINE_MOST:
-            self.owner.give_up(self, "answer without end")
+        if len(self._partial_line) > MAX_RESPONSE_BYTES:
+            self.owner.abandon(self, "answer without end")
 
-    def _answer(self, line: bytes) -> bool:
+    def _read_line(self, line: bytes) -> bool:
         """Whether more can be read behind it."""
-        if not self.waiting:
-            self.owner.give_up(self, "words that nobody asked for")
+        if not self.pending:
+            self.owner.abandon(self, "words that nobody asked for")
             return False
-        bump = self.waiting[0]
-        read = read_answer(line) if bump.name >= 0 else (Outcome.OK, 0.0) if line == b"pong" else None
+        bump = self.pending[0]
+        read = read_answer(line) if bump.key >= 0 else (Outcome.OK, 0.0) if line == b"pong" else None
         if read is None:
             # Added all the same, by the terms; nothing that follows here can be told apart.
-            self.owner.give_up(self, f"answer {line[:80]!r}")
+            self.owner.abandon(self, f"answer {line[:80]!r}")
             return False
-        self.waiting.popleft()
-        self.owner.answered(bump, *read)
+        self.pending.popleft()
+        self.owner.on_response(bump, *read)
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.over = True
-        self.owner.lost(self, str(exc or "closed"))
+        self.closed = True
+        self.owner.on_connection_lost(self, str(exc or "closed"))
 
-    def drop(self) -> None:
+    def abort(self) -> None:
         if self.transport is not None:
             self.transport.abort()
 
 
-class Counter:
+class CounterClient:
     """Keeps a few connections open. Each call's end is told exactly once, within the time-out, for each name
     in the order of the calls, and never before `call` returns.
     """
@@ -116,27 +123,33 @@
         self, address: Address, timeout: float, connect_timeout: float, told: Callable[[CounterReplied], None]
     ) -> None:
         self._address, self._timeout, self._connect_timeout = address, timeout, connect_timeout
-        self._told = told
+        self._on_reply = told
         self._loop = asyncio.get_running_loop()
         self.time = self._loop.time
-        self._lines: list[_Line] = []
-        self._left: list[_Line] = []  # at the address before: they finish what they have
+        self._connections: list[CounterConnection] = []
+        self._draining_connections: list[
+            CounterConnection
+        ] = []  # at the address before: they finish what they have
         self._moved = False  # the lines are those of the address before
-        self._live: deque[_Bump] = deque()  # in the order of the calls; those told of leave at the front
-        self._at: dict[int, tuple[_Line, int]] = {}  # by name: where calls are out, and how many
-        self._pending: list[_Bump] = []  # for a connection that is coming up
-        self._newest = 0.0  # when the newest of the calls that were answered was made
-        self._down = False  # the last attempt to connect failed
+        self._incomplete: deque[PendingIncrement] = (
+            deque()
+        )  # in the order of the calls; those told of leave at the front
+        self._connection_of_key: dict[
+            int, tuple[CounterConnection, int]
+        ] = {}  # by name: where calls are out, and how many
+        self._pending: list[PendingIncrement] = []  # for a connection that is coming up
+        self._newest_answered_at = 0.0  # when the newest of the calls that were answered was made
+        self._unreachable = False  # the last attempt to connect failed
         self._closed = False
         self._task: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._looker: asyncio.TimerHandle | None = None
+        self._check_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
         self._connect()
-        self._looker = self._loop.call_later(LOOK, self._look)
+        self._check_timer = self._loop.call_later(CHECK_INTERVAL_S, self._check)
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Connect to where the counter is now; until that is up, calls go on at the old address."""
         if address == self._address or self._closed:
             return
@@ -150,88 +163,98 @@
     def close(self) -> None:
         """Nothing more is called; what was written goes out."""
         self._closed = True
-        for timer in (self._timer, self._looker):
+        for timer in (self._timer, self._check_timer):
             if timer is not None:
                 timer.cancel()
         if self._task is not None:
             self._task.cancel()
-        for line in (*self._lines, *self._left):
+        for line in (*self._connections, *self._draining_connections):
             if line.transport is not None:
                 line.transport.close()
 
     def call(self, name: int, lifetime: int, amount: float) -> None:
-        bump = _Bump(name, lifetime, amount, self.time())
-        if not self._lines and self._down:
-            self._loop.call_soon(self._tell, bump, Outcome.CONNECT_FAILED, 0.0)
+        bump = PendingIncrement(name, lifetime, amount, self.time())
+        if not self._connections and self._unreachable:
+            self._loop.call_soon(self._complete, bump, Outcome.CONNECT_FAILED, 0.0)
             return
-        self._live.append(bump)
+        self._incomplete.append(bump)
         if self._timer is None:
             self._timer = self._loop.call_later(self._timeout, self._expire)
-        if self._pending or not self._written(bump):
+        if self._pending or not self._try_write(bump):
             self._pending.append(bump)
 
-    def _written(self, bump: _Bump) -> bool:
+    def _try_write(self, bump: PendingIncrement) -> bool:
         """Calls of one name stand on one connection, or their answers could overtake one another."""
-        at, out = self._at.get(bump.name, (None, 0))
+        at, out = self._connection_of_key.get(bump.key, (None, 0))
         if at is None:
             at = min(
-                (line for line in self._lines if line.usable()),
-                key=lambda line: len(line.waiting),
+                (line for line in self._connections if line.is_usable()),
+                key=lambda line: len(line.pending),
                 default=None,
             )
-        elif at not in self._lines or not at.usable():
+        elif at not in self._connections or not at.is_usable():
             return False
         if at is None:
             return False
-        self._at[bump.name] = at, out + 1
+        self._connection_of_key[bump.key] = at, out + 1
         at.write(bump)
         return True
 
-    def _flush(self) -> None:
+    def _write_pending(self) -> None:
         pending, self._pending = self._pending, []
-        self._pending = [bump for bump in pending if not (bump.told or self._written(bump))] + self._pending
+        self._pending = [
+            bump for bump in pending if not (bump.completed or self._try_write(bump))
+        ] + self._pending
 
-    def answered(self, bump: _Bump, outcome: Outcome, total: float) -> None:
-        self._newest = max(self._newest, bump.at)
-        self._tell(bump, outcome, total)
+    def on_response(self, bump: PendingIncrement, outcome: Outcome, total: float) -> None:
+        self._newest_answered_at = max(self._newest_answered_at, bump.called_at)
+        self._complete(bump, outcome, total)
         if self._pending:
-            self._flush()
+            self._write_pending()
 
-    def _tell(self, bump: _Bump, outcome: Outcome, total: float) -> None:
-        if bump.told:
+    def _complete(self, bump: PendingIncrement, outcome: Outcome, total: float) -> None:
+        if bump.completed:
             return
-        bump.told = True
-        if bump.line is not None:
-            line, out = self._at[bump.name]
+        bump.completed = True
+        if bump.connection is not None:
+            line, out = self._connection_of_key[bump.key]
             if out > 1:
-                self._at[bump.name] = line, out - 1
+                self._connection_of_key[bump.key] = line, out - 1
             else:
-                del self._at[bump.name]
+                del self._connection_of_key[bump.key]
         if not self._closed:
-            self._told(CounterReplied(max(0, int((self.time() - bump.at) * 1e9)), outcome, bump.name, total))
+            self._on_reply(
+                CounterReplied(max(0, int((self.time() - bump.called_at) * 1e9)), outcome, bump.key, total)
+            )
 
     def _expire(self) -> None:
         """The oldest calls' time is up; a late answer is known by its place in the line."""
         self._timer = None
-        live, now = self._live, self.time()
-        while live and (live[0].told or now - live[0].at >= self._timeout):
+        live, now = self._incomplete, self.time()
+        while live and (live[0].completed or now - live[0].called_at >= self._timeout):
             bump = live.popleft()
-            if bump.told or (bump.line is not None and self._overtaken(bump.line)):
+            if bump.completed or (bump.connection is not None and self._check_overtaken(bump.connection)):
                 continue
-            self._tell(bump, Outcome.TIMEOUT if bump.line else Outcome.CONNECT_FAILED, 0.0)
+            self._complete(bump, Outcome.TIMEOUT if bump.connection else Outcome.CONNECT_FAILED, 0.0)
         if self._pending:
-            self._flush()
+            self._write_pending()
         if live and self._timer is None:
-            self._timer = self._loop.call_later(max(0.001, live[0].at + self._timeout - now), self._expire)
+            self._timer = self._loop.call_later(
+                max(0.001, live[0].called_at + self._timeout - now), self._expire
+            )
 
-    def _overtaken(self, line: _Line) -> bool:
+    def _check_overtaken(self, line: CounterConnection) -> bool:
         """Later calls were answered on other connections: what lacks here past its time is no crowd's doing,
         but an answer that got lost, and all behind it would wait for it in vain.
         """
-        first = line.waiting[0] if line.waiting else None
-        if first is None or self.time() - first.at < self._timeout or first.at >= self._newest:
+        first = line.pending[0] if line.pending else None
+        if (
+            first is None
+            or self.time() - first.called_at < self._timeout
+            or first.called_at >= self._newest_answered_at
+        ):
             return False
-        self.give_up(line, "an answer does not come, though later calls have theirs")
+        self.abandon(line, "an answer does not come, though later calls have theirs")
         return True
 
     def _connect(self) -> None:
@@ -239,73 +262,78 @@
             self._task = self._loop.create_task(self._connecting())
 
     async def _connecting(self) -> None:
-        backoff = BACKOFF_FIRST
-        while self._moved or len(self._lines) < LINES:
+        backoff = INITIAL_BACKOFF_S
+        while self._moved or len(self._connections) < CONNECTIONS:
             try:
                 async with asyncio.timeout(self._connect_timeout):
-                    _, line = await self._loop.create_connection(lambda: _Line(self), *self._address)
-                if line.over:
+                    _, line = await self._loop.create_connection(
+                        lambda: CounterConnection(self), *self._address
+                    )
+                if line.closed:
                     raise ConnectionResetError("closed at once")
             except (OSError, TimeoutError) as error:
-                if not self._down:
+                if not self._unreachable:
                     why = error or "no connection in time"
                     log.warning("counter %s:%d out of reach: %s", *self._address, why)
-                self._down = True
-                if not self._lines:
+                self._unreachable = True
+                if not self._connections:
                     self._fail_pending()
                 # Jitter, or gateways that lost it together would come back together.
                 await asyncio.sleep(backoff * random.uniform(0.5, 1.0))
-                backoff = min(BACKOFF_MOST, 2 * backoff)
+                backoff = min(MAX_BACKOFF_S, 2 * backoff)
             else:
-                if self._down:
+                if self._unreachable:
                     log.info("counter %s:%d in reach again", *self._address)
-                self._down = False
+                self._unreachable = False
                 if self._moved:
                     self._moved = False
-                    self._left, self._lines = self._left + self._lines, []
-                self._lines.append(line)
-                self._flush()
+                    self._draining_connections, self._connections = (
+                        self._draining_connections + self._connections,
+                        [],
+                    )
+                self._connections.append(line)
+                self._write_pending()
 
     def _fail_pending(self) -> None:
         pending, self._pending = self._pending, []
         for bump in pending:
-            self._tell(bump, Outcome.CONNECT_FAILED, 0.0)
+            self._complete(bump, Outcome.CONNECT_FAILED, 0.0)
 
-    def give_up(self, line: _Line, why: str) -> None:
+    def abandon(self, line: CounterConnection, why: str) -> None:
         """A connection that is of no further use."""
         log.warning("counter %s:%d: connection given up: %s", *self._address, why)
-        line.drop()
-        self._ended(line)
+        line.abort()
+        self._remove(line)
 
-    def lost(self, line: _Line, why: str) -> None:
-        if not self._closed and (line in self._lines or line in self._left):
-            if line in self._lines:
+    def on_connection_lost(self, line: CounterConnection, why: str) -> None:
+        if not self._closed and (line in self._connections or line in self._draining_connections):
+            if line in self._connections:
                 log.warning("counter %s:%d: connection over: %s", *self._address, why)
-            self._ended(line)
+            self._remove(line)
 
-    def _ended(self, line: _Line) -> None:
+    def _remove(self, line: CounterConnection) -> None:
         """What was written may have been added; what comes now goes elsewhere."""
-        for lines in (self._lines, self._left):
+        for lines in (self._connections, self._draining_connections):
             if line in lines:
                 lines.remove(line)
-        waiting, line.waiting = line.waiting, deque()
+        waiting, line.pending = line.pending, deque()
         for bump in waiting:
-            self._tell(bump, Outcome.RESET, 0.0)
+            self._complete(bump, Outcome.RESET, 0.0)
         self._connect()
         if self._pending:
-            self._flush()
+            self._write_pending()
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         now = self.time()
-        for line in (*self._lines, *self._left):
-            self._overtaken(line)
-            if line.waiting and now - line.waiting[0].at >= SILENT:
-                self.give_up(line, "silent")
-        for line in self._left[:]:
-            if not line.waiting:
-                line.drop()
-                self._left.remove(line)
-        for line in self._lines:
-            if line.usable() and not line.waiting and now - line.wrote_at >= PING_AFTER:
-                line.write(_Bump(-1, 0, 0.0, now))
-        self._looker = self._loop.call_later(LOOK, self._look)
+        for line in (*self._connections, *self._draining_connections):
+            self._check_overtaken(line)
+            if line.pending and now - line.pending[0].called_at >= RESPONSE_TIMEOUT_S:
+                self.abandon(line, "silent")
+        for line in self._draining_connections[:]:
+            if not line.pending:
+                line.abort()
+                self._draining_connections.remove(line)
+        for line in self._connections:
+            if line.is_usable() and not line.pending and now - line.last_write_at >= PING_INTERVAL_S:
+                line.write(PendingIncrement(-1, 0, 0.0, now))
+        self._check_timer = self._loop.call_later(CHECK_INTERVAL_S, self._check)
--- a/qos_gateway/server/discovery.py
+++ b/qos_gateway/server/discovery.py
@@ -18,17 +18,31 @@
 
 log = logging.getLogger(__name__)
 
-SILENCE = 5.0  # s without a byte: an idle watch brings an empty line every 2 s, so two were missed
-CONNECT = 1.0  # s for the agent, which is on this machine
-BACKOFF_FIRST, BACKOFF_MOST = 0.05, 2.0  # s between watches; doubles, and a watch that was well resets it
-BACKOFF_GRACE = 0.5  # part of the drain grace at most: what the agent has binds as if it had told us
-TOLD, MOVED = 6.0, 4.0  # s after which a change counts as told, whatever came of the calls; after a move
-IN_FORCE = 0.6  # s of it for the call that brings it: a list of 7,100 takes 0.45 s on a third of a core
-FIRST_TOLD = 3.0  # s, in TOLD's place, while no list at all is known: nobody is served until there is one
-CROWD_EARLIEST = 2 / 3  # part of the time left before which nobody calls a discovery that turned it away ...
-CROWD_ADVISED = 0.85  # ... and the same where it asked for longer: a fleet told alike must not come in step
-LINE = 4 << 20  # bytes of one object: some 20,000 entries; more is no list
-LEAVING_MOST = 1024  # backends that are remembered as leaving: several whole fleets
+IDLE_TIMEOUT_S = 5.0  # s without a byte: an idle watch brings an empty line every 2 s, so two were missed
+CONNECT_TIMEOUT_S = 1.0  # s for the agent, which is on this machine
+INITIAL_BACKOFF_S, MAX_BACKOFF_S = (
+    0.05,
+    2.0,
+)  # s between watches; doubles, and a watch that was well resets it
+MAX_BACKOFF_GRACE_FRACTION = (
+    0.5  # part of the drain grace at most: what the agent has binds as if it had told us
+)
+PROPAGATION_DEADLINE_S, PROPAGATION_DEADLINE_AFTER_MOVE_S = (
+    6.0,
+    4.0,
+)  # s after which a change counts as told, whatever came of the calls; after a move
+UPDATE_TIME_S = 0.6  # s of it for the call that brings it: a list of 7,100 takes 0.45 s on a third of a core
+FIRST_LIST_DEADLINE_S = (
+    3.0  # s, in TOLD's place, while no list at all is known: nobody is served until there is one
+)
+OVERLOAD_MIN_WAIT_FRACTION = (
+    2 / 3
+)  # part of the time left before which nobody calls a discovery that turned it away ...
+OVERLOAD_MAX_ADVISED_FRACTION = (
+    0.85  # ... and the same where it asked for longer: a fleet told alike must not come in step
+)
+MAX_OBJECT_BYTES = 4 << 20  # bytes of one object: some 20,000 entries; more is no list
+MAX_LEAVING_ENDPOINTS = 1024  # backends that are remembered as leaving: several whole fleets
 MILLISECOND = 1_000_000
 _HEALTH = {"in_service": Health.READY, "terminating": Health.DRAINING, "terminated": Health.REMOVED}
 
@@ -37,7 +51,7 @@
     """A list that cannot be read."""
 
 
-class Update:
+class EndpointUpdate:
     """One version of the list or of its changes: for the module, and where each backend is reached."""
 
     __slots__ = ("addresses", "topology")
@@ -47,19 +61,21 @@
         self.addresses = addresses
 
 
-def backend_id(host: str) -> int:
+def endpoint_id(host: str) -> int:
     """The same at every gateway and after every restart, as it hangs on the name alone."""
     return int.from_bytes(blake2b(host.encode(), digest_size=6).digest(), "big")
 
 
-def parse_update(raw: Any, zones: tuple[str, ...], kinds: tuple[str, ...], cached: bool = False) -> Update:
+def parse_update(
+    raw: Any, zones: tuple[str, ...], kinds: tuple[str, ...], cached: bool = False
+) -> EndpointUpdate:
     """Discovery's form to the module's; zone and kind become indices, as on the simulator's wire."""
     try:
         kind = ListKind.CACHED if cached else ListKind.FULL if raw["whole"] else ListKind.DELTA
         addresses: dict[int, Address] = {}
         entries = []
         for host in raw["hosts"]:
-            number, health = backend_id(host["host"]), _HEALTH[host["health"]]
+            number, health = endpoint_id(host["host"]), _HEALTH[host["health"]]
             if health is not Health.REMOVED:
                 addresses[number] = address(host["dial"], "dial")
             entries.append(
@@ -74,7 +90,7 @@
                     int(host.get("born_ms", 0)) * MILLISECOND,
                 )
             )
-        return Update(Topology(kind, int(raw["seq"]), tuple(entries)), addresses)
+        return EndpointUpdate(Topology(kind, int(raw["seq"]), tuple(entries)), addresses)
     except (AttributeError, KeyError, TypeError, ValueError, ConfigError) as error:
         raise ListError(f"{type(error).__name__}: {error}") from None
 
@@ -84,55 +100,62 @@
     return names.index(name) if name in names else len(names)
 
 
-class Pacing:
+class WatchSchedule:
     """When discovery is called next. Every call is begun early enough that one which succeeds is in force
     before a change counts as told, counted from what was last known, or from the start of a failed call.
     Times are seconds of the loop's clock, waits seconds.
     """
 
-    __slots__ = ("_backoff", "_backoff_most", "_due", "_rng")
+    __slots__ = ("_backoff", "_due", "_max_backoff", "_rng")
 
     def __init__(self, drain_grace: float, rng: random.Random) -> None:
-        self._backoff, self._backoff_most = BACKOFF_FIRST, min(BACKOFF_MOST, BACKOFF_GRACE * drain_grace)
+        self._backoff, self._max_backoff = (
+            INITIAL_BACKOFF_S,
+            min(MAX_BACKOFF_S, MAX_BACKOFF_GRACE_FRACTION * drain_grace),
+        )
         self._due: float | None = None  # for the first call that succeeds after what was known
         self._rng = rng
 
-    def known(self, at: float, told: float = TOLD) -> None:
+    def list_known(self, at: float, told: float = PROPAGATION_DEADLINE_S) -> None:
         """All that discovery had at that time is known."""
-        self._backoff, self._due = BACKOFF_FIRST, at + told - IN_FORCE
+        self._backoff, self._due = INITIAL_BACKOFF_S, at + told - UPDATE_TIME_S
 
-    def after_break(self) -> float:
+    def delay_after_disconnect(self) -> float:
         """The wait before a watch that was well is opened anew. Jitter, or gateways whose agents broke
         together would come back together.
         """
-        return BACKOFF_FIRST * self._rng.uniform(0.5, 1.0)
+        return INITIAL_BACKOFF_S * self._rng.uniform(0.5, 1.0)
 
-    def after_failure(self, called_at: float, now: float, told: float = TOLD) -> float:
+    def delay_after_failure(
+        self, called_at: float, now: float, told: float = PROPAGATION_DEADLINE_S
+    ) -> float:
         """The wait after a call that was refused, reset, spoilt or never answered."""
-        left = max(BACKOFF_FIRST, self._left(called_at, now, told))
-        backoff = min(self._backoff, self._backoff_most, left)
-        self._backoff = min(BACKOFF_MOST, 2 * self._backoff)
+        left = max(INITIAL_BACKOFF_S, self._time_until_due(called_at, now, told))
+        backoff = min(self._backoff, self._max_backoff, left)
+        self._backoff = min(MAX_BACKOFF_S, 2 * self._backoff)
         return backoff * self._rng.uniform(0.5, 1.0)
 
-    def after_refusal(self, called_at: float, now: float, retry_after: float, told: float = TOLD) -> float:
+    def delay_after_overload(
+        self, called_at: float, now: float, retry_after: float, told: float = PROPAGATION_DEADLINE_S
+    ) -> float:
         """The wait after a call that a crowded discovery turned away (429, 503): the longest that the next
         may take, as a whole fleet that calls at once serves nobody.
         """
-        left = max(BACKOFF_FIRST, self._left(called_at, now, told))
-        earliest = min(CROWD_ADVISED, max(CROWD_EARLIEST, retry_after / left))
+        left = max(INITIAL_BACKOFF_S, self._time_until_due(called_at, now, told))
+        earliest = min(OVERLOAD_MAX_ADVISED_FRACTION, max(OVERLOAD_MIN_WAIT_FRACTION, retry_after / left))
         return left * self._rng.uniform(earliest, 1.0)
 
-    def _left(self, called_at: float, now: float, told: float) -> float:
+    def _time_until_due(self, called_at: float, now: float, told: float) -> float:
         """Until the next call is due. What a watch missed binds by when it was last well, and once; after
         that a change can have come no sooner than the call that failed.
         """
         due, self._due = self._due, None
-        if due is None or due - now < BACKOFF_FIRST:
-            due = called_at + told - IN_FORCE
+        if due is None or due - now < INITIAL_BACKOFF_S:
+            due = called_at + told - UPDATE_TIME_S
         return due - now
 
 
-class Discovery:
+class DiscoveryClient:
     """Keeps one watch open. The list last told goes on serving while there is none."""
 
     def __init__(
@@ -141,29 +164,31 @@
         zones: tuple[str, ...],
         kinds: tuple[str, ...],
         index: int | None,
-        told: Callable[[Update], None],
-        drain_grace: float = 2 * BACKOFF_MOST,
+        told: Callable[[EndpointUpdate], None],
+        drain_grace: float = 2 * MAX_BACKOFF_S,
     ) -> None:
         self._agent = agent
-        self._pacing = Pacing(drain_grace, random.Random())
+        self._schedule = WatchSchedule(drain_grace, random.Random())
         self._zones, self._kinds = zones, kinds
         self._index = index
-        self._told = told
+        self._on_update = told
         self._hosts: dict[str, Any] = {}  # the list as it was told last, for the next process
         self._closed = False
-        self._leaving: dict[int, int] = {}  # backends told to drain or be gone, and when each had started
+        self._leaving_endpoints: dict[
+            int, int
+        ] = {}  # backends told to drain or be gone, and when each had started
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
         self._task = asyncio.get_running_loop().create_task(self._run())
 
-    def move(self, agent: Address) -> None:
+    def change_agent(self, agent: Address) -> None:
         """Leave the watch for one at another agent, at once: the old one tells nothing more for long."""
         if agent == self._agent or self._closed:
             return
         log.info("discovery moves to %s:%d", *agent)
         self._agent = agent
-        self._pacing.known(asyncio.get_running_loop().time(), MOVED)
+        self._schedule.list_known(asyncio.get_running_loop().time(), PROPAGATION_DEADLINE_AFTER_MOVE_S)
         if self._task is not None:
             self._task.cancel()
             self.start()
@@ -179,53 +204,53 @@
         host, port = self._agent
         while True:
             called_at = loop.time()
-            watch = _Watch(f"{host}:{port}", self._index, self._line)
+            watch = WatchConnection(f"{host}:{port}", self._index, self._on_object)
             try:
-                async with asyncio.timeout(CONNECT):
+                async with asyncio.timeout(CONNECT_TIMEOUT_S):
                     await loop.create_connection(lambda made=watch: made, host, port)  # type: ignore[misc]
                 await watch.ended
             except (OSError, TimeoutError) as error:
                 log.warning("discovery: %s", error or type(error).__name__)
             finally:
                 watch.close()
-            await asyncio.sleep(self._wait(watch, called_at, loop.time()))
+            await asyncio.sleep(self._delay_after(watch, called_at, loop.time()))
 
-    def _wait(self, watch: _Watch, called_at: float, now: float) -> float:
+    def _delay_after(self, watch: WatchConnection, called_at: float, now: float) -> float:
         """Seconds to the next call, by what came of this one."""
-        told = FIRST_TOLD if self._index is None else TOLD
-        if watch.turned_away:
+        told = FIRST_LIST_DEADLINE_S if self._index is None else PROPAGATION_DEADLINE_S
+        if watch.was_overloaded:
             # The list last known does meanwhile.
-            return self._pacing.after_refusal(called_at, now, watch.retry_after, told)
-        if watch.well_at is None:
-            return self._pacing.after_failure(called_at, now, told)
-        self._pacing.known(watch.well_at)
-        return self._pacing.after_break()
+            return self._schedule.delay_after_overload(called_at, now, watch.retry_after, told)
+        if watch.complete_at is None:
+            return self._schedule.delay_after_failure(called_at, now, told)
+        self._schedule.list_known(watch.complete_at)
+        return self._schedule.delay_after_disconnect()
 
-    def _behind(self, update: Update) -> Update:
+    def _keep_drains(self, update: EndpointUpdate) -> EndpointUpdate:
         """A whole list that is older than what is known, as of an agent that lags behind the one before it:
         followed, as the changes after it come in order, but a drain once told holds (rule 3).
         """
         entries = tuple(
             replace(entry, health=Health.DRAINING)
-            if self._leaving.get(entry.id) == entry.started_at
+            if self._leaving_endpoints.get(entry.id) == entry.started_at
             else entry
             for entry in update.topology.entries
         )
-        return Update(replace(update.topology, entries=entries), update.addresses)
+        return EndpointUpdate(replace(update.topology, entries=entries), update.addresses)
 
-    def known(self) -> dict[str, Any] | None:
+    def current_list(self) -> dict[str, Any] | None:
         """The list in discovery's own form; None where nothing was told yet."""
         hosts = list(self._hosts.values())
         return {"seq": self._index, "whole": True, "hosts": hosts} if hosts else None
 
-    def adopt(self, raw: dict[str, Any]) -> Update:
+    def adopt_list(self, raw: dict[str, Any]) -> EndpointUpdate:
         """A list that the process before was told; the watch goes on from it."""
         update = parse_update(raw, self._zones, self._kinds, cached=True)
-        self._note(raw, True)
+        self._store(raw, True)
         self._index = update.topology.version
         return update
 
-    def _note(self, raw: dict[str, Any], whole: bool) -> None:
+    def _store(self, raw: dict[str, Any], whole: bool) -> None:
         self._hosts = {} if whole else self._hosts
         for host in raw["hosts"]:
             if host["health"] == "terminated":
@@ -233,22 +258,22 @@
             else:
                 self._hosts[host["host"]] = host
 
-    def _line(self, raw: Any) -> None:
+    def _on_object(self, raw: Any) -> None:
         update = parse_update(raw, self._zones, self._kinds)
         whole = update.topology.kind is ListKind.FULL
         # A second watch may tell again what is known: an older version must not undo a newer one.
         if not whole and self._index is not None and update.topology.version < self._index:
             return
         if whole and self._index is not None and update.topology.version < self._index:
-            update = self._behind(update)
-        self._told(update)
-        self._note(raw, whole)
+            update = self._keep_drains(update)
+        self._on_update(update)
+        self._store(raw, whole)
         for entry in update.topology.entries:
-            self._leaving.pop(entry.id, None)
+            self._leaving_endpoints.pop(entry.id, None)
             if entry.health is not Health.READY:
-                self._leaving[entry.id] = entry.started_at
-        while len(self._leaving) > LEAVING_MOST:
-            del self._leaving[next(iter(self._leaving))]
+                self._leaving_endpoints[entry.id] = entry.started_at
+        while len(self._leaving_endpoints) > MAX_LEAVING_ENDPOINTS:
+            del self._leaving_endpoints[next(iter(self._leaving_endpoints))]
         self._index = update.topology.version
 
 
@@ -257,18 +282,18 @@
     return float(text) if text.isdigit() and len(text) < 6 else 0.0
 
 
-class _Watch(asyncio.Protocol):
+class WatchConnection(asyncio.Protocol):
     """One HTTP exchange; `ended` is done when nothing more can come of it."""
 
     def __init__(self, host: str, index: int | None, told: Callable[[Any], None]) -> None:
         self._loop = asyncio.get_running_loop()
         self.ended: asyncio.Future[None] = self._loop.create_future()
         self._http = h11.Connection(h11.CLIENT)
-        self._host, self._index, self._told = host, index, told
-        self._rest, self._lines = b"", list[bytes]()  # of the object that is still to be told whole
-        self.turned_away, self.retry_after = False, 0.0  # s
-        self.well_at: float | None = None  # when what came was last whole, if only an empty line
-        self._heard_at = self._loop.time()
+        self._host, self._index, self._on_object = host, index, told
+        self._partial_line, self._lines = b"", list[bytes]()  # of the object that is still to be told whole
+        self.was_overloaded, self.retry_after = False, 0.0  # s
+        self.complete_at: float | None = None  # when what came was last whole, if only an empty line
+        self._last_data_at = self._loop.time()
         self._timer: asyncio.TimerHandle | None = None
         self._transport: asyncio.Transport | None = None
 
@@ -284,15 +309,15 @@
         )
         out = (self._http.send(request) or b"") + (self._http.send(h11.EndOfMessage()) or b"")
         self._transport.write(out)
-        self._listen()
+        self._check_idle()
 
-    def _listen(self) -> None:
+    def _check_idle(self) -> None:
         """A machine that vanished says nothing: silence ends the watch as a break would."""
-        left = self._heard_at + SILENCE - self._loop.time()
+        left = self._last_data_at + IDLE_TIMEOUT_S - self._loop.time()
         if left <= 0:
-            self._end("silent")
+            self._finish("silent")
         else:
-            self._timer = self._loop.call_later(left, self._listen)
+            self._timer = self._loop.call_later(left, self._check_idle)
 
     def data_received(self, data: bytes) -> None:
         try:
@@ -302,27 +327,27 @@
                 if event is h11.NEED_DATA or event is h11.PAUSED:
                     return None
                 if isinstance(event, h11.Response) and event.status_code != 200:
-                    self.turned_away = event.status_code in (429, 503)
+                    self.was_overloaded = event.status_code in (429, 503)
                     self.retry_after = read_seconds(dict(event.headers).get(b"retry-after", b""))
-                    return self._end(f"status {event.status_code}")
+                    return self._finish(f"status {event.status_code}")
                 if isinstance(event, h11.Data):
                     self._read(bytes(event.data))
                 elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
-                    return self._end("answer ended")
+                    return self._finish("answer ended")
         except (h11.RemoteProtocolError, ListError, ValueError) as error:
-            self._end(str(error))
+            self._finish(str(error))
 
     def _read(self, data: bytes) -> None:
-        self._heard_at = self._loop.time()  # a head alone, with nothing behind it, is silence
-        *lines, self._rest = (self._rest + data).split(b"\n")
+        self._last_data_at = self._loop.time()  # a head alone, with nothing behind it, is silence
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         for line in lines:
-            self._line(line)
+            self._read_line(line)
             if not self._lines:
-                self.well_at = self._heard_at
-        if len(self._rest) + sum(map(len, self._lines)) > LINE:
-            self._end("endless line")
+                self.complete_at = self._last_data_at
+        if len(self._partial_line) + sum(map(len, self._lines)) > MAX_OBJECT_BYTES:
+            self._finish("endless line")
 
-    def _line(self, line: bytes) -> None:
+    def _read_line(self, line: bytes) -> None:
         """One object may be indented, over many lines; it is told once it is whole."""
         if line.strip():
             self._lines.append(line)
@@ -337,12 +362,12 @@
                 raise
             return  # good so far: its end is still to come
         self._lines.clear()
-        self._told(raw)
+        self._on_object(raw)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._end(str(exc or "closed"))
+        self._finish(str(exc or "closed"))
 
-    def _end(self, why: str) -> None:
+    def _finish(self, why: str) -> None:
         if not self.ended.done():
             log.warning("discovery watch over: %s", why)
             self.ended.set_result(None)
--- a/qos_gateway/server/endpoint_feed.py
+++ b/qos_gateway/server/endpoint_feed.py
@@ -6,9 +6,9 @@
 import logging
 
 from ..types import ListKind, Topology
-from .backends import Backends
+from .backends import BackendConnections
 from .config import Config
-from .discovery import ListError, Update, parse_update
+from .discovery import EndpointUpdate, ListError, parse_update
 from .endpoint_registry import EndpointRegistry
 from .event_dispatcher import EventDispatcher
 
@@ -31,21 +31,21 @@
         """Return whether discovery itself has told of a list in this process."""
         return self._received.is_set()
 
-    def apply(self, update: Update) -> None:
+    def apply(self, update: EndpointUpdate) -> None:
         """Take in a list or changes to it; raises `ListError` where the engine did not."""
         self._registry.apply(update)
         self._dispatcher.handle(update.topology)
 
-    def on_update(self, update: Update) -> None:
+    def on_update(self, update: EndpointUpdate) -> None:
         """Take in what discovery tells."""
         self.apply(update)
         self._received.set()
 
     def apply_cached(self, config: Config) -> int | None:
         """Take in the list of the configuration and return its version; None without one to go by."""
-        if config.known is not None:
+        if config.cached_list is not None:
             try:
-                update = parse_update(config.known, config.zones, config.kinds, cached=True)
+                update = parse_update(config.cached_list, config.zones, config.machine_classes, cached=True)
                 self.apply(update)
             except ListError as error:
                 log.warning("known_list_invalid error=%s", error)
@@ -54,9 +54,9 @@
         self._dispatcher.handle(Topology(ListKind.CACHED, 0, ()))
         return None
 
-    async def wait_for_first(self, backends: Backends) -> None:
+    async def wait_for_first(self, backends: BackendConnections) -> None:
         """Give discovery a moment: a cached list breaks no rule, but the present one is near."""
-        timeout_s = CACHED_LIST_TIMEOUT_S if backends.usable() else FIRST_LIST_TIMEOUT_S
+        timeout_s = CACHED_LIST_TIMEOUT_S if backends.has_usable() else FIRST_LIST_TIMEOUT_S
         try:
             async with asyncio.timeout(timeout_s):
                 await self._received.wait()
--- a/qos_gateway/server/endpoint_registry.py
+++ b/qos_gateway/server/endpoint_registry.py
@@ -5,15 +5,15 @@
 from collections.abc import Iterable
 
 from ..types import Endpoint, Health, ListKind
-from .backends import Backends
+from .backends import BackendConnections
 from .config import Address
-from .discovery import Update
+from .discovery import EndpointUpdate
 
 
 class EndpointRegistry:
     """Knows which endpoints are listed, where the ready ones are, and which are administratively disabled."""
 
-    def __init__(self, backends: Backends) -> None:
+    def __init__(self, backends: BackendConnections) -> None:
         self._backends = backends
         self._listed: set[int] = set()
         self._addresses: dict[int, Address] = {}  # of those that are ready
@@ -31,7 +31,7 @@
         """Return whether operators may name an endpoint: one gone from the list can still be enabled."""
         return endpoint in self._listed or endpoint in self._admin_disabled
 
-    def apply(self, update: Update) -> None:
+    def apply(self, update: EndpointUpdate) -> None:
         """Take in a list, or changes to it: a whole list ends what it no longer names."""
         if update.topology.kind is not ListKind.DELTA:
             self._remove_unnamed({entry.id for entry in update.topology.entries})
@@ -54,7 +54,7 @@
     def _remove_unnamed(self, named: set[int]) -> None:
         for endpoint in self._listed - named:
             self._addresses.pop(endpoint, None)
-            self._backends.learn(endpoint, None)
+            self._backends.set_address(endpoint, None)
         self._listed = set()
 
     def _apply_entry(self, entry: Endpoint, addresses: dict[int, Address]) -> None:
@@ -71,4 +71,4 @@
     def _update_pool(self, endpoint: int) -> None:
         """Have new connections go to the listed address, or nowhere while the endpoint is disabled."""
         address = None if endpoint in self._admin_disabled else self._addresses.get(endpoint)
-        self._backends.learn(endpoint, address)
+        self._backends.set_address(endpoint, address)
--- a/qos_gateway/server/gateway.py
+++ b/qos_gateway/server/gateway.py
@@ -10,19 +10,19 @@
 from ..units import MILLISECOND, SECOND
 from .action_executor import ActionExecutor, ActionTargets
 from .activity_log import ActivityLog, ActivitySources
-from .admin import Door
+from .admin import AdminServer
 from .admin_operations import AdminOperations, AdminTargets
-from .backends import Backends, monotonic_unix_ns
-from .clients import Clients
+from .backends import BackendConnections, monotonic_unix_ns
+from .clients import ClientConnections
 from .config import Config, needs_restart
-from .counter import Counter
-from .discovery import Discovery
+from .counter import CounterClient
+from .discovery import DiscoveryClient
 from .endpoint_feed import EndpointFeed
 from .endpoint_registry import EndpointRegistry
 from .event_dispatcher import EventDispatcher
 from .handover import Handover, SharedParts
 from .handover_channel import HandoverChannel
-from .metrics import Figures
+from .metrics import Metrics
 from .peers import Peers
 from .request_attempts import RequestAttempts
 from .request_table import RequestTable
@@ -45,7 +45,7 @@
         """Build all parts; nothing is opened before `start`."""
         self.config = config
         self.clock = monotonic_unix_ns()
-        self.metrics = Figures(config.classes)
+        self.metrics = Metrics(config.classes)
         self.activity = ActivityLog()
         engine = DecisionEngine(config.settings, config.seed, self.clock())
         self.dispatcher = EventDispatcher(engine, self.clock)
@@ -53,13 +53,15 @@
         self.attempts = RequestAttempts(
             config.settings, self.clock, self.dispatcher, self.requests, self.activity
         )
-        connections = max(MIN_CONNECTIONS, config.sockets - RESERVED_DESCRIPTORS)
+        connections = max(MIN_CONNECTIONS, config.max_descriptors - RESERVED_DESCRIPTORS)
         backend_connections = int(connections * BACKEND_CONNECTION_FRACTION)
         self.backends = self._build_backends(backend_connections)
         self.requests.bind(self.backends)
         self.attempts.bind(self.backends)
-        self.clients = Clients(config, self.requests, connections - backend_connections)
-        self.peers = Peers(config.peers, config.peers_all, config.settings.position, self.dispatcher.handle)
+        self.clients = ClientConnections(config, self.requests, connections - backend_connections)
+        self.peers = Peers(
+            config.peers, config.peer_broadcast, config.settings.position, self.dispatcher.handle
+        )
         self.counter = self._build_counter()
         self.executor = self._build_executor()
         self.dispatcher.bind(self.executor.execute, self.requests.fail_after_fault)
@@ -69,10 +71,10 @@
         self.handover = self._build_handover()
         self.handover_channel = self._build_handover_channel()
         self.operations = self._build_operations()
-        self.admin_server = None if config.operator is None else Door(config.operator, self.operations)
+        self.admin_server = None if config.admin is None else AdminServer(config.admin, self.operations)
 
-    def _build_backends(self, max_connections: int) -> Backends:
-        return Backends(
+    def _build_backends(self, max_connections: int) -> BackendConnections:
+        return BackendConnections(
             max_connections,
             self.config.connect_timeout / SECOND,
             self.config.connection_idle / SECOND,
@@ -84,11 +86,11 @@
             self.attempts.is_wanted,
         )
 
-    def _build_counter(self) -> Counter | None:
+    def _build_counter(self) -> CounterClient | None:
         config = self.config
         if config.counter is None:
             return None
-        return Counter(
+        return CounterClient(
             config.counter,
             config.counter_timeout / SECOND,
             config.connect_timeout / SECOND,
@@ -100,12 +102,12 @@
         probe_timeout = self.config.connect_timeout if self.config.settings.may_probe else None
         return ActionExecutor(targets, self.dispatcher, self.clock, probe_timeout)
 
-    def _build_discovery(self, cached_version: int | None) -> Discovery:
+    def _build_discovery(self, cached_version: int | None) -> DiscoveryClient:
         config = self.config
-        return Discovery(
+        return DiscoveryClient(
             config.discovery,
             config.zones,
-            config.kinds,
+            config.machine_classes,
             cached_version,
             self.endpoint_feed.on_update,
             config.settings.drain_grace / SECOND,
@@ -117,9 +119,9 @@
 
     def _build_handover_channel(self) -> HandoverChannel | None:
         """Without an inherited listening socket no two processes serve at a time."""
-        if self.config.folder is None or self.config.passed is None:
+        if self.config.shared_folder is None or self.config.inherited_descriptor is None:
             return None
-        return HandoverChannel(self.config.folder, self.config.name, self.handover)
+        return HandoverChannel(self.config.shared_folder, self.config.name, self.handover)
 
     def _build_operations(self) -> AdminOperations:
         targets = AdminTargets(
@@ -141,7 +143,7 @@
 
     def is_ready(self) -> bool:
         """Return whether any endpoint takes requests."""
-        return self.backends.usable()
+        return self.backends.has_usable()
 
     async def start(self) -> None:
         """Open the sockets, the clients' last, when requests can be served.
@@ -201,6 +203,6 @@
         changed = needs_restart(self.config, config)
         if changed:
             log.warning("configuration_needs_restart settings=%s", ",".join(changed))
-        self.discovery.move(config.discovery)
+        self.discovery.change_agent(config.discovery)
         if self.counter is not None and config.counter is not None:
-            self.counter.move(config.counter)
+            self.counter.change_address(config.counter)
--- a/qos_gateway/server/handover.py
+++ b/qos_gateway/server/handover.py
@@ -8,9 +8,9 @@
 
 from ..decisions.engine import INCOMING_FRACTION, OUTGOING_FRACTION
 from ..types import SetEndpointEnabled, Settings
-from .backends import Backends
-from .clients import Clients
-from .discovery import Discovery, Update
+from .backends import BackendConnections
+from .clients import ClientConnections
+from .discovery import DiscoveryClient, EndpointUpdate
 from .endpoint_registry import EndpointRegistry
 from .engine_capture import HandoverFractions, capture, complete, restore
 from .event_dispatcher import EventDispatcher
@@ -29,9 +29,9 @@
 class SharedParts:
     """The parts of the process whose state or limits two processes share."""
 
-    clients: Clients
-    backends: Backends
-    discovery: Discovery
+    clients: ClientConnections
+    backends: BackendConnections
+    discovery: DiscoveryClient
     endpoints: EndpointRegistry
 
 
@@ -44,7 +44,7 @@
         settings: Settings,
         clock: Callable[[], int],
         dispatcher: EventDispatcher,
-        apply_list: Callable[[Update], None],
+        apply_list: Callable[[EndpointUpdate], None],
     ) -> None:
         """Take `apply_list` as the way of a list of endpoints into this process."""
         self._clients = parts.clients
@@ -58,12 +58,12 @@
 
     def capture_state(self) -> HandoverState:
         """Return the state for the next process; connections open here stay so until this process ends."""
-        client_connections = self._clients.count() + EXTRA_CLIENT_CONNECTIONS
-        backend_connections = self._backends.open + EXTRA_BACKEND_CONNECTIONS
-        self._clients.share(client_connections, FRACTIONS.outgoing)
-        self._backends.share(backend_connections)
+        client_connections = self._clients.connection_count() + EXTRA_CLIENT_CONNECTIONS
+        backend_connections = self._backends.open_connections + EXTRA_BACKEND_CONNECTIONS
+        self._clients.limit(client_connections, FRACTIONS.outgoing)
+        self._backends.limit(backend_connections)
         return HandoverState(
-            endpoint_list=self._discovery.known(),
+            endpoint_list=self._discovery.current_list(),
             client_connections=client_connections,
             backend_connections=backend_connections,
             engine=capture(self._dispatcher.engine, self._clock(), FRACTIONS),
@@ -75,14 +75,14 @@
         try:
             endpoint_list = received.endpoint_list()
             if not list_is_current and endpoint_list is not None:
-                self._apply_list(self._discovery.adopt(endpoint_list))
+                self._apply_list(self._discovery.adopt_list(endpoint_list))
             state = received.decode(len(self._settings.plans), len(self._settings.classes))
             restore(engine, self._clock(), state.engine, FRACTIONS.incoming)
         except (KeyError, TypeError, ValueError) as error:
             log.error("handover_state_invalid error=%s", error)  # noqa: TRY400  # the other side's fault
             return
-        self._clients.share(self._clients.bound - state.client_connections, FRACTIONS.incoming)
-        self._backends.share(self._backends.most - state.backend_connections)
+        self._clients.limit(self._clients.max_connections - state.client_connections, FRACTIONS.incoming)
+        self._backends.limit(self._backends.max_connections - state.backend_connections)
         self._endpoints.disable_all(engine.load_balancer.admin_disabled)
         log.info("handover_completed endpoints_disabled=%d", self._endpoints.admin_disabled_count())
 
@@ -93,6 +93,6 @@
 
     def on_other_process_ended(self) -> None:
         """Take the whole of what was shared."""
-        self._clients.share(None, WHOLE_MEMORY)
-        self._backends.share(None)
+        self._clients.limit(None, WHOLE_MEMORY)
+        self._backends.limit(None)
         complete(self._dispatcher.engine)
--- a/qos_gateway/server/listener.py
+++ b/qos_gateway/server/listener.py
@@ -15,12 +15,12 @@
 log.addFilter(RateLimitFilter())
 
 BACKLOG = 1024  # connections that the system keeps waiting
-BATCH = 16  # connections taken in one turn: those that made room for them are closed only after it
-PAUSE = 0.02  # s without a look at the queue, where there is no room
-QUEUE_MOST = 0.25  # s without room after which what waits is shut, unread: its requests' time runs
+ACCEPT_BATCH = 16  # connections taken in one turn: those that made room for them are closed only after it
+ACCEPT_RETRY_INTERVAL_S = 0.02  # s without a look at the queue, where there is no room
+MAX_QUEUE_TIME_S = 0.25  # s without room after which what waits is shut, unread: its requests' time runs
 
 
-def passed_socket(descriptor: int) -> socket.socket | None:
+def inherited_socket(descriptor: int) -> socket.socket | None:
     """The listening socket that the platform holds; None where the descriptor is no such thing."""
     try:
         sock = socket.socket(fileno=descriptor)
@@ -48,13 +48,13 @@
     ) -> None:
         sock.setblocking(False)
         sock.listen(BACKLOG)
-        self._sock, self._made, self._room = sock, made, room
+        self._sock, self._protocol_factory, self._has_capacity = sock, made, room
         self._loop = asyncio.get_running_loop()
-        self._coming: set[asyncio.Task[None]] = set()  # accepted, not yet known to their protocols
+        self._connecting: set[asyncio.Task[None]] = set()  # accepted, not yet known to their protocols
         self._queue = select.poll()
         self._queue.register(sock.fileno(), select.POLLIN)
         self._full_since: float | None = None
-        self._pause: asyncio.TimerHandle | None = None
+        self._resume_timer: asyncio.TimerHandle | None = None
         self._loop.add_reader(sock.fileno(), self._accept)
 
     @property
@@ -62,30 +62,30 @@
         return int(self._sock.getsockname()[1])
 
     @property
-    def coming(self) -> int:
-        return len(self._coming)
+    def connecting_count(self) -> int:
+        return len(self._connecting)
 
-    def waiting(self) -> bool:
+    def has_waiting(self) -> bool:
         """Whether somebody stands before the door."""
         return bool(self._queue.poll(0))
 
     def close(self) -> None:
-        if self._pause is not None:
-            self._pause.cancel()
+        if self._resume_timer is not None:
+            self._resume_timer.cancel()
         self._loop.remove_reader(self._sock.fileno())
         self._sock.close()
 
     def _accept(self) -> None:
-        for _ in range(BATCH):
-            if not self.waiting():
+        for _ in range(ACCEPT_BATCH):
+            if not self.has_waiting():
                 self._full_since = None
                 return None
             shut = False
-            if not self._room():
+            if not self._has_capacity():
                 now = self._loop.time()
                 self._full_since = self._full_since or now
-                if now - self._full_since < QUEUE_MOST:
-                    return self._rest()
+                if now - self._full_since < MAX_QUEUE_TIME_S:
+                    return self._pause_accepting()
                 shut = True
             else:
                 self._full_since = None
@@ -96,26 +96,26 @@
             except OSError as error:
                 # The system has no descriptor left, or no memory: to try again at once would spin.
                 log.warning("no connection can be accepted: %s", error)
-                return self._rest()
+                return self._pause_accepting()
             if shut:
                 sock.close()
                 continue
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            task = self._loop.create_task(self._make(sock))
-            self._coming.add(task)
-            task.add_done_callback(self._coming.discard)
+            task = self._loop.create_task(self._connect(sock))
+            self._connecting.add(task)
+            task.add_done_callback(self._connecting.discard)
 
-    async def _make(self, sock: socket.socket) -> None:
+    async def _connect(self, sock: socket.socket) -> None:
         try:
-            await self._loop.connect_accepted_socket(self._made, sock)
+            await self._loop.connect_accepted_socket(self._protocol_factory, sock)
         except OSError:
             sock.close()  # gone again already
 
-    def _rest(self) -> None:
+    def _pause_accepting(self) -> None:
         self._loop.remove_reader(self._sock.fileno())
-        self._pause = self._loop.call_later(PAUSE, self._resume)
+        self._resume_timer = self._loop.call_later(ACCEPT_RETRY_INTERVAL_S, self._resume_accepting)
 
-    def _resume(self) -> None:
-        self._pause = None
+    def _resume_accepting(self) -> None:
+        self._resume_timer = None
         self._loop.add_reader(self._sock.fileno(), self._accept)
--- a/qos_gateway/server/logs.py
+++ b/qos_gateway/server/logs.py
@@ -5,8 +5,8 @@
 import logging
 import time
 
-LINES_MOST = 10  # lines of one logger in a span
-SPAN = 10.0  # s
+MAX_LINES = 10  # lines of one logger in a span
+WINDOW_S = 10.0  # s
 
 
 class RateLimitFilter(logging.Filter):
@@ -17,14 +17,14 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._since, self._lines = float("-inf"), 0
+        self._window_started, self._line_count = float("-inf"), 0
 
     def filter(self, record: logging.LogRecord) -> bool:
         now = time.monotonic()
-        if now - self._since >= SPAN:
-            left_out = max(0, self._lines - LINES_MOST)
-            self._since, self._lines = now, 0
+        if now - self._window_started >= WINDOW_S:
+            left_out = max(0, self._line_count - MAX_LINES)
+            self._window_started, self._line_count = now, 0
             if left_out:
                 record.msg = f"{record.msg} ({left_out} lines like it left out)"
-        self._lines += 1
-        return self._lines <= LINES_MOST
+        self._line_count += 1
+        return self._line_count <= MAX_LINES
--- a/qos_gateway/server/request_attempts.py
+++ b/qos_gateway/server/request_attempts.py
@@ -10,10 +10,10 @@
 from ..types import AttemptEnded, CancelAttempt, Outcome, ProbeEnded, ResponseStarted, Send, Settings
 from ..units import SECOND
 from .activity_log import ActivityLog
-from .backends import Attempt, Backends, Flow, ProbeAttempt, Report
-from .clients import Relay
+from .backends import Attempt, BackendConnections, FlowControl, LoadReport, ProbeAttempt
+from .clients import StreamedReply
 from .event_dispatcher import EventDispatcher
-from .metrics import Ended
+from .metrics import RequestResult
 from .request_table import FAILED_ANSWER, OpenRequest, RequestTable
 
 log = logging.getLogger(__name__)
@@ -39,9 +39,9 @@
         self._requests = requests
         self._activity = activity
         self._loop = asyncio.get_running_loop()
-        self._backends: Backends
+        self._backends: BackendConnections
 
-    def bind(self, backends: Backends) -> None:
+    def bind(self, backends: BackendConnections) -> None:
         """Name the pools that attempts run on; to be called before the first attempt."""
         self._backends = backends
 
@@ -66,12 +66,12 @@
         has_own_timeout = 0 < action.timeout < time_left
         expires = now + (action.timeout if has_own_timeout else time_left)
         call = request.call
-        parts = (call.front, call.head, call.tail, call.body)
+        parts = (call.command_start, call.pairs_before_deadline, call.pairs_after_deadline, call.body)
         attempt = Attempt(
             action.request_id, index, action.endpoint, now, expires, parts, action.send_deadline
         )
         request.attempts_in_flight[index] = attempt
-        self._backends.start(attempt, action.timeout / SECOND if has_own_timeout else None)
+        self._backends.start_attempt(attempt, action.timeout / SECOND if has_own_timeout else None)
 
     def cancel(self, action: CancelAttempt) -> None:
         """Stop waiting for an attempt, in a later turn of the loop: its end is an event of its own."""
@@ -81,8 +81,8 @@
 
     def _cancel_if_in_flight(self, attempt: Attempt) -> None:
         request = self._requests.get(attempt.request)
-        if request is not None and attempt.index in request.attempts_in_flight:
-            self._backends.cancel(attempt)
+        if request is not None and attempt.number in request.attempts_in_flight:
+            self._backends.cancel_attempt(attempt)
 
     def _report_not_sent(self, action: Send, index: int, request_finished: bool) -> None:
         event = AttemptEnded(
@@ -96,7 +96,7 @@
         Asked before each attempt: one that begins more than 0.1 s after the close would break a rule.
         """
         client = request.slot.client
-        if not client.gone():
+        if not client.has_hung_up():
             return False
         self._loop.call_soon(client.abort)  # its requests end where all do whose client has left
         return True
@@ -108,7 +108,7 @@
         request = self._requests.get(attempt.request)
         return request is None or not self._client_has_left(request)
 
-    def on_response_started(self, attempt: Attempt, length: int, flow: Flow) -> Relay | None:
+    def on_response_started(self, attempt: Attempt, length: int, flow: FlowControl) -> StreamedReply | None:
         """Begin to stream a large value; None if nobody waits for it or another one is on its way."""
         number = attempt.request
         request = self._requests[number]
@@ -117,16 +117,16 @@
         request.streaming_attempt = attempt
         if attempt.timer is not None:
             attempt.timer.cancel()
-        relay = request.slot.client.relay(request.slot, length, flow)
-        elapsed = max(0, attempt.begun - attempt.started)
-        self._handle(ResponseStarted(number, elapsed, attempt.index, attempt.backend), number)
+        relay = request.slot.client.start_stream(request.slot, length, flow)
+        elapsed = max(0, attempt.response_started_at - attempt.started_at)
+        self._handle(ResponseStarted(number, elapsed, attempt.number, attempt.backend), number)
         return None if request.closed else relay
 
     def on_attempt_ended(
-        self, attempt: Attempt, outcome: Outcome, value: bytes | None, report: Report
+        self, attempt: Attempt, outcome: Outcome, value: bytes | None, report: LoadReport
     ) -> None:
         """Answer the client where this was the response, and tell the engine how the attempt ended."""
-        elapsed = max(0, self._clock() - attempt.started)
+        elapsed = max(0, self._clock() - attempt.started_at)
         load_report = self._load_report(report)
         if isinstance(attempt, ProbeAttempt):
             self._handle(ProbeEnded(outcome, attempt.backend, elapsed, load_report))
@@ -134,9 +134,11 @@
         self._activity.attempt_outcomes[outcome] += 1
         number = attempt.request
         request = self._requests[number]
-        request.attempts_in_flight.pop(attempt.index, None)
+        request.attempts_in_flight.pop(attempt.number, None)
         if request.streaming_attempt is attempt:
-            elapsed = max(0, attempt.begun - attempt.started)  # what came after it was the network's time
+            elapsed = max(
+                0, attempt.response_started_at - attempt.started_at
+            )  # what came after it was the network's time
         if not request.closed:
             self._answer_with(request, attempt, outcome, value)
         finished = request.closed or request.streaming_attempt is not None
@@ -148,7 +150,7 @@
             _quota_usage(report),
             outcome,
             elapsed,
-            attempt.index,
+            attempt.number,
             load_report,
         )
         self._handle(event, number)
@@ -161,21 +163,21 @@
         number = attempt.request
         if request.streaming_attempt is attempt:
             if outcome is Outcome.OK:
-                relay = cast(Relay, request.slot.relay)
-                self._requests.answer(number, request, relay.end(), Ended.PASSED)
+                relay = cast(StreamedReply, request.slot.stream)
+                self._requests.answer(number, request, relay.finish(), RequestResult.SERVED)
             else:
-                self._requests.answer(number, request, FAILED_ANSWER, Ended.FAILED)
+                self._requests.answer(number, request, FAILED_ANSWER, RequestResult.FAILED)
         elif outcome is Outcome.OK and value is not None:
             answer = b"$%d\r\n%b\r\n" % (len(value), value)
-            self._requests.answer(number, request, answer, Ended.PASSED)
+            self._requests.answer(number, request, answer, RequestResult.SERVED)
 
-    def _load_report(self, report: Report) -> tuple[float, ...]:
+    def _load_report(self, report: LoadReport) -> tuple[float, ...]:
         """Return the figures that the settings name, in their order; none unless all of them came."""
         names = self._report_names
         return tuple(report[name] for name in names) if report and report.keys() >= set(names) else ()
 
 
-def _quota_usage(report: Report) -> int:
+def _quota_usage(report: LoadReport) -> int:
     """Return one more than the percentage of the customer's quota in use, or 0 where none was told."""
     if QUOTA_USAGE_KEY not in report:
         return 0
--- a/qos_gateway/server/request_table.py
+++ b/qos_gateway/server/request_table.py
@@ -10,9 +10,9 @@
 from ..types import Arrival, ClientDisconnected, Fail, Reject, Settings
 from ..units import MILLISECOND, SECOND
 from .backends import Attempt
-from .clients import BadCall, Call, Slot
+from .clients import ClientRequest, InvalidCommandError, PendingReply
 from .event_dispatcher import EventDispatcher
-from .metrics import Ended, Figures
+from .metrics import Metrics, RequestResult
 
 DEADLINE_MARGIN_NS = 10 * MILLISECOND  # off a client's time: the way to it and back, and a loop that lags
 NO_DEADLINE_NS = 1 << 62  # later than any request ends
@@ -25,16 +25,16 @@
 class AttemptControl(Protocol):
     """What the table needs of the connection pools: how to stop waiting for an attempt."""
 
-    def usable(self) -> bool:
+    def has_usable(self) -> bool:
         """Return whether any endpoint takes requests."""
 
-    def cancel(self, attempt: Attempt) -> None:
+    def cancel_attempt(self, attempt: Attempt) -> None:
         """End an attempt whose response is no longer wanted."""
 
-    def expire(self, attempt: Attempt) -> None:
+    def expire_attempt(self, attempt: Attempt) -> None:
         """End an attempt whose time is over."""
 
-    def spare(self, attempt: Attempt) -> None:
+    def cancel_unsent(self, attempt: Attempt) -> None:
         """End an attempt unless it has been written whole."""
 
 
@@ -52,7 +52,7 @@
         "timer",
     )
 
-    def __init__(self, call: Call, slot: Slot, deadline: int) -> None:
+    def __init__(self, call: ClientRequest, slot: PendingReply, deadline: int) -> None:
         self.call = call
         self.slot = slot
         self.deadline = deadline
@@ -67,7 +67,7 @@
     """All open requests by number. Each gets one final answer at most, and none after its client left."""
 
     def __init__(
-        self, settings: Settings, metrics: Figures, clock: Callable[[], int], dispatcher: EventDispatcher
+        self, settings: Settings, metrics: Metrics, clock: Callable[[], int], dispatcher: EventDispatcher
     ) -> None:
         self.clock = clock
         self.latest_deadline = NO_DEADLINE_NS  # brought forward once the process stops
@@ -102,33 +102,33 @@
 
     def is_ready(self) -> bool:
         """Return whether a request could be sent on."""
-        return self._attempts.usable()
+        return self._attempts.has_usable()
 
-    def submit(self, call: Call, slot: Slot, waited: float) -> None:
+    def submit(self, call: ClientRequest, slot: PendingReply, waited: float) -> None:
         """Take in a request that has waited here for so many seconds already.
 
         Raises `BadCall` while another request with its id is open.
         """
-        if call.id in self._open_ids:
-            raise BadCall("a request with this id is open")
+        if call.request_id in self._open_ids:
+            raise InvalidCommandError("a request with this id is open")
         now = self.clock()
         number = next(self._numbers)
-        time_limit = min(call.wait_ms * MILLISECOND, self._settings.classes[call.cls].deadline)
+        time_limit = min(call.wait_ms * MILLISECOND, self._settings.classes[call.class_index].deadline)
         time_left = max(0, time_limit - int(waited * SECOND) - DEADLINE_MARGIN_NS)
         deadline = min(now + time_left, self.latest_deadline)
         request = OpenRequest(call, slot, deadline)
-        self._open_ids.add(call.id)
-        slot.request = number
+        self._open_ids.add(call.request_id)
+        slot.request_number = number
         self._requests[number] = request
         arrival = Arrival(
             number,
-            call.cls,
-            call.plan,
-            call.customer,
+            call.class_index,
+            call.plan_index,
+            call.customer_id,
             deadline,
             call.units,
-            call.spread,
-            call.first,
+            call.gateway_spread,
+            call.first_gateway,
             call.options,
         )
         self._handle(arrival, number)
@@ -144,9 +144,9 @@
         self._close(number, request)
         self._handle(ClientDisconnected(number))
         if request.streaming_attempt is not None:
-            self._attempts.cancel(request.streaming_attempt)
+            self._attempts.cancel_attempt(request.streaming_attempt)
         for attempt in list(request.attempts_in_flight.values()):
-            self._attempts.spare(attempt)
+            self._attempts.cancel_unsent(attempt)
 
     # Final answers.
 
@@ -157,19 +157,19 @@
             return
         retry_after_ms = -(-action.retry_after // MILLISECOND)
         answer = b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms else b"-BUSY\r\n"
-        self.answer(action.request_id, request, answer, Ended.DROPPED)
+        self.answer(action.request_id, request, answer, RequestResult.REJECTED)
 
     def fail(self, action: Fail) -> None:
         """Answer that a request failed, which promises nothing on whether it ran."""
         request = self._requests.get(action.request_id)
         if request is not None and not request.closed:
-            self.answer(action.request_id, request, FAILED_ANSWER, Ended.FAILED)
+            self.answer(action.request_id, request, FAILED_ANSWER, RequestResult.FAILED)
 
     def fail_after_fault(self, number: int) -> None:
         """Answer the request that an internal fault hit, if it is still open, and have it forgotten."""
         request = self._requests.get(number)
         if request is not None and not request.closed:
-            self.answer(number, request, INTERNAL_FAULT_ANSWER, Ended.FAILED)
+            self.answer(number, request, INTERNAL_FAULT_ANSWER, RequestResult.FAILED)
             self._handle(ClientDisconnected(number))
 
     def on_deadline(self, number: int) -> None:
@@ -182,24 +182,24 @@
             request.timer = self._loop.call_later(time_left / SECOND, self.on_deadline, number)
             return
         for attempt in list(request.attempts_in_flight.values()):
-            self._attempts.expire(attempt)
+            self._attempts.expire_attempt(attempt)
         if not request.closed:
             # The engine left it open, perhaps after a fault: a failure promises nothing.
-            self.answer(number, request, TIMED_OUT_ANSWER, Ended.FAILED)
+            self.answer(number, request, TIMED_OUT_ANSWER, RequestResult.FAILED)
             self._handle(ClientDisconnected(number))
 
-    def answer(self, number: int, request: OpenRequest, answer: bytes, result: Ended) -> None:
+    def answer(self, number: int, request: OpenRequest, answer: bytes, result: RequestResult) -> None:
         """Give an open request its final answer, and count how it ended."""
-        self._metrics.end(request.call.cls, result)
+        self._metrics.count_request(request.call.class_index, result)
         self._close(number, request)
-        if request.streaming_attempt is not None and result is not Ended.PASSED:
-            request.slot.client.cut(request.slot, answer)
+        if request.streaming_attempt is not None and result is not RequestResult.SERVED:
+            request.slot.client.abort_stream(request.slot, answer)
         else:
-            request.slot.client.answer(request.slot, answer)
+            request.slot.client.reply(request.slot, answer)
 
     def _close(self, number: int, request: OpenRequest) -> None:
         request.closed = True
-        self._open_ids.discard(request.call.id)
+        self._open_ids.discard(request.call.request_id)
         self.forget_if_over(number, request)
 
     def forget_if_over(self, number: int, request: OpenRequest) -> None:
--- a/qos_gateway/server/resp.py
+++ b/qos_gateway/server/resp.py
@@ -2,15 +2,17 @@
 
 from __future__ import annotations
 
-VALUE_MOST = 64 << 10  # bytes of one value that is held whole
-LARGE_MOST = 4 << 20  # bytes of an order server's value; above `VALUE_MOST` it is passed on as it comes
-COMMAND_MOST = VALUE_MOST + 4096  # bytes of a whole command: the value, names and values, framing
-ARGUMENTS_MOST = 16  # words of a command; the longest that a client has a use for holds five
-EXTRA_MOST = 1024  # bytes of an answer's load report or figures on use
-EXTRA_ITEMS = 16  # of figures on use that come as an array
-LINE_MOST = 512  # bytes of a header or an error line
-ANSWER_ITEMS = 3  # value, figures on use, load report
-DEPTH_MOST = 2  # arrays in one another in an answer
+MAX_BUFFERED_VALUE_BYTES = 64 << 10  # bytes of one value that is held whole
+MAX_VALUE_BYTES = 4 << 20  # bytes of an order server's value; above `VALUE_MOST` it is passed on as it comes
+MAX_COMMAND_BYTES = (
+    MAX_BUFFERED_VALUE_BYTES + 4096
+)  # bytes of a whole command: the value, names and values, framing
+MAX_ARGUMENTS = 16  # words of a command; the longest that a client has a use for holds five
+MAX_REPORT_BYTES = 1024  # bytes of an answer's load report or figures on use
+MAX_USAGE_ITEMS = 16  # of figures on use that come as an array
+MAX_LINE_BYTES = 512  # bytes of a header or an error line
+RESPONSE_ITEMS = 3  # value, figures on use, load report
+MAX_DEPTH = 2  # arrays in one another in an answer
 
 
 class FrameError(ValueError):
@@ -49,10 +51,10 @@
                 if self._value >= 0:
                     return -1
             else:
-                end = data.find(b"\n", at, at + LINE_MOST)
-                line = self._part + (data[at : end + 1] if end >= 0 else data[at : at + LINE_MOST])
+                end = data.find(b"\n", at, at + MAX_LINE_BYTES)
+                line = self._part + (data[at : end + 1] if end >= 0 else data[at : at + MAX_LINE_BYTES])
                 if end < 0:
-                    if len(line) >= LINE_MOST:
+                    if len(line) >= MAX_LINE_BYTES:
                         raise FrameError("line too long")
                     self._kind(line[:1])
                     self._part = line
@@ -61,7 +63,7 @@
                 if line[-2:] != b"\r\n":
                     raise FrameError("line does not end in CR LF")
                 if (length := self._header(line)) >= 0:
-                    if length > VALUE_MOST:
+                    if length > MAX_BUFFERED_VALUE_BYTES:
                         self.large, self.large_at = length, at
                     end = at + length + 2
                     if end <= size:  # the usual case: the value has come whole
@@ -133,45 +135,45 @@
     def _header(self, line: bytes) -> int:
         self._kind(line[:1])
         if not self._open:
-            count = _length(line, ARGUMENTS_MOST)
+            count = _length(line, MAX_ARGUMENTS)
             if not count:
                 raise FrameError("empty command")
             self._open.append(count)
             self._size = 0
             return -2
-        length = _length(line, VALUE_MOST)
+        length = _length(line, MAX_BUFFERED_VALUE_BYTES)
         self._size += length
-        if self._size > COMMAND_MOST:
+        if self._size > MAX_COMMAND_BYTES:
             raise FrameError("command too long")
         return length
 
 
-class AnswerFrames(Frames):
+class ResponseFrames(Frames):
     """Backends' answers: an array of value, figures and report; an error line; a probe's string or status."""
 
     __slots__ = ()
 
     def _kind(self, kind: bytes) -> None:
-        if kind not in ((b"$",) if self._open == [ANSWER_ITEMS] else (b"$", b"*", b"-", b"+", b":")):
+        if kind not in ((b"$",) if self._open == [RESPONSE_ITEMS] else (b"$", b"*", b"-", b"+", b":")):
             raise FrameError("not a value")
 
     def _header(self, line: bytes) -> int:
         kind = line[:1]
         self._kind(kind)
         if kind == b"$":
-            value = not self._open or self._open == [ANSWER_ITEMS]
-            return _length(line, LARGE_MOST if value else EXTRA_MOST, null=not value)
+            value = not self._open or self._open == [RESPONSE_ITEMS]
+            return _length(line, MAX_VALUE_BYTES if value else MAX_REPORT_BYTES, null=not value)
         if kind != b"*":
             return -1
         if not self._open:
-            if line != b"*%d\r\n" % ANSWER_ITEMS:
+            if line != b"*%d\r\n" % RESPONSE_ITEMS:
                 raise FrameError("not an answer's three parts")
-            self._open.append(ANSWER_ITEMS)
+            self._open.append(RESPONSE_ITEMS)
             return -2
-        count = _length(line, EXTRA_ITEMS, null=True)
+        count = _length(line, MAX_USAGE_ITEMS, null=True)
         if count <= 0:
             return -1
-        if len(self._open) >= DEPTH_MOST:
+        if len(self._open) >= MAX_DEPTH:
             raise FrameError("arrays nested too deep")
         self._open.append(count)
         return -2
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -17,7 +17,7 @@
 from qos_gateway.decisions.engine import DecisionEngine
 from qos_gateway.decisions.lease import EVEN_FRACTION, LEASED_FRACTION, MAX_SAVED_FRACTION, RENEWAL_LEAD
 from qos_gateway.decisions.quota.counter import LeasedQuota
-from qos_gateway.server.config import LEASE_MOST, ConfigError, parse
+from qos_gateway.server.config import MAX_LEASE_S, ConfigError, parse
 from qos_gateway.types import Action, AddToCounter, CounterReplied, ListKind, Outcome, Reject, Send, Settings
 from tests.support.builders import MS, SECOND, arrival, backend, ended, full_list, plan, settings
 from tests.support.handover import capture_json, restore_json
@@ -175,7 +175,7 @@
     for a in actions:
         assert isinstance(a, AddToCounter)
         assert a.time_to_live == 60 * SECOND
-    assert LEASE_MOST * (1 + RENEWAL_LEAD) <= 60
+    assert MAX_LEASE_S * (1 + RENEWAL_LEAD) <= 60
 
 
 def test_restarted_gateway_claims_what_is_left_and_has_its_floor() -> None:
--- a/tests/server/test_admin.py
+++ b/tests/server/test_admin.py
@@ -9,8 +9,8 @@
 import pytest
 
 from qos_gateway.server import admin as operators
-from qos_gateway.server.admin import Door
-from qos_gateway.server.metrics import Ended, Figures, Standing, render
+from qos_gateway.server.admin import AdminServer
+from qos_gateway.server.metrics import Gauges, Metrics, RequestResult, render
 from tests.support.servers import (
     LOOPBACK,
     call_command,
@@ -45,8 +45,8 @@
 
 
 @asynccontextmanager
-async def door(desk: Desk) -> AsyncIterator[Door]:
-    made = Door((LOOPBACK, 0), desk)
+async def door(desk: Desk) -> AsyncIterator[AdminServer]:
+    made = AdminServer((LOOPBACK, 0), desk)
     await made.start()
     try:
         yield made
@@ -133,7 +133,7 @@
 
 def test_caller_without_a_whole_call_is_told_so_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr(operators, "CALL_TIME", 0.02)
+        monkeypatch.setattr(operators, "REQUEST_TIMEOUT_S", 0.02)
         async with door(Desk()) as d:
             assert (await say(d.port, get("/ops/stats")[:20]))[0] == 408
             assert (await say(d.port, post("/ops/order-servers/down", b"s-1")[:-1]))[0] == 408
@@ -146,10 +146,10 @@
         async with door(Desk()) as d:
             idle = [
                 await with_timeout(asyncio.open_connection(LOOPBACK, d.port))
-                for _ in range(3 * operators.CALLERS_MOST)
+                for _ in range(3 * operators.MAX_CONNECTIONS)
             ]
             assert (await say(d.port, get("/ops/readiness")))[0] == 200
-            await wait_until(lambda: len(d._callers) <= operators.CALLERS_MOST)
+            await wait_until(lambda: len(d._connections) <= operators.MAX_CONNECTIONS)
             for _, writer in idle:
                 writer.close()
 
@@ -158,9 +158,9 @@
 
 def test_taken_address_is_tried_for_again(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr(operators, "BIND_AGAIN", 0.005)
+        monkeypatch.setattr(operators, "BIND_RETRY_INTERVAL_S", 0.005)
         async with door(Desk()) as first:
-            second = Door((LOOPBACK, first.port), Desk())
+            second = AdminServer((LOOPBACK, first.port), Desk())
             await second.start()
             first.close()
             await wait_until(lambda: second.port == first.port)
@@ -171,12 +171,12 @@
 
 
 def test_figures_are_rendered_one_a_line() -> None:
-    figures = Figures((b"stock-check", b"look.up|x"))
-    figures.end(0, Ended.PASSED)
-    figures.end(1, Ended.DROPPED)
-    figures.end(1, Ended.FAILED)
-    figures.tries = 5
-    assert render(figures, Standing(14, 9, 2)).decode().splitlines() == [
+    figures = Metrics((b"stock-check", b"look.up|x"))
+    figures.count_request(0, RequestResult.SERVED)
+    figures.count_request(1, RequestResult.REJECTED)
+    figures.count_request(1, RequestResult.FAILED)
+    figures.attempts = 5
+    assert render(figures, Gauges(14, 9, 2)).decode().splitlines() == [
         "edge_router.handled.stock-check.passed:1|c",
         "edge_router.handled.stock-check.dropped:0|c",
         "edge_router.handled.stock-check.bad_gateway:0|c",
@@ -212,7 +212,7 @@
             assert await client.next_message() == b"PONG"  # neither is a request
             await client.next_message()
             figures = read(harness.gateway.operations.render_metrics())
-            assert [figures[f"handled.charge.{how.value}"] for how in Ended] == [1, 1, 1]
+            assert [figures[f"handled.charge.{how.value}"] for how in RequestResult] == [1, 1, 1]
             assert sum(n for name, n in figures.items() if name.startswith("handled.")) == 3
             assert (figures["upstream_tries"], figures["in_progress"]) == (2, 0)
             assert (figures["known_order_servers"], figures["skipped_order_servers"]) == (1, 0)
--- a/tests/server/test_backends.py
+++ b/tests/server/test_backends.py
@@ -12,17 +12,17 @@
 
 from qos_gateway.server import backends
 from qos_gateway.server.backends import (
-    Ages,
     Attempt,
-    Backends,
-    Report,
-    Sink,
+    BackendConnections,
+    KeepAliveEstimator,
+    LoadReport,
+    ResponseSink,
     monotonic_unix_ns,
     read_answer,
     read_report,
 )
-from qos_gateway.server.metrics import Figures
-from qos_gateway.server.resp import AnswerFrames
+from qos_gateway.server.metrics import Metrics
+from qos_gateway.server.resp import ResponseFrames
 from qos_gateway.types import Outcome
 from tests.support.servers import (
     LOOPBACK,
@@ -38,7 +38,7 @@
 
 SECOND = 1_000_000_000
 CLOCK = monotonic_unix_ns()
-Ended = tuple[int, Outcome, bytes | None, Report]
+Ended = tuple[int, Outcome, bytes | None, LoadReport]
 
 
 class Bench:
@@ -46,18 +46,18 @@
 
     def __init__(self, most: int, connect: float, idle: float, grace: float) -> None:
         self.ends: asyncio.Queue[Ended] = asyncio.Queue()
-        self.figures = Figures(())
-        self.pools = Backends(
+        self.metrics = Metrics(())
+        self.pools = BackendConnections(
             most,
             connect,
             idle,
             grace,
             CLOCK,
             lambda attempt, *end: self.ends.put_nowait((attempt.request, *end)),
-            self.figures,
+            self.metrics,
             lambda _attempt, _length, _flow: self.sink,
         )
-        self.sink: Sink | None = None
+        self.sink: ResponseSink | None = None
 
     def start(
         self,
@@ -70,7 +70,7 @@
         now = CLOCK()
         parts = ((b"CALL.POST", b"c", b"i"), b"c=x,", b",k=y", (body,))
         attempt = Attempt(request, 0, backend, now, now + 3 * SECOND, parts, before)
-        self.pools.start(attempt, timeout)
+        self.pools.start_attempt(attempt, timeout)
         return attempt
 
     async def end(self) -> Ended:
@@ -89,11 +89,11 @@
     made = Bench(most, connect, idle, grace)
     try:
         if backend is None:
-            made.pools.learn(7, (LOOPBACK, port))
+            made.pools.set_address(7, (LOOPBACK, port))
             yield made
         else:
             async with listening(backend):
-                made.pools.learn(7, (LOOPBACK, backend.port))
+                made.pools.set_address(7, (LOOPBACK, backend.port))
                 yield made
     finally:
         made.pools.close()
@@ -119,7 +119,9 @@
         (b"*3\r\n$1\r\nv\r\n-odd\r\n+odd\r\n", Outcome.OK, b"v", {}),
     ],
 )
-def test_outcome_of_each_answer(answer: bytes, outcome: Outcome, value: bytes | None, report: Report) -> None:
+def test_outcome_of_each_answer(
+    answer: bytes, outcome: Outcome, value: bytes | None, report: LoadReport
+) -> None:
     async def test() -> None:
         backend = FakeBackend()
         async with bench(backend) as b:
@@ -178,7 +180,7 @@
     answer: bytes, pieces: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Half an answer, with nothing behind it, is spoilt once the rest has stayed away for a while.
-    monkeypatch.setattr(backends, "STALL", 0.05)
+    monkeypatch.setattr(backends, "RESPONSE_STALL_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         backend = FakeBackend()
@@ -191,14 +193,14 @@
             connection.send(answer[len(head) :])
             assert await b.end() == (1, Outcome.RESET, None, {})
             await wait_until(lambda: backend.closed_connections == 1)
-            assert b.pools.open == 0
+            assert b.pools.open_connections == 0
             assert b.ends.empty()
 
     run_on_loop(test)
 
 
 def test_half_an_answer_that_breaks_off_ends_the_attempt_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(backends, "STALL", 0.02)
+    monkeypatch.setattr(backends, "RESPONSE_STALL_TIMEOUT_S", 0.02)
 
     async def test() -> None:
         faults: list[object] = []
@@ -208,13 +210,13 @@
             attempt = b.start(1)
             connection, _ = await backend.next_command()
             connection.send(b"*3\r\n$5\r\nhal")
-            link = attempt.link
+            link = attempt.connection
             assert link is not None
             await wait_until(lambda: link.timer is not None)
             connection.abort()
             assert (await b.end())[:2] == (1, Outcome.RESET)
             assert link.timer is None
-            await asyncio.sleep(2 * backends.STALL)  # nothing is left that could come then
+            await asyncio.sleep(2 * backends.RESPONSE_STALL_TIMEOUT_S)  # nothing is left that could come then
             assert faults == []
             assert b.ends.empty()
 
@@ -224,7 +226,7 @@
 @pytest.mark.parametrize("size", [1, 2, 3, 7])
 def test_answer_in_pieces_is_read_whole(size: int) -> None:
     async def test() -> None:
-        frames, whole = AnswerFrames(), success_reply(b"\r\n$1\r\n" * 20)
+        frames, whole = ResponseFrames(), success_reply(b"\r\n$1\r\n" * 20)
         ends = [frames.scan(whole[at : at + size], 0) for at in range(0, len(whole), size)]
         assert ends[:-1] == [-1] * (len(ends) - 1)
         assert ends[-1] == (len(whole) - 1) % size + 1
@@ -248,8 +250,8 @@
         async with bench(backend) as b:
             attempt = b.start(1)
             connection, _ = await backend.next_command()
-            assert attempt.link is not None
-            monkeypatch.setattr(attempt.link, "reader", Noted())
+            assert attempt.connection is not None
+            monkeypatch.setattr(attempt.connection, "reader", Noted())
             connection.send(b"*3\r\n$1\r\nv\r\n*100000000\r\n")
             assert (await b.end())[1] is Outcome.RESET
             assert not any(b"00000" in data for data in fed)
@@ -260,7 +262,7 @@
 def test_second_copy_in_a_later_packet_is_never_taken_for_the_next_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(backends, "SETTLE", 0.0)
+    monkeypatch.setattr(backends, "REUSE_DELAY_S", 0.0)
 
     async def test() -> None:
         with closing(socket.create_server((LOOPBACK, 0))) as server:
@@ -310,7 +312,7 @@
         async with bench(port=port) as b:
             b.start(1)
             assert (await b.end())[:2] == (1, Outcome.CONNECT_FAILED)
-            assert b.pools.open == 0
+            assert b.pools.open_connections == 0
 
     run_on_loop(test)
 
@@ -331,7 +333,7 @@
             async with bench(port=address[1], connect=0.05 if late else 20.0) as b:
                 b.start(1, timeout=None if late else 0.05)
                 assert (await b.end())[:2] == (1, Outcome.CONNECT_FAILED)
-                assert b.pools.open == 0
+                assert b.pools.open_connections == 0
             for one in fill:
                 one.close()
 
@@ -351,15 +353,15 @@
             elif how == "end":
                 connection.writer.close()
             elif how == "time-out":
-                b.pools.expire(attempt)
+                b.pools.expire_attempt(attempt)
                 wanted = Outcome.TIMEOUT
             else:
-                b.pools.cancel(attempt)
+                b.pools.cancel_attempt(attempt)
                 wanted = Outcome.CANCELLED
             assert await b.end() == (1, wanted, None, {})
             # The connection is closed too: an answer that still comes belongs to nobody.
             await wait_until(lambda: backend.closed_connections == 1)
-            assert b.pools.open == 0
+            assert b.pools.open_connections == 0
             assert b.ends.empty()
 
     run_on_loop(test)
@@ -375,12 +377,14 @@
                 loop = asyncio.get_running_loop()
                 server.setblocking(False)
                 taken, _ = await with_timeout(loop.sock_accept(server))
-                await wait_until(lambda: attempt.link is not None and attempt.link.transport is not None)
+                await wait_until(
+                    lambda: attempt.connection is not None and attempt.connection.transport is not None
+                )
                 if how == "reset":
                     taken.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                     taken.close()
                 else:
-                    b.pools.expire(attempt)
+                    b.pools.expire_attempt(attempt)
                     taken.close()
                 assert (await b.end())[:2] == (1, Outcome.CONNECT_FAILED)
 
@@ -405,13 +409,13 @@
                 taken.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 taken.close()
                 assert (await b.end())[:2] == (1, Outcome.RESET)
-                assert b.figures.tries == 1
+                assert b.metrics.attempts == 1
 
     run_on_loop(test)
 
 
 def test_pooled_connection_that_ended_unnoticed_is_not_written_to(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(backends, "SETTLE", 0.0)
+    monkeypatch.setattr(backends, "REUSE_DELAY_S", 0.0)
 
     async def test() -> None:
         with closing(socket.create_server((LOOPBACK, 0))) as server:
@@ -440,7 +444,7 @@
         async with bench(backend) as b:
             attempt = b.start(1)
             first, _ = await backend.next_command()
-            b.pools.expire(attempt)
+            b.pools.expire_attempt(attempt)
             assert (await b.end())[1] is Outcome.TIMEOUT
             b.start(2)
             second, _ = await backend.next_command()
@@ -461,7 +465,7 @@
             connection.send(success_reply(b"v") + success_reply(b"again"))
             assert (await b.end())[1] is Outcome.OK
             await wait_until(lambda: backend.closed_connections == 1)
-            assert b.pools.open == 0
+            assert b.pools.open_connections == 0
 
     run_on_loop(test)
 
@@ -469,7 +473,7 @@
 def test_connections_are_reused_last_in_first_out_with_one_request_each(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(backends, "SETTLE", 0.0)
+    monkeypatch.setattr(backends, "REUSE_DELAY_S", 0.0)
 
     async def test() -> None:
         backend = FakeBackend()
@@ -487,7 +491,7 @@
                 assert connection is held[1][0]
                 connection.send(success_reply(b"v"))
                 await b.end()
-            assert b.pools.open == 2
+            assert b.pools.open_connections == 2
 
     run_on_loop(test)
 
@@ -536,29 +540,29 @@
             assert not await rested(0.3, False)
             assert await rested(0.15, False)
             for _ in range(120):
-                b.pools.ages.decay()
+                b.pools.keep_alive.decay()
             assert await rested(0.3, False)  # after a while it is tried again
 
     run_on_loop(test)
 
 
 def test_breaks_that_come_at_any_age_or_seldom_shorten_no_rest() -> None:
-    ages = Ages(15.0)
+    ages = KeepAliveEstimator(15.0)
     for age in (0.01, 0.02) * 10:
-        ages.tried(age)
-        ages.broke(age)
+        ages.record_reuse(age)
+        ages.record_reset(age)
     for _ in range(100):
-        ages.tried(1.0)
+        ages.record_reuse(1.0)
     for _ in range(4):
-        ages.broke(1.0)
-    assert ages.limit == 15.0
+        ages.record_reset(1.0)
+    assert ages.idle_limit == 15.0
 
 
 def test_connections_are_bounded_and_idle_ones_give_way() -> None:
     async def test() -> None:
         one, two = FakeBackend(), FakeBackend()
         async with listening(two), bench(one, most=1) as b:
-            b.pools.learn(8, (LOOPBACK, two.port))
+            b.pools.set_address(8, (LOOPBACK, two.port))
             b.start(1)
             connection, _ = await one.next_command()
             b.start(2, backend=8)
@@ -569,7 +573,7 @@
             connection, _ = await two.next_command()
             connection.send(success_reply(b"v"))
             assert (await b.end())[:2] == (3, Outcome.OK)
-            assert b.pools.open == 1
+            assert b.pools.open_connections == 1
 
     run_on_loop(test)
 
@@ -583,7 +587,7 @@
             held = [await backend.next_command() for _ in range(2)]
             held[0][0].send(success_reply(b"v"))
             await b.end()
-            b.pools.learn(7, None)
+            b.pools.set_address(7, None)
             await wait_until(lambda: backend.closed_connections == 1)
             held[1][0].send(success_reply(b"w"))
             assert (await b.end())[1:3] == (Outcome.OK, b"w")
@@ -597,10 +601,10 @@
         backend = FakeBackend()
         async with bench(backend, grace=0.0) as b:
             b.start(1)
-            b.pools.learn(7, None)
+            b.pools.set_address(7, None)
             assert (await b.end())[:2] == (1, Outcome.CONNECT_FAILED)
             assert backend.commands.empty()
-            assert b.pools.open == 0
+            assert b.pools.open_connections == 0
 
     run_on_loop(test)
 
@@ -616,7 +620,7 @@
             b.start(2, before=CLOCK() + 60 * SECOND)
             assert (await backend.next_command())[1][2] == b"i"
             assert backend.commands.empty()
-            assert b.pools.open == 1
+            assert b.pools.open_connections == 1
 
     run_on_loop(test)
 
@@ -625,7 +629,7 @@
     async def test() -> None:
         async with bench(port=1) as b:
             attempt = b.start(1, backend=99)
-            b.pools.spare(attempt)
+            b.pools.cancel_unsent(attempt)
             b.start(2, backend=99)
             assert (await b.end())[:2] == (1, Outcome.NOT_SENT)
             assert (await b.end())[:2] == (2, Outcome.CONNECT_FAILED)
@@ -682,6 +686,6 @@
                 assert connection is backend.connections[number]
                 connection.send(success_reply(b"v"))
                 assert (await b.end())[:2] == (number, Outcome.OK)
-                assert b.pools.open == 1
+                assert b.pools.open_connections == 1
 
     run_on_loop(test)
--- a/tests/server/test_client_disconnects.py
+++ b/tests/server/test_client_disconnects.py
@@ -80,7 +80,7 @@
             gone.send(call_command(number=1))
             await with_timeout(held.asked.wait())
             gone.abort()
-            await wait_until(lambda: harness.gateway.clients.count() == 1)
+            await wait_until(lambda: harness.gateway.clients.connection_count() == 1)
             held.go.set()
             stays.send(call_command(number=2))
             connection, words = await harness.backend.next_command()
@@ -90,7 +90,7 @@
             assert harness.backend.commands.empty()
             assert not harness.gateway.requests._requests
             assert harness.gateway.dispatcher.engine.request_table.in_flight == 0
-            assert harness.gateway.backends.open == 1
+            assert harness.gateway.backends.open_connections == 1
 
     run_on_loop(test)
 
@@ -109,20 +109,24 @@
 
             ignore_deadlines(harness)
             engine = script_engine(
-                harness, *[leave_open] * clients.PIPELINE, *[lambda a: [Send(a.request_id, backend, 0)]] * 9
+                harness,
+                *[leave_open] * clients.MAX_PIPELINED,
+                *[lambda a: [Send(a.request_id, backend, 0)]] * 9,
             )
             client = await harness.connect_client()
-            client.send(b"".join(call_command(number=n) for n in range(clients.PIPELINE + 8)))
-            await wait_until(lambda: len(taken) == clients.PIPELINE and harness.gateway.clients.held > 0)
+            client.send(b"".join(call_command(number=n) for n in range(clients.MAX_PIPELINED + 8)))
+            await wait_until(
+                lambda: len(taken) == clients.MAX_PIPELINED and harness.gateway.clients.deferred_bytes > 0
+            )
             if how == "end":
                 client.writer.write_eof()
             else:
                 sock = client.writer.get_extra_info("socket")
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", how == "reset", 0))
                 client.abort()
-            await wait_until(lambda: len(engine.events_of(ClientDisconnected)) == clients.PIPELINE)
-            assert harness.gateway.clients.count() == 0
-            assert harness.gateway.clients.held == 0
+            await wait_until(lambda: len(engine.events_of(ClientDisconnected)) == clients.MAX_PIPELINED)
+            assert harness.gateway.clients.connection_count() == 0
+            assert harness.gateway.clients.deferred_bytes == 0
             for request in taken:
                 harness.gateway.executor.execute(Reject(request, 0))
             await only_another_is_written(harness)
@@ -147,7 +151,7 @@
             gone.send(call_command(number=1))
             ask = await tally.next_call()
             gone.abort()
-            await wait_until(lambda: harness.gateway.clients.count() == 1)
+            await wait_until(lambda: harness.gateway.clients.connection_count() == 1)
             ask.answer(b"ok 1")
             await wait_until(lambda: not harness.gateway.dispatcher.engine.admission.awaiting_reservation)
             assert harness.gateway.dispatcher.engine.request_table.in_flight == 0
@@ -169,7 +173,7 @@
             client.send(call_command(number=1))
             connection, _ = await harness.backend.next_command()
             client.abort()
-            await wait_until(lambda: harness.gateway.clients.count() == 1)
+            await wait_until(lambda: harness.gateway.clients.connection_count() == 1)
             connection.send(b"-BUSY\r\n")
             await wait_until(lambda: not harness.gateway.requests._requests)
             stays.send(call_command(number=2))
@@ -259,14 +263,18 @@
 async def queued(harness: GatewayHarness, engine: ScriptedEngine, client: Raw, how: str) -> int:
     """Behind as many commands as are worked on at once, in input that is not read: they are answered, and
     the rest would be taken up, in the turn in which the client has gone."""
-    backend, most = only_backend(harness), clients.PIPELINE
+    backend, most = only_backend(harness), clients.MAX_PIPELINED
     engine.plans[:] = [leave_open] * most + [lambda a: [Send(a.request_id, backend, 0)]] * 8
     client.send(*range(1, most + 9))
-    await wait_until(lambda: len(engine.events_of(Arrival)) == most and harness.gateway.clients.held > 0)
+    await wait_until(
+        lambda: len(engine.events_of(Arrival)) == most and harness.gateway.clients.deferred_bytes > 0
+    )
     client.leave(how)
     for arrival in engine.events_of(Arrival)[:most]:
         harness.gateway.executor.execute(Reject(arrival.request_id, 0))
-    await wait_until(lambda: harness.gateway.clients.count() == 0 or len(engine.events_of(Arrival)) > most)
+    await wait_until(
+        lambda: harness.gateway.clients.connection_count() == 0 or len(engine.events_of(Arrival)) > most
+    )
     return 0
 
 
@@ -281,8 +289,10 @@
     for other in others:
         assert await other.next_message() == b"v"
         other.abort()
-    await wait_until(lambda: harness.gateway.backends.idle() == 2 and harness.gateway.clients.count() == 0)
-    await asyncio.sleep(2 * backends.SETTLE)
+    await wait_until(
+        lambda: harness.gateway.backends.idle_count() == 2 and harness.gateway.clients.connection_count() == 0
+    )
+    await asyncio.sleep(2 * backends.REUSE_DELAY_S)
     engine.events.clear()
 
 
@@ -300,7 +310,7 @@
             client = Raw(harness)
             tries = await moment(harness, engine, client, how)
             # Where its answer was written before its end could be read, a rest may have been taken up.
-            await wait_until(lambda: harness.gateway.clients.count() == 0)
+            await wait_until(lambda: harness.gateway.clients.connection_count() == 0)
             assert all(
                 e.outcome is Outcome.NOT_SENT for e in engine.events_of(AttemptEnded) if e.attempt >= tries
             )
--- a/tests/server/test_clients.py
+++ b/tests/server/test_clients.py
@@ -83,7 +83,7 @@
 
 
 def only_backend(harness: GatewayHarness) -> int:
-    return harness.gateway.backends.known()[0]
+    return harness.gateway.backends.known_backends()[0]
 
 
 def test_request_and_value_pass_through_unchanged() -> None:
@@ -188,7 +188,7 @@
                 client = await harness.connect_client()
                 client.send(call_command("charge", number, wait_ms=1500))
                 connection, _ = await harness.backend.next_command()
-                busy = backends.open - backends.idle()
+                busy = backends.open_connections - backends.idle_count()
                 assert (
                     module.request_table.in_flight
                     == busy
@@ -199,7 +199,7 @@
                     harness.discovery.send_update(
                         endpoint_list(2, endpoint_entry("s-1", harness.backend.port, "terminating"))
                     )
-                    await wait_until(lambda: not backends.usable())
+                    await wait_until(lambda: not backends.has_usable())
                 if ending is None:
                     client.abort()
                     await wait_until(lambda: not module.request_table.open)
@@ -214,12 +214,12 @@
                 assert not module.request_table.attempts
                 assert not module.request_table.open
                 assert not harness.gateway.requests._requests
-                assert backends.open == backends.idle()
+                assert backends.open_connections == backends.idle_count()
                 assert not harness.gateway.requests._open_ids
                 assert all(s.in_flight == 0 for s in module.load_balancer.endpoints.values())
                 for server in module.load_balancer.endpoints.values():
                     server.ejected_until = 0  # symptoms would have it rest
-            await wait_until(lambda: backends.open == 0)
+            await wait_until(lambda: backends.open_connections == 0)
             assert all(a.in_flight == 0 for a in module.quota.accounts.values())
 
     run_on_loop(test)
@@ -236,7 +236,7 @@
                 by_id[words[2]] = connection
             by_id[b"%016x" % 2].send(success_reply(b"two"))
             await wait_until(
-                lambda: harness.gateway.backends.idle() == 1
+                lambda: harness.gateway.backends.idle_count() == 1
             )  # the second's answer has been taken in
             by_id[b"%016x" % 1].send(success_reply(b"one"))
             assert [await client.next_message() for _ in range(3)] == [b"one", b"two", b"PONG"]
@@ -372,7 +372,7 @@
             (ended,) = engine.events_of(AttemptEnded)
             assert (ended.outcome, ended.request_finished) == (Outcome.TIMEOUT, True)
             await wait_until(lambda: harness.backend.closed_connections == 1)
-            assert harness.gateway.backends.open == 0
+            assert harness.gateway.backends.open_connections == 0
 
     run_on_loop(test)
 
@@ -411,7 +411,7 @@
             def start(_attempt: Attempt, _timeout: float | None) -> None:
                 raise OSError("no descriptor")
 
-            monkeypatch.setattr(harness.gateway.backends, "start", start)
+            monkeypatch.setattr(harness.gateway.backends, "start_attempt", start)
             backend = only_backend(harness)
             engine = script_engine(harness, lambda a: [Send(a.request_id, backend, 0)])
             client = await harness.connect_client()
@@ -528,7 +528,7 @@
             client.send(call_command(number=1) + call_command(number=2))
             await wait_until(lambda: bool(engine.events_of(AttemptEnded)))
             assert engine.events_of(AttemptEnded)[0].outcome is Outcome.CANCELLED
-            assert harness.gateway.backends.open == 0
+            assert harness.gateway.backends.open_connections == 0
 
     run_on_loop(test)
 
@@ -573,7 +573,7 @@
     async def test() -> None:
         async with gateway_harness() as harness:
             script_engine(harness, lambda _a: [])
-            harness.gateway.clients.bound = 3
+            harness.gateway.clients.max_connections = 3
             busy = await harness.connect_client()
             busy.send(call_command())
             await wait_until(lambda: busy_requests(harness) == 1)
@@ -582,7 +582,7 @@
             for client in resting[3:]:
                 client.send(b"*1\r\n$4\r\nPING\r\n")
                 assert await client.next_message() == b"PONG"
-            assert harness.gateway.clients.count() == 3
+            assert harness.gateway.clients.connection_count() == 3
             assert busy_requests(harness) == 1
 
     run_on_loop(test)
@@ -713,7 +713,7 @@
             connection, _ = await harness.backend.next_command()
             value = b"v" * 60_000
             connection.send(success_reply(value))
-            await wait_until(lambda: harness.gateway.backends.idle() == 1)
+            await wait_until(lambda: harness.gateway.backends.idle_count() == 1)
             for _ in range(20):
                 client.send(b"x" * 10_000)
                 await asyncio.sleep(0)
@@ -730,9 +730,9 @@
 def test_client_that_says_nothing_or_half_a_command_is_closed(
     said: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert clients.MUTE + clients.LOOK < 3.0
-    monkeypatch.setattr(clients, "MUTE", 0.02)
-    monkeypatch.setattr(clients, "LOOK", 0.01)
+    assert clients.COMMAND_TIMEOUT_S + clients.CHECK_INTERVAL_S < 3.0
+    monkeypatch.setattr(clients, "COMMAND_TIMEOUT_S", 0.02)
+    monkeypatch.setattr(clients, "CHECK_INTERVAL_S", 0.01)
 
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -741,15 +741,15 @@
             if said:
                 assert "without end" in str(await client.next_message())
             assert await client.next_message() is None
-            await wait_until(lambda: harness.gateway.clients.count() == 0)
+            await wait_until(lambda: harness.gateway.clients.connection_count() == 0)
 
     run_on_loop(test)
 
 
 def test_client_that_does_not_read_is_closed_and_its_commands_wait(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert clients.STUCK + clients.LOOK < 3.0
-    monkeypatch.setattr(clients, "STUCK", 0.05)
-    monkeypatch.setattr(clients, "LOOK", 0.01)
+    assert clients.WRITE_STALL_TIMEOUT_S + clients.CHECK_INTERVAL_S < 3.0
+    monkeypatch.setattr(clients, "WRITE_STALL_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(clients, "CHECK_INTERVAL_S", 0.01)
 
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -765,10 +765,12 @@
             client = await harness.connect_client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             client.send(b"".join(call_command(number=number) for number in range(most)))
-            await wait_until(lambda: bool(engine.events_of(Arrival)) and harness.gateway.clients.count() == 0)
+            await wait_until(
+                lambda: bool(engine.events_of(Arrival)) and harness.gateway.clients.connection_count() == 0
+            )
             answering.cancel()
             assert len(engine.events_of(Arrival)) < most
-            assert harness.gateway.clients.held == 0
+            assert harness.gateway.clients.deferred_bytes == 0
 
     run_on_loop(test)
 
@@ -776,7 +778,7 @@
 def test_commands_beyond_the_pipeline_wait_unread_and_are_all_answered_in_order() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            number = 3 * clients.PIPELINE
+            number = 3 * clients.MAX_PIPELINED
             arrived: list[int] = []
 
             def hold(a: Arrival) -> list[Action]:
@@ -786,22 +788,22 @@
             script_engine(harness, *[hold] * number)
             client = await harness.connect_client()
             client.send(b"".join(call_command(number=n) for n in range(number)))
-            await wait_until(lambda: len(arrived) == clients.PIPELINE)
+            await wait_until(lambda: len(arrived) == clients.MAX_PIPELINED)
             client.send(b"*1\r\n$4\r\nPING\r\n")
             while len(arrived) < number:
-                assert len(harness.gateway.requests._requests) <= clients.PIPELINE
+                assert len(harness.gateway.requests._requests) <= clients.MAX_PIPELINED
                 before = len(arrived)
                 harness.gateway.executor.execute(
                     Reject(arrived[before - 1], 7 * MS)
                 )  # out of order: the last of them first
-                for request in arrived[before - clients.PIPELINE : before - 1]:
+                for request in arrived[before - clients.MAX_PIPELINED : before - 1]:
                     harness.gateway.executor.execute(Reject(request, 7 * MS))
                 await wait_until(lambda before=before: len(arrived) > before)  # type: ignore[misc]
-            for request in arrived[-clients.PIPELINE :]:
+            for request in arrived[-clients.MAX_PIPELINED :]:
                 harness.gateway.executor.execute(Reject(request, 7 * MS))
             assert {str(await client.next_message()) for _ in range(number)} == {"BUSY 7"}
             assert await client.next_message() == b"PONG"
-            assert harness.gateway.clients.held == 0
+            assert harness.gateway.clients.deferred_bytes == 0
 
     run_on_loop(test)
 
@@ -809,15 +811,15 @@
 def test_commands_that_wait_unread_are_bounded_over_all_clients() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            harness.gateway.clients.memory = 10_000
-            script_engine(harness, *[lambda _a: []] * clients.PIPELINE)
+            harness.gateway.clients.buffer_memory = 10_000
+            script_engine(harness, *[lambda _a: []] * clients.MAX_PIPELINED)
             client = await harness.connect_client()
             client.send(b"".join(call_command(number=n, wait_ms=60) for n in range(300)))
-            answers = [str(await client.next_message()) for _ in range(clients.PIPELINE)]
+            answers = [str(await client.next_message()) for _ in range(clients.MAX_PIPELINED)]
             assert set(answers) == {"ERR out of time"}
             assert "too many" in str(await client.next_message())
             assert await client.next_message() is None
-            assert harness.gateway.clients.held == 0
+            assert harness.gateway.clients.deferred_bytes == 0
 
     run_on_loop(test)
 
@@ -845,7 +847,7 @@
 def test_resting_clients_are_closed_early_only_where_connections_are_few(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(clients, "IDLE_CROWDED", 0.0)
+    monkeypatch.setattr(clients, "CROWDED_IDLE_TIMEOUT_S", 0.0)
 
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -853,13 +855,13 @@
             for client in made:
                 client.send(b"*1\r\n$4\r\nPING\r\n")
                 assert await client.next_message() == b"PONG"
-            harness.gateway.clients.bound = 6
-            harness.gateway.clients._look()
+            harness.gateway.clients.max_connections = 6
+            harness.gateway.clients._check_all()
             await asyncio.sleep(0)
-            assert harness.gateway.clients.count() == 4
-            harness.gateway.clients.bound = 5
-            harness.gateway.clients._look()
-            await wait_until(lambda: harness.gateway.clients.count() == 0)
+            assert harness.gateway.clients.connection_count() == 4
+            harness.gateway.clients.max_connections = 5
+            harness.gateway.clients._check_all()
+            await wait_until(lambda: harness.gateway.clients.connection_count() == 0)
 
     run_on_loop(test)
 
@@ -867,14 +869,14 @@
 def test_newcomer_is_closed_where_no_connection_rests() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            harness.gateway.clients.bound = 2
+            harness.gateway.clients.max_connections = 2
             script_engine(harness, *[lambda _a: []] * 2)
             busy = [await harness.connect_client() for _ in range(2)]
             for number, client in enumerate(busy):
                 client.send(call_command(number=number))
             await wait_until(lambda: busy_requests(harness) == 2)
             assert await (await harness.connect_client()).next_message() is None
-            assert harness.gateway.clients.count() == 2
+            assert harness.gateway.clients.connection_count() == 2
 
     run_on_loop(test)
 
--- a/tests/server/test_counter.py
+++ b/tests/server/test_counter.py
@@ -10,7 +10,7 @@
 
 from qos_gateway.server import counter
 from qos_gateway.server.config import parse
-from qos_gateway.server.counter import Counter, read_answer
+from qos_gateway.server.counter import CounterClient, read_answer
 from qos_gateway.types import CounterReplied, Outcome
 from tests.support.servers import (
     LOOPBACK,
@@ -30,7 +30,7 @@
 @pytest.fixture(autouse=True)
 def patient(monkeypatch: pytest.MonkeyPatch) -> None:
     """No verdict hangs on how soon this machine answers."""
-    monkeypatch.setattr(counter, "SILENT", 3 * LONG)
+    monkeypatch.setattr(counter, "RESPONSE_TIMEOUT_S", 3 * LONG)
 
 
 LIFE = 60_000_000_000
@@ -42,7 +42,7 @@
 
     def __init__(self, port: int, timeout: float) -> None:
         self.told: list[CounterReplied] = []
-        self.counter = Counter((LOOPBACK, port), timeout, LONG, self.told.append)
+        self.counter = CounterClient((LOOPBACK, port), timeout, LONG, self.told.append)
 
     def ends(self) -> list[tuple[int, Outcome, float]]:
         return [(event.key, event.outcome, event.total) for event in self.told]
@@ -102,7 +102,7 @@
 def test_lost_answer_holds_up_no_other_name_and_its_connection_is_given_up() -> None:
     async def test() -> None:
         async with calling() as (caller, tally):
-            await wait_until(lambda: len(tally.connections) == counter.LINES)
+            await wait_until(lambda: len(tally.connections) == counter.CONNECTIONS)
             caller.counter.call(7, LIFE, 1.0)
             await tally.next_call()
             made = caller.counter.time()
@@ -113,7 +113,7 @@
             caller.counter._timeout = 0.0
             caller.counter._expire()
             assert caller.ends()[1:] == [(7, Outcome.RESET, 0.0)]
-            await wait_until(lambda: len(tally.connections) == counter.LINES + 1)
+            await wait_until(lambda: len(tally.connections) == counter.CONNECTIONS + 1)
 
     run_on_loop(test)
 
@@ -136,7 +136,7 @@
 def test_answer_without_a_number_was_added_and_its_connection_is_left() -> None:
     async def test() -> None:
         async with calling() as (caller, tally):
-            await wait_until(lambda: len(tally.connections) == counter.LINES)
+            await wait_until(lambda: len(tally.connections) == counter.CONNECTIONS)
             caller.counter.call(7, LIFE, 1.0)
             caller.counter.call(7, LIFE, 1.0)
             (await tally.next_call()).answer(b"ok many")
@@ -145,7 +145,7 @@
             caller.counter.call(9, LIFE, 1.0)
             again = await tally.next_call()
             assert again.name == b"9"
-            await wait_until(lambda: len(tally.connections) == counter.LINES + 1)
+            await wait_until(lambda: len(tally.connections) == counter.CONNECTIONS + 1)
             again.answer(b"ok 1")
             assert (await caller.have(3))[2] == (9, Outcome.OK, 1.0)
 
@@ -176,14 +176,14 @@
 
 
 def test_silent_connection_is_given_up_for_a_new_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(counter, "SILENT", 0.05)
+    monkeypatch.setattr(counter, "RESPONSE_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with calling(0.05) as (caller, tally):
             caller.counter.call(7, LIFE, 1.0)
             await tally.next_call()
             assert await caller.have(1) == [(7, Outcome.TIMEOUT, 0.0)]
-            await wait_until(lambda: len(tally.connections) == counter.LINES + 1)
+            await wait_until(lambda: len(tally.connections) == counter.CONNECTIONS + 1)
 
     run_on_loop(test)
 
@@ -195,9 +195,9 @@
             first = await old.next_call()
             new = FakeCounter()
             async with listening(new):
-                caller.counter.move((LOOPBACK, new.port))
+                caller.counter.change_address((LOOPBACK, new.port))
                 await wait_until(lambda: bool(new.connections))
-                await wait_until(lambda: bool(caller.counter._left))
+                await wait_until(lambda: bool(caller.counter._draining_connections))
                 caller.counter.call(7, LIFE, 2.0)
                 assert new.calls.empty()
                 first.answer(b"ok 1")
--- a/tests/server/test_descriptor_limits.py
+++ b/tests/server/test_descriptor_limits.py
@@ -193,7 +193,7 @@
 def test_accept_without_room_or_descriptors_pauses_and_goes_on(
     room: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(listener, "PAUSE", 0.05)
+    monkeypatch.setattr(listener, "ACCEPT_RETRY_INTERVAL_S", 0.05)
 
     async def test() -> None:
         made, looks, free = list[Kept](), 0, room
@@ -215,7 +215,7 @@
             assert not made
             assert turns > 20
             free = True
-            await wait_until(lambda: len(made) == 3 and door.coming == 0)
+            await wait_until(lambda: len(made) == 3 and door.connecting_count == 0)
             door.close()
             for _, writer in waits:
                 writer.close()
@@ -227,7 +227,7 @@
 
 def test_what_waits_without_room_for_long_is_shut_unread(monkeypatch: pytest.MonkeyPatch) -> None:
     """Time of the requests that lie there runs; their clients can turn elsewhere."""
-    monkeypatch.setattr(listener, "QUEUE_MOST", 0.03)
+    monkeypatch.setattr(listener, "MAX_QUEUE_TIME_S", 0.03)
 
     async def test() -> None:
         with socket.create_server((LOOPBACK, 0)) as sock:
--- a/tests/server/test_discovery.py
+++ b/tests/server/test_discovery.py
@@ -11,9 +11,9 @@
 import pytest
 
 from qos_gateway.server import discovery
-from qos_gateway.server.clients import Clients
+from qos_gateway.server.clients import ClientConnections
 from qos_gateway.server.config import Address, parse
-from qos_gateway.server.discovery import Discovery, ListError, Update, backend_id, parse_update
+from qos_gateway.server.discovery import DiscoveryClient, EndpointUpdate, ListError, endpoint_id, parse_update
 from qos_gateway.server.gateway import GatewayProcess
 from qos_gateway.server.peers import Peers
 from qos_gateway.types import Endpoint, Health, ListKind, PeerMessage
@@ -41,11 +41,11 @@
     """Notes what a watch brings."""
 
     def __init__(self, agent: FakeDiscovery, index: int | None) -> None:
-        self.updates: asyncio.Queue[Update] = asyncio.Queue()
-        self.watch = Discovery((LOOPBACK, agent.port), ZONES, KINDS, index, self.updates.put_nowait)
+        self.updates: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
+        self.watch = DiscoveryClient((LOOPBACK, agent.port), ZONES, KINDS, index, self.updates.put_nowait)
         self.watch.start()
 
-    async def next(self) -> Update:
+    async def next(self) -> EndpointUpdate:
         return await with_timeout(self.updates.get())
 
 
@@ -54,7 +54,7 @@
     update = parse_update(endpoint_list(41, entry, whole=False), ZONES, KINDS)
     assert update.topology.kind is ListKind.DELTA
     assert update.topology.version == 41
-    number = backend_id("s-5be2a07c")
+    number = endpoint_id("s-5be2a07c")
     born = 1_700_000_000_123_000_000
     assert update.topology.entries == (Endpoint(number, 0, 1, 3, Health.DRAINING, 1.0, born),)
     assert update.addresses == {number: (LOOPBACK, 6379)}
@@ -62,8 +62,8 @@
 
 def test_backend_number_hangs_on_the_name_alone() -> None:
     # Written down, so that a changed mapping shows: gateways of two versions may run side by side.
-    assert backend_id("s-5be2a07c") == 54393183237098
-    assert backend_id("s-5be2a07d") != backend_id("s-5be2a07c")
+    assert endpoint_id("s-5be2a07c") == 54393183237098
+    assert endpoint_id("s-5be2a07d") != endpoint_id("s-5be2a07c")
 
 
 def test_born_long_ago_stays_zero_and_a_cold_backend_lies_on_the_modules_clock() -> None:
@@ -73,11 +73,11 @@
             entries = endpoint_entry("old", 1, born_ms=0), endpoint_entry("new", 2, born_ms=now_ms)
             harness.discovery.send_update(endpoint_list(2, *entries))
             servers = harness.gateway.dispatcher.engine.load_balancer.endpoints
-            await wait_until(lambda: backend_id("new") in servers)
-            assert servers[backend_id("old")].endpoint.started_at == 0
+            await wait_until(lambda: endpoint_id("new") in servers)
+            assert servers[endpoint_id("old")].endpoint.started_at == 0
             start = harness.gateway.config.settings.initial_capacity_fraction
             warmth = harness.gateway.dispatcher.engine.load_balancer.slow_start_fraction(
-                harness.gateway.clock(), servers[backend_id("new")]
+                harness.gateway.clock(), servers[endpoint_id("new")]
             )
             assert start <= warmth < 1.0
 
@@ -136,15 +136,15 @@
             await with_timeout(old.requests.get())
             old.send_update(endpoint_list(41, endpoint_entry("s-1", 1)))
             await f.next()
-            f.watch.move((LOOPBACK, new.port))
+            f.watch.change_agent((LOOPBACK, new.port))
             assert b"index=41" in await with_timeout(new.requests.get())
-            f.watch.move((LOOPBACK, new.port))  # where it already is
+            f.watch.change_agent((LOOPBACK, new.port))  # where it already is
             new.send_update(endpoint_list(42, whole=False))
             assert (await f.next()).topology.version == 42
             assert new.requests.empty()
             assert old.requests.empty()
             await f.watch.close()
-            f.watch.move((LOOPBACK, old.port))
+            f.watch.change_agent((LOOPBACK, old.port))
             await asyncio.sleep(0)
             assert old.requests.empty()
 
@@ -163,7 +163,7 @@
                 )
             )
             await f.next()
-            f.watch.move((LOOPBACK, new.port))
+            f.watch.change_agent((LOOPBACK, new.port))
             await with_timeout(new.requests.get())
             # The second has been started anew, so it is another: it was told too, before its drain.
             new.send_update(
@@ -253,7 +253,7 @@
 
 def test_silent_watch_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr(discovery, "SILENCE", 0.05)
+        monkeypatch.setattr(discovery, "IDLE_TIMEOUT_S", 0.05)
         agent = FakeDiscovery()
         async with listening(agent):
             f = Follower(agent, 7)
@@ -291,12 +291,12 @@
                 await with_timeout(agent.requests.get())
                 agent.abort()
             await with_timeout(agent.requests.get())
-            assert max(waits[-2:]) >= discovery.BACKOFF_MOST / 2
+            assert max(waits[-2:]) >= discovery.MAX_BACKOFF_S / 2
             agent.send_bytes(b"\n")
             watch_waits = len(waits)
             agent.writers[-1].close()  # after the line, so that it is read
             await with_timeout(agent.requests.get())
-            assert waits[watch_waits] <= discovery.BACKOFF_FIRST
+            assert waits[watch_waits] <= discovery.INITIAL_BACKOFF_S
             await f.watch.close()
 
     run_on_loop(test)
@@ -308,8 +308,8 @@
     async def test() -> None:
         agent = FakeDiscovery()
         async with listening(agent):
-            told: list[Update] = []
-            watch = Discovery((LOOPBACK, agent.port), ZONES, KINDS, 7, told.append, 0.25)
+            told: list[EndpointUpdate] = []
+            watch = DiscoveryClient((LOOPBACK, agent.port), ZONES, KINDS, 7, told.append, 0.25)
             watch.start()
             for _ in range(9):
                 await with_timeout(agent.requests.get())
@@ -328,7 +328,7 @@
         agent = FakeDiscovery()
         async with listening(agent):
             told: list[Any] = []
-            watch = discovery._Watch("x", 7, told.append)
+            watch = discovery.WatchConnection("x", 7, told.append)
             watch.close()
             await asyncio.get_running_loop().create_connection(lambda: watch, LOOPBACK, agent.port)
             await wait_until(lambda: watch._transport is not None and watch._transport.is_closing())
@@ -349,7 +349,7 @@
         await with_timeout(gateway.start())
         assert gateway.clients.port > 0
         await gateway.discovery.close()
-        gateway.clients.shut()
+        gateway.clients.abort()
 
     run_on_loop(test)
 
@@ -380,13 +380,13 @@
 
         async def opened() -> None:
             ready.append(gateway.is_ready())
-            await Clients.start(gateway.clients)
+            await ClientConnections.start(gateway.clients)
 
         monkeypatch.setattr(gateway.clients, "start", opened)
         await with_timeout(gateway.start())
         assert ready == [False]
         await gateway.discovery.close()
-        gateway.clients.shut()
+        gateway.clients.abort()
         agent.close()
 
     run_on_loop(test)
@@ -428,7 +428,7 @@
             )
             await wait_until(
                 lambda: (
-                    harness.gateway.dispatcher.engine.load_balancer.endpoints[backend_id("s-1")].in_service
+                    harness.gateway.dispatcher.engine.load_balancer.endpoints[endpoint_id("s-1")].in_service
                 )
             )
             client.send(call_command(number=3))
@@ -437,7 +437,7 @@
             assert await client.next_message() == b"w"
             harness.discovery.send_update(endpoint_list(4, endpoint_entry("s-2", harness.backend.port)))
             await wait_until(lambda: harness.backend.closed_connections == 2)
-            assert backend_id("s-1") not in harness.gateway.dispatcher.engine.load_balancer.endpoints
+            assert endpoint_id("s-1") not in harness.gateway.dispatcher.engine.load_balancer.endpoints
 
     run_on_loop(test)
 
@@ -465,7 +465,7 @@
             gateway = GatewayProcess(parse(raw, {}))
             await with_timeout(gateway.start())
             stopping = asyncio.create_task(gateway.stop())
-            await wait_until(lambda: gateway.clients.closing and gateway.clients.count() == 0)
+            await wait_until(lambda: gateway.clients.closing and gateway.clients.connection_count() == 0)
             told.at.clear()
             await wait_until(lambda: len(told.at) >= 3)
             assert not stopping.done()
--- a/tests/server/test_discovery_deadlines.py
+++ b/tests/server/test_discovery_deadlines.py
@@ -15,7 +15,16 @@
 from hypothesis import strategies as st
 
 from qos_gateway.server import discovery
-from qos_gateway.server.discovery import CONNECT, IN_FORCE, MOVED, SILENCE, TOLD, Discovery, Pacing, Update
+from qos_gateway.server.discovery import (
+    CONNECT_TIMEOUT_S,
+    IDLE_TIMEOUT_S,
+    PROPAGATION_DEADLINE_AFTER_MOVE_S,
+    PROPAGATION_DEADLINE_S,
+    UPDATE_TIME_S,
+    DiscoveryClient,
+    EndpointUpdate,
+    WatchSchedule,
+)
 from tests.server.test_discovery import KINDS, ZONES, fast
 from tests.support.servers import (
     LOOPBACK,
@@ -26,7 +35,7 @@
     with_timeout,
 )
 
-LATEST = TOLD - IN_FORCE  # s by which the next call begins
+LATEST = PROPAGATION_DEADLINE_S - UPDATE_TIME_S  # s by which the next call begins
 BUSY = b"HTTP/1.1 %d Busy\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n"
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 WHOLE = json.dumps(endpoint_list(41, endpoint_entry("s-1", 1))).encode() + b"\n"
@@ -68,16 +77,16 @@
 def waits_after(moods: list[str], monkeypatch: pytest.MonkeyPatch) -> list[float]:
     """What the watch waits after each of these, up to the list that comes behind them."""
     waits = fast(monkeypatch)
-    monkeypatch.setattr(discovery, "SILENCE", 0.05)
+    monkeypatch.setattr(discovery, "IDLE_TIMEOUT_S", 0.05)
 
     async def test() -> None:
-        agent, told = Moody([*moods]), asyncio.Queue[Update]()
+        agent, told = Moody([*moods]), asyncio.Queue[EndpointUpdate]()
         if moods[0] == "refused":
             with socket.socket() as free:
                 free.bind((LOOPBACK, 0))
                 agent.port = free.getsockname()[1]
         await agent.open()
-        watch = Discovery((LOOPBACK, agent.port), ZONES, KINDS, None, told.put_nowait)
+        watch = DiscoveryClient((LOOPBACK, agent.port), ZONES, KINDS, None, told.put_nowait)
         watch.start()
         for _ in range(sum(mood in ("break", "silence") for mood in moods)):
             await with_timeout(told.get())
@@ -104,33 +113,35 @@
     """The server's word of 30 s is heard, but a change binds before that."""
     waits = waits_after([*before, mood, mood, mood], monkeypatch)
     assert len(waits) >= len(before) + 3
-    latest = LATEST if before else discovery.FIRST_TOLD - IN_FORCE
+    latest = LATEST if before else discovery.FIRST_LIST_DEADLINE_S - UPDATE_TIME_S
     assert max(waits[len(before) :]) <= latest
-    assert waits[0] <= discovery.BACKOFF_FIRST or not before
+    assert waits[0] <= discovery.INITIAL_BACKOFF_S or not before
     if mood in ("429", "503"):
-        assert min(waits[len(before) + 1 :]) >= discovery.CROWD_EARLIEST * (latest - 0.5)
+        assert min(waits[len(before) + 1 :]) >= discovery.OVERLOAD_MIN_WAIT_FRACTION * (latest - 0.5)
 
 
 def test_without_any_list_a_crowded_discovery_is_called_three_times_within_the_time_to_be_ready() -> None:
     waits = [
-        Pacing(1.0, random.Random(seed)).after_refusal(0.0, 0.0, 30.0, discovery.FIRST_TOLD)
+        WatchSchedule(1.0, random.Random(seed)).delay_after_overload(
+            0.0, 0.0, 30.0, discovery.FIRST_LIST_DEADLINE_S
+        )
         for seed in range(99)
     ]
-    assert 3 * max(waits) < 10.0 - 2 * IN_FORCE
+    assert 3 * max(waits) < 10.0 - 2 * UPDATE_TIME_S
 
 
 Failure = tuple[str, float]
 FAILURES: st.SearchStrategy[Failure] = st.one_of(
-    st.tuples(st.just("busy"), st.floats(0.0, SILENCE)),
-    st.tuples(st.just("hung"), st.just(SILENCE)),
-    st.tuples(st.just("other"), st.floats(0.0, CONNECT)),
+    st.tuples(st.just("busy"), st.floats(0.0, IDLE_TIMEOUT_S)),
+    st.tuples(st.just("hung"), st.just(IDLE_TIMEOUT_S)),
+    st.tuples(st.just("other"), st.floats(0.0, CONNECT_TIMEOUT_S)),
 )
 
 
 @given(
     st.lists(FAILURES, min_size=1, max_size=12),
     st.integers(0, 2**32),
-    st.floats(0.0, SILENCE),
+    st.floats(0.0, IDLE_TIMEOUT_S),
     st.sampled_from([0.0, 1.0, 5.0, 30.0, 86400.0]),
     st.floats(0.05, 60.0),
 )
@@ -139,38 +150,41 @@
     failures: list[Failure], seed: int, quiet: float, advice: float, grace: float
 ) -> None:
     """`quiet`: how long the watch had said nothing when it broke. Each failure takes its own time."""
-    pacing = Pacing(grace, random.Random(seed))
-    pacing.known(0.0)
-    now = quiet + pacing.after_break()
+    pacing = WatchSchedule(grace, random.Random(seed))
+    pacing.list_known(0.0)
+    now = quiet + pacing.delay_after_disconnect()
     first = True
     for what, lasts in failures:
         called_at, now = now, now + lasts
         if what == "busy":
-            now += pacing.after_refusal(called_at, now, advice)
+            now += pacing.delay_after_overload(called_at, now, advice)
         else:
-            now += pacing.after_failure(called_at, now)
+            now += pacing.delay_after_failure(called_at, now)
         assert now - called_at <= LATEST + 1e-6
-        if first and called_at + lasts <= LATEST - discovery.BACKOFF_FIRST:
+        if first and called_at + lasts <= LATEST - discovery.INITIAL_BACKOFF_S:
             # A watch that fell silent binds by then, whether or not discovery could be reached meanwhile.
             assert now <= LATEST + 1e-6
         first = False
 
 
 def test_hung_calls_are_given_up_in_time_for_the_next() -> None:
-    pacing = Pacing(60.0, random.Random(1))
-    pacing.known(0.0)
-    now = SILENCE
+    pacing = WatchSchedule(60.0, random.Random(1))
+    pacing.list_known(0.0)
+    now = IDLE_TIMEOUT_S
     for _ in range(20):
-        called_at, now = now, now + SILENCE
-        now += pacing.after_failure(called_at, now)
+        called_at, now = now, now + IDLE_TIMEOUT_S
+        now += pacing.delay_after_failure(called_at, now)
         assert now - called_at <= LATEST
 
 
 def test_after_a_move_the_first_call_again_is_in_time_for_what_counts_as_told_sooner() -> None:
     for seed in range(50):
-        pacing = Pacing(60.0, random.Random(seed))
-        pacing.known(100.0, MOVED)
-        assert pacing.after_refusal(100.0, 100.01, 30.0) <= MOVED - IN_FORCE
+        pacing = WatchSchedule(60.0, random.Random(seed))
+        pacing.list_known(100.0, PROPAGATION_DEADLINE_AFTER_MOVE_S)
+        assert (
+            pacing.delay_after_overload(100.0, 100.01, 30.0)
+            <= PROPAGATION_DEADLINE_AFTER_MOVE_S - UPDATE_TIME_S
+        )
 
 
 def calls_of(gateways: int, per_s: int, wait: Callable[[int, random.Random], float]) -> list[float]:
@@ -196,7 +210,7 @@
 
 
 def paced(_refused: int, rng: random.Random) -> float:
-    return Pacing(1.0, rng).after_refusal(0.0, 0.0, 0.0)
+    return WatchSchedule(1.0, rng).delay_after_overload(0.0, 0.0, 0.0)
 
 
 @pytest.mark.parametrize(("gateways", "per_s"), [(40, 10), (200, 20), (200, 50), (480, 40), (480, 120)])
--- a/tests/server/test_endpoint_registry.py
+++ b/tests/server/test_endpoint_registry.py
@@ -4,9 +4,9 @@
 
 from typing import cast
 
-from qos_gateway.server.backends import Backends
+from qos_gateway.server.backends import BackendConnections
 from qos_gateway.server.config import Address
-from qos_gateway.server.discovery import Update
+from qos_gateway.server.discovery import EndpointUpdate
 from qos_gateway.server.endpoint_registry import EndpointRegistry
 from qos_gateway.types import Endpoint, Health, ListKind, Topology
 
@@ -20,18 +20,18 @@
     def __init__(self) -> None:
         self.addresses: dict[int, Address | None] = {}
 
-    def learn(self, backend: int, address: Address | None) -> None:
+    def set_address(self, backend: int, address: Address | None) -> None:
         self.addresses[backend] = address
 
 
-def update(kind: ListKind, *entries: tuple[int, Health], address: Address = HERE) -> Update:
+def update(kind: ListKind, *entries: tuple[int, Health], address: Address = HERE) -> EndpointUpdate:
     listed = tuple(Endpoint(number, 0, 0, 0, health, 1.0, 0) for number, health in entries)
-    return Update(Topology(kind, 1, listed), {number: address for number, _ in entries})
+    return EndpointUpdate(Topology(kind, 1, listed), {number: address for number, _ in entries})
 
 
 def registry() -> tuple[EndpointRegistry, FakePools]:
     pools = FakePools()
-    return EndpointRegistry(cast(Backends, pools)), pools
+    return EndpointRegistry(cast(BackendConnections, pools)), pools
 
 
 def test_whole_list_ends_the_endpoints_that_it_no_longer_names() -> None:
--- a/tests/server/test_graceful_shutdown.py
+++ b/tests/server/test_graceful_shutdown.py
@@ -35,14 +35,14 @@
 
 @pytest.fixture
 def listener_closes_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "QUIET", 0.0)
+    monkeypatch.setattr(clients, "ACCEPT_DRAIN_QUIET_S", 0.0)
 
 
 @pytest.mark.usefixtures("listener_closes_at_once")
 def test_request_is_answered_though_it_lasts_longer_than_stopping_was_to() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            harness.gateway.clients._longest = -1.0
+            harness.gateway.clients._max_drain_time = -1.0
             client = await harness.connect_client()
             client.send(call_command(number=1))
             connection, _ = await harness.backend.next_command()
@@ -59,10 +59,12 @@
 def test_half_a_command_is_answered_and_not_reset_at_the_end() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            harness.gateway.clients._longest = -1.0
+            harness.gateway.clients._max_drain_time = -1.0
             client = await harness.connect_client()
             client.send(call_command(number=1)[:-3])
-            await wait_until(lambda: any(c._half for c in harness.gateway.clients._fresh))
+            await wait_until(
+                lambda: any(c._partial_command_at for c in harness.gateway.clients._new_connections)
+            )
             stopping = asyncio.create_task(harness.gateway.stop())
             assert str(await client.next_message()) == "BUSY"
             client.send(
@@ -70,7 +72,7 @@
             )  # crosses the end: read and dropped, or it would be reset
             assert await client.next_message() is None
             client.writer.close()
-            await wait_until(lambda: harness.gateway.clients.count() == 0)
+            await wait_until(lambda: harness.gateway.clients.connection_count() == 0)
             assert harness.backend.commands.empty()
             stopping.cancel()
 
--- a/tests/server/test_handover.py
+++ b/tests/server/test_handover.py
@@ -40,21 +40,24 @@
     async def test() -> None:
         async with gateway_harness() as old, gateway_harness() as new:
             await serve_one(old)
-            max_clients, max_backends = old.gateway.clients.bound, old.gateway.backends.most
-            memory = old.gateway.clients.memory
+            max_clients, max_backends = (
+                old.gateway.clients.max_connections,
+                old.gateway.backends.max_connections,
+            )
+            memory = old.gateway.clients.buffer_memory
             raw = captured(old)
-            assert raw["clients"] == old.gateway.clients.bound == 1 + EXTRA_CLIENT_CONNECTIONS
-            assert raw["backends"] == old.gateway.backends.most == 1 + EXTRA_BACKEND_CONNECTIONS
+            assert raw["clients"] == old.gateway.clients.max_connections == 1 + EXTRA_CLIENT_CONNECTIONS
+            assert raw["backends"] == old.gateway.backends.max_connections == 1 + EXTRA_BACKEND_CONNECTIONS
             new.gateway.handover.restore_state(ReceivedState(raw), list_is_current=True)
-            assert new.gateway.clients.bound == max_clients - raw["clients"]
-            assert new.gateway.backends.most == max_backends - raw["backends"]
-            assert old.gateway.clients.memory == int(memory * FRACTIONS.outgoing)
-            assert new.gateway.clients.memory == int(memory * FRACTIONS.incoming)
+            assert new.gateway.clients.max_connections == max_clients - raw["clients"]
+            assert new.gateway.backends.max_connections == max_backends - raw["backends"]
+            assert old.gateway.clients.buffer_memory == int(memory * FRACTIONS.outgoing)
+            assert new.gateway.clients.buffer_memory == int(memory * FRACTIONS.incoming)
             for harness in (old, new):
                 harness.gateway.handover.on_other_process_ended()
-                assert harness.gateway.clients.bound == max_clients
-                assert harness.gateway.backends.most == max_backends
-                assert harness.gateway.clients.memory == memory
+                assert harness.gateway.clients.max_connections == max_clients
+                assert harness.gateway.backends.max_connections == max_backends
+                assert harness.gateway.clients.buffer_memory == memory
                 assert harness.gateway.dispatcher.engine.quota.handover_fraction == 1.0
 
     run_on_loop(test)
@@ -82,11 +85,17 @@
         async with gateway_harness() as old, gateway_harness() as new:
             raw = captured(old)
             del raw[key]
-            max_clients, max_backends = new.gateway.clients.bound, new.gateway.backends.most
+            max_clients, max_backends = (
+                new.gateway.clients.max_connections,
+                new.gateway.backends.max_connections,
+            )
             with caplog.at_level(logging.ERROR):
                 new.gateway.handover.restore_state(ReceivedState(raw), list_is_current=True)
             assert "handover_state_invalid" in caplog.text
-            assert (new.gateway.clients.bound, new.gateway.backends.most) == (max_clients, max_backends)
+            assert (new.gateway.clients.max_connections, new.gateway.backends.max_connections) == (
+                max_clients,
+                max_backends,
+            )
             assert new.gateway.dispatcher.engine.quota.handover_fraction == 1.0
 
     run_on_loop(test)
--- a/tests/server/test_large_values.py
+++ b/tests/server/test_large_values.py
@@ -8,7 +8,7 @@
 import pytest
 
 from qos_gateway.server import backends, clients
-from qos_gateway.server.resp import LARGE_MOST, VALUE_MOST, AnswerFrames, FrameError
+from qos_gateway.server.resp import MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES, FrameError, ResponseFrames
 from qos_gateway.types import AttemptEnded, ClientDisconnected, Outcome, ResponseStarted, Send
 from tests.server.test_clients import SECOND, only_backend, pass_deadline, script_engine
 from tests.support.servers import (
@@ -28,10 +28,12 @@
 
 
 def figures(harness: GatewayHarness) -> tuple[int, int, int]:
-    return tuple(harness.gateway.metrics.ended[0].values())  # type: ignore[return-value]
+    return tuple(harness.gateway.metrics.requests[0].values())  # type: ignore[return-value]
 
 
-@pytest.mark.parametrize("size", [VALUE_MOST, VALUE_MOST + 1, 300_000, LARGE_MOST])
+@pytest.mark.parametrize(
+    "size", [MAX_BUFFERED_VALUE_BYTES, MAX_BUFFERED_VALUE_BYTES + 1, 300_000, MAX_VALUE_BYTES]
+)
 @pytest.mark.parametrize("piece", [4099, 1 << 20])
 def test_value_of_any_size_passes_unchanged_and_the_connections_serve_on(size: int, piece: int) -> None:
     async def test() -> None:
@@ -52,7 +54,7 @@
             assert [await client.next_message(), await client.next_message()] == [b"small 2", b"small 3"]
             assert harness.backend.closed_connections == 0
             assert figures(harness) == (4, 0, 0)
-            assert harness.gateway.clients.relays == 0
+            assert harness.gateway.clients.active_streams == 0
             assert not harness.gateway.requests._requests
             assert not harness.gateway.dispatcher.engine.request_table.in_flight
 
@@ -93,8 +95,8 @@
 def test_value_that_breaks_off_ends_its_clients_connection_without_a_second_attempt(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(backends, "STALL", 0.02)
-    monkeypatch.setattr(backends, "STALL_LARGE", 0.1)
+    monkeypatch.setattr(backends, "RESPONSE_STALL_TIMEOUT_S", 0.02)
+    monkeypatch.setattr(backends, "LARGE_RESPONSE_STALL_TIMEOUT_S", 0.1)
 
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -116,7 +118,7 @@
             again, _ = await harness.backend.next_command()
             again.send(success_reply(b"v"))
             assert await other.next_message() == b"v"
-            assert harness.gateway.clients.relays == 0
+            assert harness.gateway.clients.active_streams == 0
             assert not harness.gateway.dispatcher.engine.request_table.in_flight
 
     run_on_loop(test)
@@ -132,13 +134,13 @@
             await loop.sock_connect(sock, (LOOPBACK, harness.gateway.clients.port))
             await loop.sock_sendall(sock, call_command(wait_ms=60_000))
             connection, _ = await harness.backend.next_command()
-            whole = value(LARGE_MOST)
+            whole = value(MAX_VALUE_BYTES)
             connection.send(success_reply(whole))
-            (client,) = harness.gateway.clients._clients
+            (client,) = harness.gateway.clients._connections
             await wait_until(lambda: client.blocked)
             transport = client._transport
             assert transport is not None
-            most = harness.gateway.clients.buffer + 4 * backends.READ_MOST
+            most = harness.gateway.clients.write_buffer_bytes + 4 * backends.RECEIVE_BUFFER_BYTES
             got = bytearray()
             while len(got) < len(whole) + 12:
                 assert transport.get_write_buffer_size() <= most
@@ -161,7 +163,7 @@
             await wait_until(
                 lambda: harness.backend.closed_connections == 1 and not harness.gateway.requests._requests
             )
-            assert harness.gateway.clients.relays == 0
+            assert harness.gateway.clients.active_streams == 0
             assert not harness.gateway.dispatcher.engine.request_table.in_flight
             assert figures(harness) == (0, 0, 0)
 
@@ -215,7 +217,7 @@
 
 
 def test_answer_that_still_comes_is_not_cut_off_however_slowly(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(backends, "STALL", 60.0)
+    monkeypatch.setattr(backends, "RESPONSE_STALL_TIMEOUT_S", 60.0)
 
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -225,32 +227,32 @@
             answer, heard = success_reply(b"v" * 30), 0.0
             for at in range(0, len(answer) - 9, 9):
                 connection.send(answer[at : at + 9])
-                (link,) = harness.gateway.backends._pools[only_backend(harness)].links
-                await wait_until(lambda link=link: link.heard_at > 0.0)  # type: ignore[misc]
-                heard = link.heard_at
-                link.heard_at = heard - 59.0  # a piece a minute, as it were
-                link._look()
+                (link,) = harness.gateway.backends._pools[only_backend(harness)].connections
+                await wait_until(lambda link=link: link.last_data_at > 0.0)  # type: ignore[misc]
+                heard = link.last_data_at
+                link.last_data_at = heard - 59.0  # a piece a minute, as it were
+                link._check_stall()
                 assert link.timer is not None
                 assert link.attempt is not None
-                link.heard_at = 0.0
-            link.heard_at = heard - 61.0
-            link._look()
+                link.last_data_at = 0.0
+            link.last_data_at = heard - 61.0
+            link._check_stall()
             assert harness.gateway.activity.attempt_outcomes[Outcome.RESET] == 1
 
     run_on_loop(test)
 
 
 def test_client_may_spend_two_seconds_on_a_head() -> None:
-    assert clients.MUTE > 2.0
-    assert clients.MUTE + clients.LOOK < 3.0
+    assert clients.COMMAND_TIMEOUT_S > 2.0
+    assert clients.COMMAND_TIMEOUT_S + clients.CHECK_INTERVAL_S < 3.0
 
 
 def test_frames_tell_where_a_large_value_begins() -> None:
-    frames, answer = AnswerFrames(), success_reply(value(70_000))
+    frames, answer = ResponseFrames(), success_reply(value(70_000))
     head = answer.index(b"\r\n", 5) + 2
     assert frames.scan(answer[: head - 3], 0) == -1
     assert not frames.large
     assert frames.scan(answer[head - 3 : 5000], 0) == -1
     assert (frames.large, frames.large_at) == (70_000, 3)
     with pytest.raises(FrameError):
-        AnswerFrames().scan(b"*3\r\n$%d\r\n" % (LARGE_MOST + 1), 0)
+        ResponseFrames().scan(b"*3\r\n$%d\r\n" % (MAX_VALUE_BYTES + 1), 0)
--- a/tests/server/test_log_rate_limit.py
+++ b/tests/server/test_log_rate_limit.py
@@ -8,7 +8,7 @@
 
 from qos_gateway.server.backends import log as backends_log
 from qos_gateway.server.clients import log as clients_log
-from qos_gateway.server.logs import LINES_MOST, SPAN, RateLimitFilter
+from qos_gateway.server.logs import MAX_LINES, WINDOW_S, RateLimitFilter
 
 
 def test_a_flood_of_lines_is_cut_and_counted(
@@ -20,10 +20,10 @@
     log.addFilter(RateLimitFilter())
     for number in range(500):
         log.warning("spoilt %d", number)
-    assert len(caplog.messages) == LINES_MOST
-    clock[0] += SPAN
+    assert len(caplog.messages) == MAX_LINES
+    clock[0] += WINDOW_S
     log.warning("spoilt %s", "again")
-    assert caplog.messages[LINES_MOST:] == [f"spoilt again ({500 - LINES_MOST} lines like it left out)"]
+    assert caplog.messages[MAX_LINES:] == [f"spoilt again ({500 - MAX_LINES} lines like it left out)"]
 
 
 def test_logs_of_clients_and_backends_are_bounded() -> None:
--- a/tests/server/test_process.py
+++ b/tests/server/test_process.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from qos_gateway.server.clients import QUIET
+from qos_gateway.server.clients import ACCEPT_DRAIN_QUIET_S
 from qos_gateway.server.config import ConfigError, flatten, load, needs_restart, parse, reload
 from tests.support.servers import (
     LOOPBACK,
@@ -356,7 +356,7 @@
             late = await p.client()
             late.send(call_command())
             await with_timeout(late.writer.drain())
-            await asyncio.sleep(QUIET + 0.1)  # its time to close the door passes meanwhile
+            await asyncio.sleep(ACCEPT_DRAIN_QUIET_S + 0.1)  # its time to close the door passes meanwhile
             p.process.send_signal(signal.SIGCONT)
             connection, _ = await p.backend.next_command()
             connection.send(success_reply(b"v"))
--- a/tests/support/servers.py
+++ b/tests/support/servers.py
@@ -305,7 +305,7 @@
             gateway.peers.close()
             if gateway.counter is not None:
                 gateway.counter.close()
-            gateway.clients.shut()
+            gateway.clients.abort()
 
 
 def call_command(
