--- a/qos_gateway/decisions/dispatch.py
+++ b/qos_gateway/decisions/dispatch.py
@@ -40,7 +40,7 @@
         if now >= arrival.deadline or request.attempts_sent >= self.settings.max_attempts:
             return None
         allowed = retry_rules.retry_filter(now, request)
-        picked = self.load_balancer.pick(now, arrival.kind, request.tried_endpoints, allowed)
+        picked = self.load_balancer.pick(now, arrival.kind, request.attempted_endpoints, allowed)
         if picked is None and not untried_only:
             picked = self.load_balancer.pick(now, arrival.kind, set(), allowed)
         if picked is None:
--- a/qos_gateway/simulator/settings.py
+++ b/qos_gateway/simulator/settings.py
@@ -7,7 +7,7 @@
 
 from ..types.settings import Idempotence, IdempotencyScope, Plan, RequestClass, Settings
 
-E = TypeVar("E", bound=Enum)
+EnumValue = TypeVar("EnumValue", bound=Enum)
 
 
 class SettingsError(ValueError):
@@ -51,7 +51,7 @@
             raise SettingsError(f"{key}: neither true nor false")
         return value == "true"
 
-    def choice(self, key: str, kind: type[E]) -> E:
+    def choice(self, key: str, kind: type[EnumValue]) -> EnumValue:
         value = self.text(key)
         try:
             return kind(value)
--- a/qos_gateway/state/customer.py
+++ b/qos_gateway/state/customer.py
@@ -28,7 +28,7 @@
 class RetentionTimes:
     """How long (ns) the account of a customer that sends nothing is kept."""
 
-    usual: int
+    regular: int
     rare: int  # of a customer that spent no more than so many quarter units here:
     rare_quarter_units: int
 
@@ -137,10 +137,10 @@
     def retention(self, times: RetentionTimes) -> int:
         """Return for how long without requests this is kept: until its buckets are surely full again."""
         if self.spent_quarter_units > times.rare_quarter_units or self.peer_totals:
-            return times.usual
+            return times.regular
         bucket_full = 2 * self.plan.burst / max(self.plan.rate, 1e-9)
         ceiling_full = self.plan.ceiling_burst / max(self.plan.ceiling_rate, 1e-9)
-        return min(times.usual, max(times.rare, int(SECOND * max(bucket_full, ceiling_full))))
+        return min(times.regular, max(times.rare, int(SECOND * max(bucket_full, ceiling_full))))
 
     def take(self, units: float, may_exceed: bool, gossip_repeats: int) -> bool:
         """Take units off the bucket and the ceiling's slice, or off the ceiling's alone where allowed.
--- a/qos_gateway/state/peer_protocol.py
+++ b/qos_gateway/state/peer_protocol.py
@@ -94,7 +94,7 @@
     def quota_share(self, now: int, account: CustomerAccount) -> float:
         """Return the fraction of the quota that counts as this gateway's: silent peers have their slices."""
         never = self.started_at - self.tuning.report_fresh_for
-        reports = [self.peers[peer].heard_at if peer in self.peers else never for peer in account.peers]
+        reports = [self.peers[peer].received_at if peer in self.peers else never for peer in account.peers]
         return self.fresh_share(now, account, reports or [account.reported_at])
 
     def encode_totals(self, now: int, accounts: Iterable[CustomerAccount]) -> Action:
--- a/qos_gateway/state/peer_totals.py
+++ b/qos_gateway/state/peer_totals.py
@@ -13,7 +13,7 @@
     """The last message of another gateway."""
 
     incarnation: int  # changes when the gateway restarts
-    heard_at: int  # in ns
+    received_at: int  # in ns
     age_tenths: int  # tenths of a second that the gateway had been running
 
 
--- a/qos_gateway/state/request.py
+++ b/qos_gateway/state/request.py
@@ -18,7 +18,7 @@
     arrived_at: int = 0
     attempts_sent: int = 0
     attempts_in_flight: int = 0
-    tried_endpoints: set[int] = field(default_factory=set)
+    attempted_endpoints: set[int] = field(default_factory=set)
     may_have_executed: bool = False  # an attempt may have taken effect at its endpoint
     response_started: bool = False  # the response flows to the client: no endpoint works on it any more
     first_keyed_attempt_at: int = 0  # when the attempt was sent that may have stored the idempotency key ...
@@ -32,7 +32,7 @@
 
     def attempt_sent(self, now: int, endpoint: Endpoint) -> None:
         """Take note of an attempt that is sent now."""
-        self.tried_endpoints.add(endpoint.id)
+        self.attempted_endpoints.add(endpoint.id)
         if not self.may_have_executed:
             self.first_keyed_attempt_at = now
             self.first_keyed_endpoint = endpoint
--- /dev/null
+++ b/tests/decisions/test_admission.py
@@ -0,0 +1,91 @@
+"""Admission of requests, each on a gateway acting alone."""
+
+from __future__ import annotations
+
+from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
+from qos_gateway.types import (
+    ListKind,
+    TimerFired,
+)
+from tests.support.builders import (
+    MS,
+    SECOND,
+    arrival,
+    ended,
+    full_list,
+    plan,
+    settings,
+)
+from tests.support.engines import (
+    engine_alone,
+    rejections,
+    sends,
+)
+
+
+def test_request_within_quota_is_sent() -> None:
+    engine = engine_alone()
+    assert len(sends(engine.handle(MS, arrival(1, MS)))) == 1
+
+
+def test_requests_beyond_quota_are_rejected_at_once() -> None:
+    engine = engine_alone()
+    refused = 0
+    for i in range(60):
+        refused += len(rejections(engine.handle(MS, arrival(i, MS))))
+        engine.handle(MS, ended(i, 1))
+    assert 60 - 20 - 2 <= refused < 60
+
+
+def test_request_is_rejected_without_endpoints() -> None:
+    engine = DecisionEngine(settings(), 7, 0)
+    engine.handle(0, full_list(kind=ListKind.CACHED))
+    assert rejections(engine.handle(MS, arrival(1, MS)))
+
+
+def test_request_past_its_deadline_is_rejected() -> None:
+    engine = engine_alone()
+    assert rejections(engine.handle(MS, arrival(1, MS, deadline=0)))
+
+
+def test_caps_follow_latency() -> None:
+    engine = engine_alone(plans=(plan(rate=1000.0, burst=1000.0),))
+    caps = []
+    request = 0
+    for latency in (50 * MS, 900 * MS):
+        for step in range(100):
+            now = (request + 1) * 20 * MS
+            engine.handle(now, arrival(request, now, customer_id=request % 5))
+            if request >= 10:
+                engine.handle(now, ended(request - 10, 1, elapsed=latency))
+            if step % 5 == 0:
+                engine.handle(now, TimerFired(TICK_TIMER))
+            request += 1
+        caps.append(sum(a.in_flight_cap for a in engine.quota.accounts.values()))
+    assert caps[1] < caps[0]
+
+
+def test_in_flight_limit_is_sliced_without_reports_from_peers() -> None:
+    engine = engine_alone(plans=(plan(max_in_flight=4),), may_message=False)
+    taken = sum(len(sends(engine.handle(MS, arrival(i, MS)))) for i in range(10))
+    assert taken == 2
+
+
+def test_stale_report_of_attempts_elsewhere_does_not_limit_a_customer() -> None:
+    engine = engine_alone(plans=(plan(max_in_flight=2),))
+    engine.handle(0, arrival(1, 0))
+    engine.handle(MS, ended(1, 1))
+    account = engine.quota.accounts[1]
+    account.in_flight_elsewhere, account.in_flight_elsewhere_at = 2, MS
+    assert rejections(engine.handle(2 * MS, arrival(2, 2 * MS)))
+    assert sends(engine.handle(SECOND, arrival(3, SECOND)))
+
+
+def test_accounts_of_inactive_customers_are_dropped() -> None:
+    engine = engine_alone()
+    engine.handle(0, arrival(1, 0))
+    engine.handle(600 * SECOND, TimerFired(TICK_TIMER))
+    assert 1 in engine.quota.accounts
+    engine.handle(600 * SECOND, ended(1, 1))
+    engine.handle(611 * SECOND, TimerFired(TICK_TIMER))
+    assert 1 not in engine.quota.accounts
--- /dev/null
+++ b/tests/decisions/test_dispatch.py
@@ -0,0 +1,141 @@
+"""Attempts, retries and hedges, each on a gateway acting alone."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+
+from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
+from qos_gateway.types import (
+    CancelAttempt,
+    Fail,
+    Outcome,
+    TimerFired,
+)
+from tests.support.builders import (
+    CLASSES,
+    KEYED,
+    MS,
+    SAFE,
+    SECOND,
+    UNSAFE,
+    arrival,
+    backend,
+    ended,
+    full_list,
+    plan,
+    settings,
+)
+from tests.support.engines import (
+    answer_requests,
+    engine_alone,
+    rejections,
+    sends,
+)
+
+
+def test_request_that_is_not_idempotent_fails_once_it_may_have_executed() -> None:
+    engine = engine_alone()
+    (send,) = sends(engine.handle(MS, arrival(1, MS, UNSAFE)))
+    assert engine.handle(2 * MS, ended(1, send.endpoint, Outcome.RESET)) == [Fail(1)]
+
+
+def test_request_that_is_not_idempotent_is_retried_when_it_was_not_executed() -> None:
+    engine = engine_alone()
+    (send,) = sends(engine.handle(MS, arrival(1, MS, UNSAFE)))
+    (again,) = sends(engine.handle(2 * MS, ended(1, send.endpoint, Outcome.OVERLOADED)))
+    assert again.endpoint != send.endpoint
+
+
+def test_keyed_retry_stays_in_its_cell_and_window() -> None:
+    engine = DecisionEngine(settings(), 7, 0)
+    cells = {1: 1, 2: 1, 3: 2, 4: 2}
+    engine.handle(0, full_list(*(backend(i, cell=c) for i, c in cells.items())))
+    for request in range(8):
+        (send,) = sends(engine.handle(MS, arrival(request, MS, KEYED)))
+        (again,) = sends(engine.handle(2 * MS, ended(request, send.endpoint, Outcome.ERROR)))
+        assert cells[again.endpoint] == cells[send.endpoint]
+        assert (send.send_deadline, again.send_deadline) == (0, MS + 2 * SECOND)
+        late = ended(request, again.endpoint, Outcome.ERROR, attempt=1)
+        assert engine.handle(3 * SECOND, late) == [Fail(request)]
+        engine = DecisionEngine(settings(), request, 0)
+        engine.handle(0, full_list(*(backend(i, cell=c) for i, c in cells.items())))
+
+
+@pytest.mark.parametrize("cls", [SAFE, KEYED])
+def test_hedged_request_ends_with_its_first_response(cls: int) -> None:
+    engine = engine_alone()
+    answer_requests(engine, cls)
+    (first,) = sends(engine.handle(200 * MS, arrival(1, 200 * MS, cls)))
+    assert not sends(
+        engine.handle(800 * MS, TimerFired(TICK_TIMER))
+    )  # a server that answers nothing may be slow
+    engine.load_balancer.endpoints[first.endpoint].latest_answered_send = 350 * MS
+    (second,) = sends(engine.handle(800 * MS, TimerFired(TICK_TIMER)))
+    assert second.request_id == 1
+    assert second.endpoint != first.endpoint
+    assert not sends(engine.handle(900 * MS, TimerFired(TICK_TIMER)))
+    done = engine.handle(SECOND, ended(1, second.endpoint, attempt=1, finished=True))
+    assert done == [CancelAttempt(1, 0)]
+    assert engine.handle(SECOND, ended(1, first.endpoint, Outcome.CANCELLED, finished=True)) == []
+    assert not engine.request_table.open
+    assert not engine.request_table.attempts
+    assert engine.request_table.in_flight == 0
+
+
+def test_hedging_has_a_budget_and_spares_requests_that_are_not_idempotent() -> None:
+    engine = engine_alone(plans=(plan(rate=1000.0, burst=1000.0),))
+    for cls in (SAFE, UNSAFE):
+        answer_requests(engine, cls)
+    engine.handle(200 * MS, arrival(1000, 200 * MS, UNSAFE))
+    engine.handle(200 * MS, arrival(2000, 200 * MS, SAFE))
+    engine.handle(200 * MS, arrival(2001, 200 * MS, SAFE))
+    engine.dispatcher.retry_budget.tokens = 1.0
+    for server in engine.load_balancer.endpoints.values():
+        server.latest_answered_send = 350 * MS
+    engine.load_balancer.latest_answered_send = 750 * MS
+    assert [send.request_id for send in sends(engine.handle(850 * MS, TimerFired(TICK_TIMER)))] == [2000]
+    assert engine.dispatcher.retry_budget.tokens == 0.0
+
+
+@pytest.mark.parametrize(("aim", "wait"), [(300, 50), (1200, 200), (6000, 200)])
+def test_retry_after_leaves_time_for_the_latency_objective(aim: int, wait: int) -> None:
+    engine = engine_alone(classes=tuple(replace(each, latency_objective=aim * MS) for each in CLASSES))
+    (refusal,) = rejections(engine.handle(5 * SECOND, replace(arrival(1, 0), deadline=SECOND)))
+    assert refusal.retry_after == wait * MS
+
+
+@pytest.mark.parametrize(("elapsed", "left"), [(MS, 0.9), (50 * MS, 0.5), (100 * MS, 0.0), (SECOND, 0.0)])
+def test_retry_costs_the_time_that_the_failed_attempt_took(elapsed: int, left: float) -> None:
+    engine = engine_alone()
+    answer_requests(engine, SAFE)
+    (send,) = sends(engine.handle(SECOND, arrival(1, SECOND)))
+    engine.dispatcher.retry_budget.tokens = 1.0
+    broken = ended(1, send.endpoint, Outcome.RESET, elapsed=elapsed)
+    assert len(sends(engine.handle(SECOND + elapsed, broken))) == 1
+    assert engine.dispatcher.retry_budget.tokens == pytest.approx(left, abs=0.02)
+
+
+def test_retries_have_a_budget() -> None:
+    engine = engine_alone(plans=(plan(rate=1000.0, burst=1000.0),))
+    extra = 0
+    for i in range(100):
+        now = i * 300 * MS
+        for send in sends(engine.handle(now, arrival(i, now))):
+            extra += len(sends(engine.handle(now + MS, ended(i, send.endpoint, Outcome.ERROR))))
+    assert 0 < extra <= 20
+
+
+def test_lost_responses_do_not_count_as_congestion() -> None:
+    engine = engine_alone(plans=(plan(rate=1000.0, burst=1000.0),))
+    for i in range(300):
+        now = i * 20 * MS
+        sent = sends(engine.handle(now, arrival(i, now)))
+        assert len(sent) == 1
+        if i % 10:
+            engine.handle(now + 10 * MS, ended(i, sent[0].endpoint))
+        if i % 5 == 0:
+            engine.handle(now + 10 * MS, TimerFired(TICK_TIMER))
+    assert engine.request_table.presumed_lost > 10
+    assert engine.model.concurrency_limit is None
--- /dev/null
+++ b/tests/decisions/test_gossip.py
@@ -0,0 +1,129 @@
+"""What gateways that gossip learn of each other."""
+
+from __future__ import annotations
+
+import pytest
+
+from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
+from qos_gateway.decisions.queue_model import TICK
+from qos_gateway.peer_messages import CustomerTotal, encode_totals
+from qos_gateway.state.peer_totals import PeerStatus
+from qos_gateway.types import (
+    PeerMessage,
+    SendPeerMessage,
+    TimerFired,
+)
+from tests.support.builders import (
+    MS,
+    SECOND,
+    arrival,
+    backend,
+    ended,
+    full_list,
+    plan,
+    settings,
+)
+from tests.support.engines import (
+    engine_alone,
+    sends,
+)
+
+
+def gossip(sent: int, age: int, incarnation: int = 9) -> PeerMessage:
+    return PeerMessage(1, encode_totals(incarnation, age, [CustomerTotal(1, sent, 0)]))
+
+
+def test_slices_of_a_ceiling_never_sum_above_it() -> None:
+    capped = plan(ceiling_rate=10.0, ceiling_burst=20.0, ceiling_slack=2.0, rate=1000.0, burst=1000.0)
+    sent = 0
+    for position in range(2):
+        engine = DecisionEngine(settings(plans=(capped,), position=position), 7, 0)
+        engine.handle(0, full_list(backend(1), backend(2)))
+        for i in range(1000):
+            now = i * 10 * MS
+            for send in sends(engine.handle(now, arrival(i, now))):
+                sent += 1
+                engine.handle(now, ended(i, send.endpoint))
+    assert sent <= 10.0 * 10 + 2.0 + 2
+
+
+def test_gossiped_usage_is_taken_from_the_bucket() -> None:
+    here, there = (DecisionEngine(settings(position=p), p + 7, 0) for p in range(2))
+    for engine in (here, there):
+        engine.handle(0, full_list(backend(1), backend(2)))
+        engine.handle(0, arrival(1000, 0))
+    for i in range(19):
+        there.handle(MS, arrival(i, MS))
+        there.handle(MS, ended(i, 1))
+    told = [a for a in there.handle(TICK, TimerFired(TICK_TIMER)) if isinstance(a, SendPeerMessage)]
+    here.handle(TICK, PeerMessage(1, told[0].data))
+    assert here.quota.accounts[1].tokens < 5.0
+
+
+def test_reordered_gossip_is_ignored() -> None:
+    engine = engine_alone()
+    engine.handle(0, arrival(1, 0))
+    engine.handle(MS, gossip(400, 10))
+    level = engine.quota.accounts[1].tokens
+    engine.handle(MS, gossip(380, 8))
+    assert engine.quota.accounts[1].tokens == level
+    engine.handle(MS, gossip(408, 12))
+    assert engine.quota.accounts[1].tokens == pytest.approx(max(-20.0, level - 2.0))
+
+
+def test_total_that_a_peer_restarted_counts_from_zero() -> None:
+    engine = engine_alone()
+    engine.handle(0, arrival(1, 0))
+    engine.handle(MS, gossip(400, 10))
+    now = 4 * SECOND
+    engine.handle(now, gossip(400, 40))
+    level = engine.quota.accounts[1].tokens
+    engine.handle(now, gossip(8, 41))  # the peer forgot the customer, who then came back
+    assert engine.quota.accounts[1].tokens == pytest.approx(level - 2.0)
+
+
+def test_totals_of_a_restarted_peer_count_from_zero_even_when_they_come_late() -> None:
+    engine = engine_alone()
+    engine.handle(0, arrival(1, 0))
+    now = 4 * SECOND
+    engine.handle(now, gossip(8, 40))
+    engine.handle(
+        now, PeerMessage(1, encode_totals(10, 0, []))
+    )  # restarted, and nothing of this customer yet
+    level = engine.quota.accounts[1].tokens
+    engine.handle(now, gossip(12, 1, incarnation=10))
+    assert engine.quota.accounts[1].tokens == pytest.approx(level - 3.0)
+
+
+def test_gossip_with_an_implausible_age_does_not_block_later_gossip() -> None:
+    engine = engine_alone()
+    engine.handle(0, arrival(1, 0))
+    engine.handle(MS, gossip(4, 0xFFFF))
+    level = engine.quota.accounts[1].tokens
+    engine.handle(MS, gossip(8, 10))
+    assert engine.quota.accounts[1].tokens == pytest.approx(level - 1.0)
+
+
+def test_malformed_peer_messages_are_ignored() -> None:
+    engine = engine_alone()
+    for data in (b"", b"x", b"abcdefg"):
+        assert engine.handle(MS, PeerMessage(1, data)) == []
+
+
+def test_even_slice_returns_to_a_peer_that_sends_no_gossip() -> None:
+    engine = engine_alone()
+    engine.handle(0, arrival(1, 0))
+    account = engine.quota.accounts[1]
+    engine.quota.peers[1] = PeerStatus(0, 0, 0)
+    assert engine.quota.quota_share(0, account) == 1.0
+    assert engine.quota.quota_share(10 * SECOND, account) == 0.5
+
+
+def test_restarted_gateway_starts_its_buckets_with_a_slice() -> None:
+    young, old = engine_alone(), DecisionEngine(settings(position=1), 8, 0)
+    old.handle(0, full_list(backend(1)))
+    told = [a for a in old.handle(9 * SECOND, TimerFired(TICK_TIMER)) if isinstance(a, SendPeerMessage)]
+    young.handle(MS, arrival(1, MS))
+    assert young.quota.accounts[1].tokens == 19.0
+    young.handle(MS, PeerMessage(1, told[0].data))
+    assert young.quota.accounts[1].tokens == 10.0
--- /dev/null
+++ b/tests/decisions/test_load_balancer.py
@@ -0,0 +1,135 @@
+"""The choice of endpoints, each on a gateway acting alone."""
+
+from __future__ import annotations
+
+import pytest
+
+from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
+from qos_gateway.decisions.queue_model import TICK
+from qos_gateway.types import (
+    Health,
+    ListKind,
+    Outcome,
+    TimerFired,
+)
+from tests.support.builders import (
+    MS,
+    SAFE,
+    SECOND,
+    UNSAFE,
+    arrival,
+    backend,
+    ended,
+    full_list,
+    plan,
+    settings,
+)
+from tests.support.engines import (
+    engine_alone,
+    sends,
+)
+
+
+@pytest.mark.parametrize(("broken", "left_out"), [({1}, {1}), ({1, 2, 3, 4}, set())])
+def test_resets_eject_an_endpoint_only_where_others_are_not_reset_as_well(
+    broken: set[int], left_out: set[int]
+) -> None:
+    fleet = engine_alone().load_balancer
+    for i in range(80):
+        for backend_id in range(1, 5):
+            # Everywhere: one in three, two in a row. Of one alone: all.
+            bad = backend_id in broken and (i % 6 in (3, 4) or left_out)
+            outcome = Outcome.RESET if bad else Outcome.OK
+            fleet.attempt_ended(i * 100 * MS, ended(i, backend_id, outcome), (SAFE, 0), 1.0)
+    assert {i for i, server in fleet.endpoints.items() if server.ejected_until > 0} == left_out
+
+
+def test_draining_and_removed_endpoints_get_nothing() -> None:
+    engine = engine_alone()
+    engine.handle(MS, full_list(backend(1, Health.DRAINING), kind=ListKind.DELTA))
+    engine.handle(MS, full_list(backend(1, Health.DRAINING), backend(3), backend(4)))
+    used = {s.endpoint for i in range(10) for s in sends(engine.handle(2 * MS, arrival(i, 2 * MS)))}
+    assert used
+    assert used <= {3, 4}
+
+
+def test_endpoint_in_slow_start_gets_a_limited_rate() -> None:
+    engine = DecisionEngine(settings(plans=(plan(rate=1000.0, burst=1000.0),)), 7, 0)
+    engine.handle(0, full_list(*(backend(i) for i in range(1, 4)), backend(9, booted=1)))
+    cold = total = 0
+    for i in range(200):
+        now = i * 10 * MS
+        for send in sends(engine.handle(now, arrival(i, now))):
+            total += 1
+            cold += send.endpoint == 9
+            engine.handle(now + 5 * MS, ended(i, send.endpoint))
+    assert total > 150
+    assert cold <= 0.3 * total / 4
+
+
+def test_unlisted_endpoint_is_forgotten_once_it_has_no_attempt_in_flight() -> None:
+    engine = engine_alone()
+    (send,) = sends(engine.handle(MS, arrival(1, MS)))
+    used, others = send.endpoint, {1, 2, 3, 4} - {send.endpoint}
+    engine.handle(MS, full_list(backend(used, Health.REMOVED), kind=ListKind.DELTA))
+    assert set(engine.load_balancer.endpoints) == {1, 2, 3, 4}
+    engine.handle(MS, full_list(backend(5), backend(min(others), Health.DRAINING)))
+    assert set(engine.load_balancer.endpoints) == {used, 5, min(others)}
+    engine.handle(2 * MS, ended(1, used))
+    engine.handle(TICK, TimerFired(TICK_TIMER))
+    assert set(engine.load_balancer.endpoints) == {5, min(others)}
+
+
+def test_endpoint_that_was_slow_is_used_again() -> None:
+    engine = engine_alone(plans=(plan(rate=1000.0, burst=1000.0),))
+    used: set[int] = set()
+    for i in range(400):
+        now = i * 50 * MS
+        for send in sends(engine.handle(now, arrival(i, now))):
+            used |= {send.endpoint} if i >= 200 else set()
+            slow = send.endpoint == 1 and i < 100
+            engine.handle(now + 10 * MS, ended(i, send.endpoint, elapsed=(900 if slow else 90) * MS))
+    assert used == {1, 2, 3, 4}
+
+
+def test_endpoint_that_is_overloaded_for_one_class_still_gets_the_other() -> None:
+    engine = engine_alone(plans=(plan(rate=1000.0, burst=1000.0),))
+    used: dict[int, set[int]] = {SAFE: set(), UNSAFE: set()}
+    for i in range(200):
+        now, cls = i * 50 * MS, (SAFE, UNSAFE)[i % 2]
+        for send in sends(engine.handle(now, arrival(i, now, cls))):
+            full = send.endpoint == 1 and cls == SAFE
+            used[cls] |= {send.endpoint} if i >= 50 else set()
+            for again in sends(
+                engine.handle(now, ended(i, send.endpoint, Outcome.OVERLOADED if full else Outcome.OK))
+            ):
+                engine.handle(now, ended(i, again.endpoint, attempt=1))
+    assert used[UNSAFE] == {1, 2, 3, 4}
+    assert used[SAFE] <= {2, 3, 4}
+
+
+def test_endpoint_that_times_out_on_one_class_still_gets_the_other() -> None:
+    engine = engine_alone(plans=(plan(rate=1000.0, burst=1000.0),))
+    lost = {SAFE: 0, UNSAFE: 0}
+    for i in range(200):
+        now, cls = i * 100 * MS, (SAFE, UNSAFE)[i % 2]
+        for send in sends(engine.handle(now, arrival(i, now, cls))):
+            silent = send.endpoint == 1 and cls == UNSAFE
+            lost[cls] += send.endpoint == 1
+            engine.handle(now, ended(i, send.endpoint, Outcome.TIMEOUT if silent else Outcome.OK))
+    assert lost[UNSAFE] <= 5 < lost[SAFE]
+
+
+@pytest.mark.parametrize(("multiple", "part"), [(2.0, 1.4), (1.2, 1.0)])
+def test_endpoint_in_slow_start_gets_more_than_its_share_and_well_under_overload(
+    multiple: float, part: float
+) -> None:
+    engine = DecisionEngine(settings(overload_multiple=multiple), 7, 0)
+    engine.handle(0, full_list(backend(1, booted=1), backend(2)))
+    engine.load_balancer.warm_completions.add(SECOND, 3.0, 3.0)
+    cold = engine.load_balancer.endpoints[1]
+    cold.slow_start_tokens, cold.slow_start_tokens_at = 0.0, 0
+    engine.load_balancer.can_accept(SECOND, cold)
+    assert cold.slow_start_tokens == pytest.approx(
+        part * 3.0 * engine.load_balancer.slow_start_fraction(SECOND, cold)
+    )
--- a/tests/decisions/test_many_gateways.py
+++ b/tests/decisions/test_many_gateways.py
@@ -33,8 +33,8 @@
     SendPeerMessage,
     TimerFired,
 )
-from tests.decisions.test_engine import EVENTS, Bench
 from tests.support.builders import MS, SECOND, UNSAFE, arrival, backend, ended, full_list, plan, settings
+from tests.support.event_fuzzer import EVENTS, EventFuzzer
 
 MANY = 200
 
@@ -432,7 +432,7 @@
     assert taken <= 30
 
 
-class ManyBench(Bench):
+class ManyBench(EventFuzzer):
     """The same odd orders of events, where homes or the counter are asked."""
 
     def __init__(self, **changes: Any) -> None:
