--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -5,19 +5,13 @@
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
 from qos_gateway.types import (
     ListKind,
+    Reject,
     TimerFired,
 )
-from tests.support.builders import (
-    MS,
-    SECOND,
-    arrival,
-    ended,
-    full_list,
-    plan,
-    settings,
-)
+from tests.support.builders import MS, SECOND, UNSAFE, arrival, ended, full_list, plan, settings
 from tests.support.engines import (
     engine_alone,
+    engine_among_many,
     rejections,
     sends,
 )
@@ -89,3 +83,22 @@
     engine.handle(600 * SECOND, ended(1, 1))
     engine.handle(611 * SECOND, TimerFired(TICK_TIMER))
     assert 1 not in engine.quota.accounts
+
+
+def test_restarted_gateway_sheds_low_priority_first_without_any_response() -> None:
+    """A class never answered here ranked as if it took no time: stock checks before payments."""
+    g = engine_among_many()
+    g.quota.call_rate = 0.0
+    for i in range(30):
+        g.model.latency[UNSAFE].add(i * 50 * MS, 150 * MS)
+    g.model.fit(2 * SECOND, 1, [])
+    for customer in range(20):
+        cls = UNSAFE if customer % 2 else 0
+        g.handle(2 * SECOND, arrival(customer, 2 * SECOND, cls, customer_id=customer, gateway_spread=25))
+    g.model.concurrency_limit, g.request_table.in_flight = 100, 80
+    asked = {
+        cls: arrival(90 + cls, 2 * SECOND, cls, customer_id=90 + cls, gateway_spread=25)
+        for cls in (0, UNSAFE)
+    }
+    refused = {cls: isinstance(g.handle(2 * SECOND, each)[0], Reject) for cls, each in asked.items()}
+    assert refused == {0: True, UNSAFE: False}
--- a/tests/decisions/test_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -11,6 +11,7 @@
     CancelAttempt,
     Fail,
     Outcome,
+    Send,
     TimerFired,
 )
 from tests.support.builders import (
@@ -139,3 +140,16 @@
             engine.handle(now + 10 * MS, TimerFired(TICK_TIMER))
     assert engine.request_table.presumed_lost > 10
     assert engine.model.concurrency_limit is None
+
+
+def test_attempts_time_out_only_once_responses_were_lost() -> None:
+    g = DecisionEngine(settings(plans=(plan(rate=1000.0, burst=1000.0),)), 7, 0)
+    g.handle(0, full_list(*(backend(i) for i in range(1, 5))))
+    (first,) = [a for a in g.handle(MS, arrival(1, MS)) if isinstance(a, Send)]
+    assert first.timeout == 0
+    again = g.handle(SECOND, ended(1, first.endpoint, Outcome.TIMEOUT))
+    (second,) = [a for a in again if isinstance(a, Send)]
+    assert 0 < second.timeout < SECOND
+    assert second.endpoint != first.endpoint
+    (unsafe,) = [a for a in g.handle(SECOND, arrival(2, SECOND, UNSAFE)) if isinstance(a, Send)]
+    assert unsafe.timeout == 0
--- a/tests/decisions/test_engine.py
+++ b/tests/decisions/test_engine.py
@@ -2,28 +2,30 @@
 
 from __future__ import annotations
 
+import sys
+from typing import Any
+
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 
-from qos_gateway.decisions.engine import TICK_TIMER
+from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
+from qos_gateway.peer_messages import Reservation, ReservationKind, encode_reservation
 from qos_gateway.types import (
+    CounterReplied,
+    Event,
     Health,
     ListKind,
     Outcome,
+    PeerMessage,
     TimerFired,
 )
-from tests.support.builders import (
-    SECOND,
-    arrival,
-    backend,
-    ended,
-    full_list,
-)
+from tests.support.builders import MS, SECOND, arrival, backend, ended, full_list, settings
 from tests.support.engines import (
     engine_alone,
     sends,
 )
 from tests.support.event_fuzzer import EVENTS, EventFuzzer
+from tests.support.fleet import MANY
 
 
 def test_memory_does_not_grow_with_customers_and_endpoints_that_come_once() -> None:
@@ -57,3 +59,67 @@
     first.play(steps)
     second.play(steps)
     assert first.log == second.log
+
+
+class RemoteQuotaFuzzer(EventFuzzer):
+    """The same odd orders of events, where homes or the counter are asked."""
+
+    def __init__(self, **changes: Any) -> None:
+        super().__init__()
+        self.gateway = DecisionEngine(settings(gateway_count=MANY, messages_per_s=1.0, **changes), 3, 0)
+
+    def feed(self, now: int, event: Event) -> None:
+        super().feed(now, event)
+        for held in list(self.gateway.admission.awaiting_reservation):
+            answer = self.log and held % 3
+            if answer:
+                word = encode_reservation(
+                    Reservation(
+                        ReservationKind.GRANTED if answer == 1 else ReservationKind.DENIED, 1, 0, 5.0, held, 0
+                    )
+                )
+                super().feed(now, PeerMessage(1, word))
+        if not self.gateway.quota.uses_owners:
+            for name, calls in list(self.gateway.quota.pending_calls.items()):
+                if calls:
+                    super().feed(now, CounterReplied(MS, Outcome(1 + len(self.log) % 3), name, 2.0))
+
+    def end(self, now: int, attempt: tuple[int, int], outcome: Outcome) -> None:
+        super().end(now, attempt, outcome)
+        if outcome is Outcome.TIMEOUT:
+            self.feed(now + SECOND, TimerFired(TICK_TIMER))
+
+    def play(self, steps: list[tuple[str, int, Outcome, int, int]]) -> None:
+        super().play([*steps, ("tick", 0, Outcome.OK, 400, 0)])
+
+
+@hypothesis_settings(derandomize=True, deadline=None, max_examples=100)
+@given(EVENTS)
+def test_each_request_gets_one_final_answer_where_an_owner_or_a_counter_is_asked(
+    steps: list[tuple[str, int, Outcome, int, int]],
+) -> None:
+    RemoteQuotaFuzzer().play(steps)
+    RemoteQuotaFuzzer(may_message=False, has_counter=True).play(steps)
+
+
+def test_work_of_an_event_does_not_grow_with_the_gateways() -> None:
+    def calls(gateways: int) -> int:
+        g = DecisionEngine(settings(gateway_count=gateways, messages_per_s=1.0), 7, 0)
+        g.handle(0, full_list(*(backend(i) for i in range(1, 9))))
+        seen = 0
+
+        def note(_frame: object, what: str, _arg: object) -> None:
+            nonlocal seen
+            seen += what in ("call", "c_call")
+
+        sys.setprofile(note)
+        try:
+            for i in range(300):
+                g.handle(i * 10 * MS, arrival(i, i * 10 * MS, customer_id=i % 40, gateway_spread=gateways))
+                if i % 10 == 0:
+                    g.handle(i * 10 * MS, TimerFired(TICK_TIMER))
+        finally:
+            sys.setprofile(None)
+        return seen
+
+    assert calls(1000) <= 1.1 * calls(100)
--- /dev/null
+++ b/tests/decisions/test_quota_slices.py
@@ -0,0 +1,107 @@
+"""Slices of quotas and ceilings beside a shared counter."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import pytest
+
+from qos_gateway.decisions.engine import DecisionEngine
+from qos_gateway.types import (
+    Action,
+    AddToCounter,
+    CounterReplied,
+    Outcome,
+    Reject,
+    Send,
+)
+from tests.support.builders import MS, SECOND, arrival, backend, ended, full_list, plan, settings
+from tests.support.engines import engine_among_many
+from tests.support.fleet import MANY
+
+CEILING = plan(
+    rate=5.5, burst=11.0, excess_cost=0.5, ceiling_rate=13.0, ceiling_burst=26.0, ceiling_slack=3.0
+)
+
+
+def calls(actions: list[Action]) -> list[AddToCounter]:
+    return [a for a in actions if isinstance(a, AddToCounter)]
+
+
+def test_reports_on_a_busy_customer_are_not_needed_to_limit_it() -> None:
+    """Without any answer a customer seen here often goes on less often than one seen once."""
+    passed = []
+    for asked in (1, 20):
+        g = DecisionEngine(settings(gateway_count=MANY, may_message=False, has_counter=True), 7, 0)
+        taken = 0
+        for customer in range(200):
+            account = g.quota.account(0, customer, 0, MANY, 0)
+            g.quota.plan_grant_ratio[0].add(0, 1.0)
+            account.local_tokens = 0.0
+            for _ in range(asked):
+                account.long_demand.add(0, 1.0)
+            taken += g.quota.decide_locally(0, account, 1.0)
+        passed.append(taken)
+    assert passed[1] < 0.5 * passed[0]
+
+
+def test_each_counted_request_stands_for_those_not_counted() -> None:
+    g = DecisionEngine(settings(gateway_count=MANY, may_message=False, has_counter=True), 7, 0)
+    g.handle(0, full_list(backend(1)))
+    g.quota.call_rate = 0.25
+    for i in range(20):
+        g.quota.account(0, i, 0, MANY, 0).long_demand.add(0, 1.0, 5.0)  # seen often: in doubt
+    calls = [a for i in range(20) for a in g.handle(MS, arrival(i, MS, customer_id=i, gateway_spread=MANY))]
+    amounts = {a.amount for a in calls if isinstance(a, AddToCounter)}
+    assert amounts == {2.0}
+
+
+def test_overloaded_counter_is_not_called_for_single_requests_of_typical_customers() -> None:
+    """Of 25 gateways' slices none holds a request: what comes once is trusted, more is not."""
+    g = engine_among_many()
+    g.quota.call_rate = 0.5
+    first = [a for i in range(50) for a in g.handle(MS, arrival(i, MS, customer_id=i, gateway_spread=25))]
+    assert len([a for a in first if isinstance(a, Send)]) == 50
+    assert not calls(first)
+    again = [
+        a
+        for i in range(50)
+        for a in g.handle(9 * MS, arrival(50 + i, 9 * MS, customer_id=i, gateway_spread=25))
+    ]
+    assert [a.amount for a in calls(again)] == [2.0] * 50  # with what the store was not told of
+
+
+@pytest.mark.parametrize(("used", "asked"), [(1, 0), (501, 1)])
+def test_rare_usage_reports_on_a_customer_outlast_the_time_between_its_requests(
+    used: int, asked: int
+) -> None:
+    g = engine_among_many()
+    g.quota.call_rate = 0.5
+    (sent,) = [a for a in g.handle(MS, arrival(1, MS, gateway_spread=25)) if isinstance(a, Send)]
+    g.handle(400 * MS, replace(ended(1, sent.endpoint), quota_usage=used))
+    later = 15 * SECOND
+    assert len(calls(g.handle(later, arrival(2, later, gateway_spread=25)))) == asked
+
+
+def test_slices_of_a_ceiling_are_whole_requests_and_add_up_to_no_more_than_it() -> None:
+    """An even slice of under one request could never be spent; the first one here came to an empty one."""
+    passed, now = 0, 10 * SECOND
+    for position in range(40):
+        g = engine_among_many(position, CEILING)
+        g.quota.plan_grant_ratio[0].add(now, 1.0, 100.0)
+        g.quota.call_rate = 0.0
+        for i in range(5):
+            passed += sum(
+                isinstance(a, Send)
+                for a in g.handle(now, arrival(i, now, gateway_spread=40, first_gateway=0))
+            )
+    assert 10 <= passed <= 26 - 11 + 3
+
+
+def test_empty_slice_of_a_ceiling_does_not_reject_what_the_bucket_can_hold() -> None:
+    g = engine_among_many(39, CEILING)
+    for i in range(1, 3):
+        (call,) = calls(asked := g.handle(i * MS, arrival(i, i * MS, gateway_spread=40, first_gateway=0)))
+        assert not [a for a in asked if isinstance(a, Reject)]
+        granted = g.handle(i * MS + 1, CounterReplied(1, Outcome.OK, call.key, i * call.amount))
+        assert [type(a) for a in granted if not isinstance(a, AddToCounter)] == [Send]
--- a/tests/support/engines.py
+++ b/tests/support/engines.py
@@ -13,10 +13,12 @@
 )
 from tests.support.builders import (
     MS,
+    SECOND,
     arrival,
     backend,
     ended,
     full_list,
+    plan,
     settings,
 )
 
@@ -41,3 +43,22 @@
     for i in range(10):
         (send,) = sends(engine.handle(i * MS, arrival(100 + i, i * MS, cls)))
         engine.handle(i * MS + 100 * MS, ended(100 + i, send.endpoint))
+
+
+def engine_among_many(position: int = 0, customer_plan: Any = None, **changes: Any) -> DecisionEngine:
+    plans = (customer_plan or plan(rate=0.4, burst=2.0, excess_cost=0.5),)
+    made = DecisionEngine(
+        settings(
+            gateway_count=40,
+            position=position,
+            may_message=False,
+            has_counter=True,
+            plans=plans,
+            usage_period=SECOND // 2,
+            **changes,
+        ),
+        position + 7,
+        0,
+    )
+    made.handle(0, full_list(*(backend(i) for i in range(1, 9))))
+    return made
--- /dev/null
+++ b/tests/support/fleet.py
@@ -0,0 +1,85 @@
+"""Many engines with messages and a counter between them."""
+
+from __future__ import annotations
+
+import random
+from typing import Any
+
+from qos_gateway.decisions.admission import RESERVATION_TIMEOUT
+from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
+from qos_gateway.types import (
+    Action,
+    AddToCounter,
+    CounterReplied,
+    Event,
+    Fail,
+    ListKind,
+    Outcome,
+    PeerMessage,
+    Reject,
+    Send,
+    SendPeerMessage,
+    TimerFired,
+)
+from tests.support.builders import SECOND, arrival, backend, ended, full_list, settings
+
+MANY = 200
+
+
+class Fleet:
+    """Many gateways with mail and a counter between them; both may lose, and gateways may die."""
+
+    def __init__(self, seed: int = 1, **changes: Any) -> None:
+        self.changes = {"gateway_count": MANY, "messages_per_s": 40.0, **changes}
+        self.rng = random.Random(seed)
+        self.numbers: dict[int, float] = {}
+        self.sent: list[tuple[int, Send]] = []
+        self.rejected = 0
+        self.loss = 0.0
+        self.counter_ok = True
+        self.backends = [backend(i) for i in range(1, 9)]
+        self.gateways = [self.start(p, 0) for p in range(self.changes["gateway_count"])]
+
+    def start(self, position: int, now: int) -> DecisionEngine:
+        made = DecisionEngine(settings(position=position, **self.changes), position + 7, now)
+        self.play(now, position, made.handle(now, full_list(*self.backends, kind=ListKind.CACHED)))
+        return made
+
+    def give(self, now: int, position: int, event: Event) -> None:
+        self.play(now, position, self.gateways[position].handle(now, event))
+
+    def play(self, now: int, position: int, actions: list[Action]) -> None:
+        for action in actions:
+            if isinstance(action, Send):
+                self.sent.append((now, action))
+            elif isinstance(action, Reject | Fail):
+                self.rejected += 1
+            elif (
+                isinstance(action, SendPeerMessage)
+                and action.recipient is not None
+                and self.rng.random() >= self.loss
+            ):
+                self.give(now, action.recipient, PeerMessage(position, action.data))
+            elif isinstance(action, AddToCounter):
+                self.count(now, position, action)
+
+    def count(self, now: int, position: int, call: AddToCounter) -> None:
+        if not self.counter_ok:
+            self.give(now, position, CounterReplied(0, Outcome.TIMEOUT, call.key, 0.0))
+            return
+        self.numbers[call.key] = self.numbers.get(call.key, 0.0) + call.amount
+        self.give(now, position, CounterReplied(0, Outcome.OK, call.key, self.numbers[call.key]))
+
+    def flood(self, seconds: float, per_s: int, start: int = 0, **changes: Any) -> None:
+        """One customer's requests through any gateway; each sent one is answered at once."""
+        for i in range(int(seconds * per_s)):
+            now = start + i * SECOND // per_s
+            position = self.rng.randrange(len(self.gateways))
+            request, before = start + i, len(self.sent)
+            spread = {"gateway_spread": len(self.gateways), **changes}
+            self.give(now, position, arrival(request, now, **spread))
+            late = now + 2 * RESERVATION_TIMEOUT
+            if request in self.gateways[position].request_table.open and len(self.sent) == before:
+                self.give(late, position, TimerFired(TICK_TIMER))
+            for _, send in self.sent[before:]:
+                self.give(late, position, ended(send.request_id, send.endpoint))
