--- a/tests/server/test_discovery.py
+++ b/tests/server/test_discovery.py
@@ -41,7 +41,7 @@
 
 
 class Follower:
-    """Notes what a watch brings."""
+    """Collects what a watch brings."""
 
     def __init__(self, agent: FakeDiscovery, index: int | None) -> None:
         self.updates: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
@@ -58,18 +58,18 @@
     assert update.topology.kind is ListKind.DELTA
     assert update.topology.version == 41
     number = endpoint_id("s-5be2a07c")
-    born = 1_700_000_000_123_000_000
-    assert update.topology.entries == (Endpoint(number, 0, 1, 3, Health.DRAINING, 1.0, born),)
+    started_at = 1_700_000_000_123_000_000
+    assert update.topology.entries == (Endpoint(number, 0, 1, 3, Health.DRAINING, 1.0, started_at),)
     assert update.addresses == {number: (LOOPBACK, 6379)}
 
 
-def test_backend_number_hangs_on_the_name_alone() -> None:
+def test_endpoint_id_depends_on_the_name_alone() -> None:
     # Written down, so that a changed mapping shows: gateways of two versions may run side by side.
     assert endpoint_id("s-5be2a07c") == 54393183237098
     assert endpoint_id("s-5be2a07d") != endpoint_id("s-5be2a07c")
 
 
-def test_born_long_ago_stays_zero_and_a_cold_backend_lies_on_the_modules_clock() -> None:
+def test_start_long_ago_stays_zero_and_a_recent_one_is_on_the_engines_clock() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             now_ms = time.time_ns() // 1_000_000
@@ -79,10 +79,10 @@
             await wait_until(lambda: endpoint_id("new") in servers)
             assert servers[endpoint_id("old")].endpoint.started_at == 0
             start = harness.gateway.config.settings.initial_capacity_fraction
-            warmth = harness.gateway.dispatcher.engine.load_balancer.slow_start_fraction(
+            fraction = harness.gateway.dispatcher.engine.load_balancer.slow_start_fraction(
                 harness.gateway.clock(), servers[endpoint_id("new")]
             )
-            assert start <= warmth < 1.0
+            assert start <= fraction < 1.0
 
     run_on_loop(test)
 
@@ -154,7 +154,7 @@
     run_on_loop(test)
 
 
-def test_drain_holds_though_an_agent_that_lags_tells_an_older_whole_list() -> None:
+def test_drain_holds_though_a_lagging_agent_sends_an_older_whole_list() -> None:
     async def test() -> None:
         old, new = FakeDiscovery(), FakeDiscovery()
         async with listening(old), listening(new):
@@ -168,7 +168,7 @@
             await f.next()
             f.watch.change_agent((LOOPBACK, new.port))
             await with_timeout(new.requests.get())
-            # The second has been started anew, so it is another: it was told too, before its drain.
+            # The second has restarted, so the drain of its previous process no longer holds.
             new.send_update(
                 endpoint_list(
                     40,
@@ -177,8 +177,8 @@
                     endpoint_entry("s-3", 3),
                 )
             )
-            told = (await f.next()).topology
-            assert [e.health for e in told.entries] == [Health.DRAINING, Health.READY, Health.READY]
+            topology = (await f.next()).topology
+            assert [e.health for e in topology.entries] == [Health.DRAINING, Health.READY, Health.READY]
             new.send_update(endpoint_list(42, endpoint_entry("s-1", 1), whole=False))
             assert (await f.next()).topology.entries[0].health is Health.READY
             await f.watch.close()
@@ -267,8 +267,8 @@
     run_on_loop(test)
 
 
-def fast(monkeypatch: pytest.MonkeyPatch) -> list[float]:
-    """What the watch waits between two calls, told but not waited."""
+def record_waits(monkeypatch: pytest.MonkeyPatch) -> list[float]:
+    """Record the waits between calls instead of waiting."""
     waits: list[float] = []
     sleep = asyncio.sleep
 
@@ -283,8 +283,8 @@
 def test_watch_that_was_well_is_opened_anew_at_once_however_long_the_waits_before_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An idle watch brings empty lines alone; what is told while there is none binds all the same."""
-    waits = fast(monkeypatch)
+    """An idle watch brings empty lines only; the propagation deadline counts from the last of them."""
+    waits = record_waits(monkeypatch)
 
     async def test() -> None:
         agent = FakeDiscovery()
@@ -306,13 +306,13 @@
 
 
 def test_agent_that_hangs_up_is_called_again_within_the_drain_grace(monkeypatch: pytest.MonkeyPatch) -> None:
-    waits = fast(monkeypatch)
+    waits = record_waits(monkeypatch)
 
     async def test() -> None:
         agent = FakeDiscovery()
         async with listening(agent):
-            told: list[EndpointUpdate] = []
-            watch = DiscoveryClient((LOOPBACK, agent.port), ZONES, KINDS, 7, told.append, 0.25)
+            updates: list[EndpointUpdate] = []
+            watch = DiscoveryClient((LOOPBACK, agent.port), ZONES, KINDS, 7, updates.append, 0.25)
             watch.start()
             for _ in range(9):
                 await with_timeout(agent.requests.get())
@@ -325,13 +325,13 @@
 
 
 def test_connection_to_the_agent_that_comes_up_too_late_is_closed() -> None:
-    """Cancelled in the very moment in which it came up, it would stay open and be told into."""
+    """Cancelled at the moment in which it came up, it would stay open and be read."""
 
     async def test() -> None:
         agent = FakeDiscovery()
         async with listening(agent):
-            told: list[Any] = []
-            watch = WatchConnection("x", 7, told.append)
+            objects: list[Any] = []
+            watch = WatchConnection("x", 7, objects.append)
             watch.close()
             await asyncio.get_running_loop().create_connection(lambda: watch, LOOPBACK, agent.port)
             await wait_until(lambda: watch._transport is not None and watch._transport.is_closing())
