--- /dev/null
+++ b/qos_gateway/server/client_connection.py
@@ -0,0 +1,223 @@
+"""One client's connection: commands in, their replies out in the same order."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from typing import TYPE_CHECKING
+
+from .backends import FlowControl
+from .client_commands import one_line, serve_command
+from .client_input import CommandReader, CommandSyntaxError, DeferredInput
+from .client_socket import ClientSocketProtocol, has_unread_bytes, untaken_bytes
+from .logs import RateLimitFilter
+from .pending_replies import PendingReply, ReplyQueue, StreamedReply
+
+if TYPE_CHECKING:
+    from .client_connections import ClientConnections
+
+log = logging.getLogger("qos_gateway.server.clients")  # one for all of the client side, limited in common
+log.addFilter(RateLimitFilter())
+
+MAX_PIPELINED = 32  # commands of one connection without a reply; those behind them wait unread
+MAX_DISCARDED_BYTES = 1 << 20  # read and dropped while closing; more is left unread
+SHUTDOWN_REPLY = b"-BUSY\r\n"  # to a command that is incomplete at the end of a drain
+
+
+class ClientConnection(ClientSocketProtocol):
+    """One client's connection, in one of these states.
+
+    Idle: it may be closed without loss. Partial: a command has begun and not ended. Awaiting replies.
+    Blocked: the client does not take its replies, so nothing more is read from it. Closing: nothing more is
+    taken, though what was taken gets its replies. Half closed: after the last of these.
+    """
+
+    __slots__ = (
+        "_closing",
+        "_deferred",
+        "_discarded_bytes",
+        "_is_parsing",
+        "_owner",
+        "_replies",
+        "commands",
+        "has_sent_command",
+        "idle_since",
+    )
+
+    def __init__(self, owner: ClientConnections) -> None:
+        super().__init__()
+        self._owner = owner
+        self.commands = CommandReader(owner.time)
+        self._deferred = DeferredInput(owner)
+        self._replies = ReplyQueue(owner)
+        self._closing = False
+        self._discarded_bytes = 0  # received while closing
+        self._is_parsing = False  # there may be more behind the command that is being served
+        self.has_sent_command = False  # whether a whole command ever came
+        self.idle_since = owner.time()  # when it was opened, or became idle last
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the connection with its owner."""
+        super().connection_made(transport)
+        self._transport.set_write_buffer_limits(high=self._owner.write_buffer_bytes)
+        self._replies.bind(self._transport)
+        self._owner.connection_opened(self)
+
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio names it
+        """Report the client's open requests as abandoned."""
+        self._owner.connection_closed(self)
+        self._deferred.take()
+        for request_number in self._replies.discard():
+            self._owner.requests.client_disconnected(request_number)
+
+    # States.
+
+    def is_idle(self) -> bool:
+        """Return whether it may be closed without loss: unwritten replies go out before a close."""
+        busy = self.is_awaiting_replies() or self._is_parsing or self.commands.is_midway or self._closing
+        return not (busy or self._transport.is_closing() or has_unread_bytes(self._transport))
+
+    def is_awaiting_replies(self) -> bool:
+        """Return whether a command waits for its reply, or to be parsed."""
+        return bool(self._replies.pending or self._deferred.data)
+
+    def partial_command_age(self, now: float) -> float:
+        """Return the seconds since an incomplete command began; 0 where replies are pending."""
+        if not self.commands.partial_since or self._replies.pending or self._closing:
+            return 0.0
+        return now - self.commands.partial_since
+
+    def is_writing_large_value(self) -> bool:
+        """Return whether the reply whose turn it is is a large value."""
+        return self._replies.first_stream() is not None
+
+    # Input.
+
+    def data_received(self, data: bytes) -> None:
+        """Serve the commands in the data as far as they may be taken now."""
+        if self._closing:
+            self._discarded_bytes += len(data)
+            if self._discarded_bytes > MAX_DISCARDED_BYTES:
+                self._update_reading()
+        elif self._deferred.data:
+            self._defer(self._deferred.data + data)
+        else:
+            self._serve_commands(data, 0.0)
+
+    def _serve_commands(self, data: bytes, waited_s: float) -> None:
+        """Serve command by command; each has waited here for so long already."""
+        position = 0
+        self._is_parsing = True
+        try:
+            while position < len(data) and not self._closing:
+                if len(self._replies.pending) >= MAX_PIPELINED or self.blocked:
+                    self._defer(data[position:])
+                    break
+                arguments = self.commands.next_command(data, position)
+                if arguments is None:
+                    break
+                position = self.commands.end
+                pending_reply = PendingReply(self)
+                self._replies.pending.append(pending_reply)
+                self._owner.command_received(self)
+                serve_command(self._owner, pending_reply, arguments, waited_s)
+        except CommandSyntaxError as error:
+            self.fail(str(error))
+        finally:
+            self._is_parsing = False
+        if self._owner.closing and self.is_idle():
+            self.close()
+
+    def _defer(self, data: bytes) -> None:
+        """Keep what may not be taken yet, and read no more; fail where all clients together sent too much."""
+        if self._deferred.put(data):
+            self._update_reading()
+        else:
+            self.fail("too many commands at once")
+
+    def _resume_serving(self) -> None:
+        if self._deferred.data and not self._closing and not self._transport.is_closing():
+            waited_s = self._owner.time() - self._deferred.since
+            self._serve_commands(self._deferred.take(), waited_s)
+        self._update_reading()
+
+    def _update_reading(self) -> None:
+        """Read only what can be taken."""
+        if self._closing:
+            may_read = self._discarded_bytes <= MAX_DISCARDED_BYTES
+        else:
+            may_read = not (self._deferred.data or self.blocked)
+        if self.set_reading(may_read):
+            self._owner.hangup_monitor.set_watched(self, not may_read)
+
+    # Output.
+
+    def reply(self, pending_reply: PendingReply, reply: bytes) -> None:
+        """Give a command its reply, which is written once all before it on this connection are."""
+        if not self._replies.write(pending_reply, reply):
+            return
+        pending = self._replies.pending
+        if pending:
+            self._replies.start_next_stream()
+            if self._deferred.data and len(pending) < MAX_PIPELINED:
+                self._owner.call_soon(self._resume_serving)
+            return
+        self.idle_since = self._owner.time()
+        if self._closing:
+            self.half_close(self.idle_since)
+        elif self._deferred.data:
+            self._owner.call_soon(self._resume_serving)
+        elif self._owner.closing and self.is_idle():
+            # The periodic check of a drain would hardly ever find a busy client idle.
+            self.close()
+
+    def start_stream(self, pending_reply: PendingReply, length: int, flow: FlowControl) -> StreamedReply:
+        """Begin a reply that is a large value of so many bytes."""
+        return self._replies.start_stream(pending_reply, length, flow)
+
+    def abort_stream(self, pending_reply: PendingReply, reply: bytes) -> None:
+        """End a large value that stays incomplete, with this reply if nothing of it was written.
+
+        Otherwise the connection's end tells the client so; the commands behind it get no reply.
+        """
+        if not self._replies.abort_stream(pending_reply):
+            self.reply(pending_reply, reply)
+            return
+        log.warning("large_value_aborted client_connection=closed")
+        self._closing = True
+        self.close()
+
+    def pause_writing(self) -> None:
+        """Stop reading from the client, and from the backend whose value is being written."""
+        self._write_progress.block(self._owner.time(), untaken_bytes(self._transport))
+        self._update_reading()
+        self._replies.set_stream_paused(True)
+
+    def resume_writing(self) -> None:
+        """Go on reading."""
+        self._write_progress.unblock()
+        self._replies.set_stream_paused(False)
+        self._resume_serving()
+
+    # The end of the connection.
+
+    def fail(self, reason: str) -> None:
+        """Take nothing more after a protocol error; what was taken is still answered, as rule 1 asks."""
+        log.warning("client_protocol_error error=%s", reason)
+        self._reply_and_close(b"-ERR Protocol error: %b\r\n" % one_line(reason))
+
+    def finish(self) -> None:
+        """Reply to an incomplete command at the end of a drain, and take nothing more.
+
+        Where a reply is pending the connection ends by itself, as requests end with their deadlines.
+        """
+        if not (self.is_awaiting_replies() or self._closing or self._transport.is_closing()):
+            self._reply_and_close(SHUTDOWN_REPLY)
+
+    def _reply_and_close(self, reply: bytes) -> None:
+        self.commands.partial_since = 0.0
+        self._closing = True
+        pending_reply = PendingReply(self)
+        self._replies.pending.append(pending_reply)
+        self._update_reading()
+        self.reply(pending_reply, reply)
--- a/tests/server/test_client_disconnects.py
+++ b/tests/server/test_client_disconnects.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from qos_gateway.server import backends, clients
+from qos_gateway.server import backends, client_connection
 from qos_gateway.server.gateway import GatewayProcess
 from qos_gateway.types import Action, Arrival, AttemptEnded, ClientDisconnected, Outcome, Reject, Send
 from tests.server.test_clients import ScriptedEngine, only_backend, script_engine
@@ -110,13 +110,16 @@
             ignore_deadlines(harness)
             engine = script_engine(
                 harness,
-                *[leave_open] * clients.MAX_PIPELINED,
+                *[leave_open] * client_connection.MAX_PIPELINED,
                 *[lambda a: [Send(a.request_id, backend, 0)]] * 9,
             )
             client = await harness.connect_client()
-            client.send(b"".join(call_command(number=n) for n in range(clients.MAX_PIPELINED + 8)))
+            client.send(b"".join(call_command(number=n) for n in range(client_connection.MAX_PIPELINED + 8)))
             await wait_until(
-                lambda: len(taken) == clients.MAX_PIPELINED and harness.gateway.clients.deferred_bytes > 0
+                lambda: (
+                    len(taken) == client_connection.MAX_PIPELINED
+                    and harness.gateway.clients.deferred_bytes > 0
+                )
             )
             if how == "end":
                 client.writer.write_eof()
@@ -124,7 +127,9 @@
                 sock = client.writer.get_extra_info("socket")
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", how == "reset", 0))
                 client.abort()
-            await wait_until(lambda: len(engine.events_of(ClientDisconnected)) == clients.MAX_PIPELINED)
+            await wait_until(
+                lambda: len(engine.events_of(ClientDisconnected)) == client_connection.MAX_PIPELINED
+            )
             assert harness.gateway.clients.connection_count() == 0
             assert harness.gateway.clients.deferred_bytes == 0
             for request in taken:
@@ -263,7 +268,7 @@
 async def queued(harness: GatewayHarness, engine: ScriptedEngine, client: Raw, how: str) -> int:
     """Behind as many commands as are worked on at once, in input that is not read: they are answered, and
     the rest would be taken up, in the turn in which the client has gone."""
-    backend, most = only_backend(harness), clients.MAX_PIPELINED
+    backend, most = only_backend(harness), client_connection.MAX_PIPELINED
     engine.plans[:] = [leave_open] * most + [lambda a: [Send(a.request_id, backend, 0)]] * 8
     client.send(*range(1, most + 9))
     await wait_until(
--- a/tests/server/test_clients.py
+++ b/tests/server/test_clients.py
@@ -9,7 +9,7 @@
 import hiredis
 import pytest
 
-from qos_gateway.server import clients
+from qos_gateway.server import client_connection, client_connections, client_timeouts
 from qos_gateway.server.backends import Attempt
 from qos_gateway.server.request_attempts import MAX_QUOTA_USAGE_PERCENT
 from qos_gateway.types import (
@@ -730,9 +730,9 @@
 def test_client_that_says_nothing_or_half_a_command_is_closed(
     said: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert clients.COMMAND_TIMEOUT_S + clients.CHECK_INTERVAL_S < 3.0
-    monkeypatch.setattr(clients, "COMMAND_TIMEOUT_S", 0.02)
-    monkeypatch.setattr(clients, "CHECK_INTERVAL_S", 0.01)
+    assert client_timeouts.COMMAND_TIMEOUT_S + client_connections.CHECK_INTERVAL_S < 3.0
+    monkeypatch.setattr(client_timeouts, "COMMAND_TIMEOUT_S", 0.02)
+    monkeypatch.setattr(client_connections, "CHECK_INTERVAL_S", 0.01)
 
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -747,9 +747,9 @@
 
 
 def test_client_that_does_not_read_is_closed_and_its_commands_wait(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert clients.WRITE_STALL_TIMEOUT_S + clients.CHECK_INTERVAL_S < 3.0
-    monkeypatch.setattr(clients, "WRITE_STALL_TIMEOUT_S", 0.05)
-    monkeypatch.setattr(clients, "CHECK_INTERVAL_S", 0.01)
+    assert client_timeouts.WRITE_STALL_TIMEOUT_S + client_connections.CHECK_INTERVAL_S < 3.0
+    monkeypatch.setattr(client_timeouts, "WRITE_STALL_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(client_connections, "CHECK_INTERVAL_S", 0.01)
 
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -778,7 +778,7 @@
 def test_commands_beyond_the_pipeline_wait_unread_and_are_all_answered_in_order() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            number = 3 * clients.MAX_PIPELINED
+            number = 3 * client_connection.MAX_PIPELINED
             arrived: list[int] = []
 
             def hold(a: Arrival) -> list[Action]:
@@ -788,18 +788,18 @@
             script_engine(harness, *[hold] * number)
             client = await harness.connect_client()
             client.send(b"".join(call_command(number=n) for n in range(number)))
-            await wait_until(lambda: len(arrived) == clients.MAX_PIPELINED)
+            await wait_until(lambda: len(arrived) == client_connection.MAX_PIPELINED)
             client.send(b"*1\r\n$4\r\nPING\r\n")
             while len(arrived) < number:
-                assert len(harness.gateway.requests._requests) <= clients.MAX_PIPELINED
+                assert len(harness.gateway.requests._requests) <= client_connection.MAX_PIPELINED
                 before = len(arrived)
                 harness.gateway.executor.execute(
                     Reject(arrived[before - 1], 7 * MS)
                 )  # out of order: the last of them first
-                for request in arrived[before - clients.MAX_PIPELINED : before - 1]:
+                for request in arrived[before - client_connection.MAX_PIPELINED : before - 1]:
                     harness.gateway.executor.execute(Reject(request, 7 * MS))
                 await wait_until(lambda before=before: len(arrived) > before)  # type: ignore[misc]
-            for request in arrived[-clients.MAX_PIPELINED :]:
+            for request in arrived[-client_connection.MAX_PIPELINED :]:
                 harness.gateway.executor.execute(Reject(request, 7 * MS))
             assert {str(await client.next_message()) for _ in range(number)} == {"BUSY 7"}
             assert await client.next_message() == b"PONG"
@@ -812,10 +812,10 @@
     async def test() -> None:
         async with gateway_harness() as harness:
             harness.gateway.clients.buffer_memory = 10_000
-            script_engine(harness, *[lambda _a: []] * clients.MAX_PIPELINED)
+            script_engine(harness, *[lambda _a: []] * client_connection.MAX_PIPELINED)
             client = await harness.connect_client()
             client.send(b"".join(call_command(number=n, wait_ms=60) for n in range(300)))
-            answers = [str(await client.next_message()) for _ in range(clients.MAX_PIPELINED)]
+            answers = [str(await client.next_message()) for _ in range(client_connection.MAX_PIPELINED)]
             assert set(answers) == {"ERR out of time"}
             assert "too many" in str(await client.next_message())
             assert await client.next_message() is None
@@ -847,7 +847,7 @@
 def test_resting_clients_are_closed_early_only_where_connections_are_few(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(clients, "CROWDED_IDLE_TIMEOUT_S", 0.0)
+    monkeypatch.setattr(client_timeouts, "SCARCE_IDLE_TIMEOUT_S", 0.0)
 
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -856,11 +856,11 @@
                 client.send(b"*1\r\n$4\r\nPING\r\n")
                 assert await client.next_message() == b"PONG"
             harness.gateway.clients.max_connections = 6
-            harness.gateway.clients._check_all()
+            harness.gateway.clients._check_timeouts()
             await asyncio.sleep(0)
             assert harness.gateway.clients.connection_count() == 4
             harness.gateway.clients.max_connections = 5
-            harness.gateway.clients._check_all()
+            harness.gateway.clients._check_timeouts()
             await wait_until(lambda: harness.gateway.clients.connection_count() == 0)
 
     run_on_loop(test)
--- a/tests/server/test_descriptor_limits.py
+++ b/tests/server/test_descriptor_limits.py
@@ -206,8 +206,8 @@
         with Short() as sock:
             sock.bind((LOOPBACK, 0))
             sock.short = 3 * room
-            door = Listener(sock, lambda: Kept(made), has_room)
-            waits = [await with_timeout(asyncio.open_connection(LOOPBACK, door.port)) for _ in range(3)]
+            accepting = Listener(sock, lambda: Kept(made), has_room)
+            waits = [await with_timeout(asyncio.open_connection(LOOPBACK, accepting.port)) for _ in range(3)]
             turns = 0
             while looks < 3:
                 turns += 1
@@ -215,8 +215,8 @@
             assert not made
             assert turns > 20
             free = True
-            await wait_until(lambda: len(made) == 3 and door.connecting_count == 0)
-            door.close()
+            await wait_until(lambda: len(made) == 3 and accepting.connecting_count == 0)
+            accepting.close()
             for _, writer in waits:
                 writer.close()
             for each in made:
@@ -231,10 +231,10 @@
 
     async def test() -> None:
         with socket.create_server((LOOPBACK, 0)) as sock:
-            door = Listener(sock, lambda: Kept([]), lambda: False)
-            reader, writer = await with_timeout(asyncio.open_connection(LOOPBACK, door.port))
+            accepting = Listener(sock, lambda: Kept([]), lambda: False)
+            reader, writer = await with_timeout(asyncio.open_connection(LOOPBACK, accepting.port))
             assert await with_timeout(reader.read()) == b""
-            door.close()
+            accepting.close()
             writer.close()
 
     run_on_loop(test)
--- a/tests/server/test_graceful_shutdown.py
+++ b/tests/server/test_graceful_shutdown.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from qos_gateway.server import clients
+from qos_gateway.server import accept_drain
 from qos_gateway.types import Arrival, Send
 from tests.server.test_clients import only_backend, script_engine
 from tests.server.test_process import launched, running
@@ -35,14 +35,14 @@
 
 @pytest.fixture
 def listener_closes_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "ACCEPT_DRAIN_QUIET_S", 0.0)
+    monkeypatch.setattr(accept_drain, "ACCEPT_DRAIN_QUIET_S", 0.0)
 
 
 @pytest.mark.usefixtures("listener_closes_at_once")
 def test_request_is_answered_though_it_lasts_longer_than_stopping_was_to() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            harness.gateway.clients._max_drain_time = -1.0
+            harness.gateway.clients._max_drain_s = -1.0
             client = await harness.connect_client()
             client.send(call_command(number=1))
             connection, _ = await harness.backend.next_command()
@@ -59,11 +59,11 @@
 def test_half_a_command_is_answered_and_not_reset_at_the_end() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            harness.gateway.clients._max_drain_time = -1.0
+            harness.gateway.clients._max_drain_s = -1.0
             client = await harness.connect_client()
             client.send(call_command(number=1)[:-3])
             await wait_until(
-                lambda: any(c._partial_command_at for c in harness.gateway.clients._new_connections)
+                lambda: any(c.commands.partial_since for c in harness.gateway.clients._new_connections)
             )
             stopping = asyncio.create_task(harness.gateway.stop())
             assert str(await client.next_message()) == "BUSY"
