--- a/tests/server/test_client_disconnects.py
+++ b/tests/server/test_client_disconnects.py
@@ -28,19 +28,20 @@
 
 
 class DelayedConnects:
-    """The loop, but for connections: each comes up when a test lets it."""
+    """The event loop, but connections are made only when a test allows it."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
-        self.asked, self.go = asyncio.Event(), asyncio.Event()
+        self.requested = asyncio.Event()
+        self.allowed = asyncio.Event()
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._loop, name)
 
-    async def create_connection(self, *words: Any) -> Any:
-        self.asked.set()
-        await self.go.wait()
-        return await self._loop.create_connection(*words)
+    async def create_connection(self, *arguments: Any) -> Any:
+        self.requested.set()
+        await self.allowed.wait()
+        return await self._loop.create_connection(*arguments)
 
 
 async def only_another_is_written(harness: GatewayHarness) -> None:
@@ -64,29 +65,27 @@
 
 
 def delay_connects(gateway: GatewayProcess) -> DelayedConnects:
-    held = DelayedConnects(asyncio.get_running_loop())
-    gateway.backends.loop = held  # type: ignore[assignment]
-    return held
+    delayed = DelayedConnects(asyncio.get_running_loop())
+    gateway.backends.loop = delayed  # type: ignore[assignment]
+    return delayed
 
 
 def test_attempt_that_still_connects_is_not_written_once_its_client_has_left() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            held, gone, stays = (
-                delay_connects(harness.gateway),
-                await harness.connect_client(),
-                await harness.connect_client(),
-            )
-            gone.send(call_command(number=1))
-            await with_timeout(held.asked.wait())
-            gone.abort()
+            delayed = delay_connects(harness.gateway)
+            leaving = await harness.connect_client()
+            staying = await harness.connect_client()
+            leaving.send(call_command(number=1))
+            await with_timeout(delayed.requested.wait())
+            leaving.abort()
             await wait_until(lambda: harness.gateway.clients.connection_count() == 1)
-            held.go.set()
-            stays.send(call_command(number=2))
+            delayed.allowed.set()
+            staying.send(call_command(number=2))
             connection, words = await harness.backend.next_command()
             assert words[2] == b"%016x" % 2
             connection.send(success_reply(b"two"))
-            assert await stays.next_message() == b"two"
+            assert await staying.next_message() == b"two"
             assert harness.backend.commands.empty()
             assert not harness.gateway.requests._requests
             assert harness.gateway.dispatcher.engine.request_table.in_flight == 0
@@ -141,31 +140,32 @@
 
 def test_request_that_waits_for_the_counter_is_not_sent_on_once_its_client_has_left() -> None:
     async def test() -> None:
-        tally = FakeCounter()
+        counter = FakeCounter()
         async with (
-            listening(tally),
+            listening(counter),
             gateway_harness(
-                counter=f"127.0.0.1:{tally.port}",
+                counter=f"127.0.0.1:{counter.port}",
                 familyInfo__counter=True,
                 limits__peerMessages=False,
                 familyInfo__counterTimeout=15_000_000_000,
             ) as harness,
         ):
-            await wait_until(lambda: len(tally.connections) > 0)
-            gone, stays = await harness.connect_client(), await harness.connect_client()
-            gone.send(call_command(number=1))
-            ask = await tally.next_call()
-            gone.abort()
+            await wait_until(lambda: len(counter.connections) > 0)
+            leaving = await harness.connect_client()
+            staying = await harness.connect_client()
+            leaving.send(call_command(number=1))
+            call = await counter.next_call()
+            leaving.abort()
             await wait_until(lambda: harness.gateway.clients.connection_count() == 1)
-            ask.answer(b"ok 1")
+            call.answer(b"ok 1")
             await wait_until(lambda: not harness.gateway.dispatcher.engine.admission.awaiting_reservation)
             assert harness.gateway.dispatcher.engine.request_table.in_flight == 0
             assert not harness.gateway.requests._requests
-            stays.send(call_command(number=2))
+            staying.send(call_command(number=2))
             connection, words = await harness.backend.next_command()
             assert words[2] == b"%016x" % 2
             connection.send(success_reply(b"two"))
-            assert await stays.next_message() == b"two"
+            assert await staying.next_message() == b"two"
             assert harness.backend.commands.empty()
 
     run_on_loop(test)
@@ -174,25 +174,26 @@
 def test_request_is_not_tried_again_once_its_client_has_left() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            client, stays = await harness.connect_client(), await harness.connect_client()
+            client = await harness.connect_client()
+            staying = await harness.connect_client()
             client.send(call_command(number=1))
             connection, _ = await harness.backend.next_command()
             client.abort()
             await wait_until(lambda: harness.gateway.clients.connection_count() == 1)
             connection.send(b"-BUSY\r\n")
             await wait_until(lambda: not harness.gateway.requests._requests)
-            stays.send(call_command(number=2))
+            staying.send(call_command(number=2))
             connection, words = await harness.backend.next_command()
             assert words[2] == b"%016x" % 2
             connection.send(success_reply(b"two"))
-            assert await stays.next_message() == b"two"
+            assert await staying.next_message() == b"two"
             assert harness.backend.commands.empty()
 
     run_on_loop(test)
 
 
-class Raw:
-    """A client outside the loop: what it does is in the sockets at once, before the loop has turned."""
+class BlockingClient:
+    """A client outside the event loop: what it does is in the sockets before the loop's next turn."""
 
     def __init__(self, harness: GatewayHarness) -> None:
         self.sock = socket.create_connection(("127.0.0.1", harness.gateway.clients.port))
@@ -208,15 +209,17 @@
         self.sock.close()
 
 
-Moment = Callable[[GatewayHarness, ScriptedEngine, Raw, str], Awaitable[int]]
+Moment = Callable[[GatewayHarness, ScriptedEngine, BlockingClient, str], Awaitable[int]]
 
 
 def leave_open(_a: Arrival) -> list[Action]:
     return []
 
 
-async def delayed_by_counter(harness: GatewayHarness, engine: ScriptedEngine, client: Raw, how: str) -> int:
-    """A first attempt, once the counter's word has come."""
+async def delayed_by_counter(
+    harness: GatewayHarness, engine: ScriptedEngine, client: BlockingClient, how: str
+) -> int:
+    """A first attempt, once the counter has answered."""
     engine.plans[:] = [leave_open]
     client.send(1)
     await wait_until(lambda: len(engine.events_of(Arrival)) == 1)
@@ -225,7 +228,7 @@
     return 0
 
 
-async def retry(harness: GatewayHarness, engine: ScriptedEngine, client: Raw, how: str) -> int:
+async def retry(harness: GatewayHarness, engine: ScriptedEngine, client: BlockingClient, how: str) -> int:
     backend = only_backend(harness)
     engine.plans[:] = [lambda a: [Send(a.request_id, backend, 0)]]
     client.send(1)
@@ -237,7 +240,7 @@
     return 1
 
 
-async def hedged(harness: GatewayHarness, engine: ScriptedEngine, client: Raw, how: str) -> int:
+async def hedged(harness: GatewayHarness, engine: ScriptedEngine, client: BlockingClient, how: str) -> int:
     backend = only_backend(harness)
     engine.plans[:] = [lambda a: [Send(a.request_id, backend, 0)]]
     client.send(1)
@@ -247,12 +250,15 @@
     return 1
 
 
-async def connecting(harness: GatewayHarness, engine: ScriptedEngine, client: Raw, how: str) -> int:
-    """Its connection comes up in the turn in which the client has gone."""
-    backend, door = only_backend(harness), delay_connects(harness.gateway)
+async def connecting(
+    harness: GatewayHarness, engine: ScriptedEngine, client: BlockingClient, how: str
+) -> int:
+    """Its connection is made in the turn of the loop in which the client has left."""
+    backend = only_backend(harness)
+    delayed = delay_connects(harness.gateway)
     engine.plans[:] = [lambda a: [Send(a.request_id, backend, 0)]]
     client.send(1)
-    await with_timeout(door.asked.wait())
+    await with_timeout(delayed.requested.wait())
     connected = harness.gateway.backends._pools[backend].connected
 
     def leave_first(link: Any) -> None:
@@ -261,24 +267,27 @@
         connected(link)
 
     harness.gateway.backends._pools[backend].connected = leave_first  # type: ignore[method-assign]
-    door.go.set()
+    delayed.allowed.set()
     return 0
 
 
-async def queued(harness: GatewayHarness, engine: ScriptedEngine, client: Raw, how: str) -> int:
-    """Behind as many commands as are worked on at once, in input that is not read: they are answered, and
-    the rest would be taken up, in the turn in which the client has gone."""
-    backend, most = only_backend(harness), client_connection.MAX_PIPELINED
-    engine.plans[:] = [leave_open] * most + [lambda a: [Send(a.request_id, backend, 0)]] * 8
-    client.send(*range(1, most + 9))
+async def queued(harness: GatewayHarness, engine: ScriptedEngine, client: BlockingClient, how: str) -> int:
+    """Behind as many commands as are served at once, in deferred input: they are answered, and the deferred
+    commands would be served, in the turn of the loop in which the client has left."""
+    backend = only_backend(harness)
+    max_pipelined = client_connection.MAX_PIPELINED
+    engine.plans[:] = [leave_open] * max_pipelined + [lambda a: [Send(a.request_id, backend, 0)]] * 8
+    client.send(*range(1, max_pipelined + 9))
     await wait_until(
-        lambda: len(engine.events_of(Arrival)) == most and harness.gateway.clients.deferred_bytes > 0
+        lambda: len(engine.events_of(Arrival)) == max_pipelined and harness.gateway.clients.deferred_bytes > 0
     )
     client.leave(how)
-    for arrival in engine.events_of(Arrival)[:most]:
+    for arrival in engine.events_of(Arrival)[:max_pipelined]:
         harness.gateway.executor.execute(Reject(arrival.request_id, 0))
     await wait_until(
-        lambda: harness.gateway.clients.connection_count() == 0 or len(engine.events_of(Arrival)) > most
+        lambda: (
+            harness.gateway.clients.connection_count() == 0 or len(engine.events_of(Arrival)) > max_pipelined
+        )
     )
     return 0
 
@@ -312,12 +321,14 @@
             ignore_deadlines(harness)
             if moment is not connecting:
                 await warm(harness, engine)
-            client = Raw(harness)
-            tries = await moment(harness, engine, client, how)
-            # Where its answer was written before its end could be read, a rest may have been taken up.
+            client = BlockingClient(harness)
+            expected_attempts = await moment(harness, engine, client, how)
+            # Where its answer was written before its end could be read, deferred ones may have been served.
             await wait_until(lambda: harness.gateway.clients.connection_count() == 0)
             assert all(
-                e.outcome is Outcome.NOT_SENT for e in engine.events_of(AttemptEnded) if e.attempt >= tries
+                e.outcome is Outcome.NOT_SENT
+                for e in engine.events_of(AttemptEnded)
+                if e.attempt >= expected_attempts
             )
             engine.plans.append(lambda a: [Send(a.request_id, backend, 0)])
             await only_another_is_written(harness)
--- a/tests/server/test_clients.py
+++ b/tests/server/test_clients.py
@@ -49,10 +49,11 @@
 
 
 class ScriptedEngine:
-    """Stands in for the module: does for each arrival what the test says, and notes every event."""
+    """Stands in for the decision engine: acts on each arrival as the test scripts it, and records events."""
 
     def __init__(self, *plans: Any) -> None:
-        self.plans, self.events = list(plans), list[Event]()
+        self.plans = list(plans)
+        self.events = list[Event]()
 
     def handle(self, _now: int, event: Event) -> list[Action]:
         self.events.append(event)
@@ -69,14 +70,15 @@
 
 
 def script_engine(harness: GatewayHarness, *plans: Any) -> ScriptedEngine:
-    made = ScriptedEngine(*plans)
-    harness.gateway.dispatcher.engine = made  # type: ignore[assignment]
-    return made
+    engine = ScriptedEngine(*plans)
+    harness.gateway.dispatcher.engine = engine  # type: ignore[assignment]
+    return engine
 
 
 def pass_deadline(harness: GatewayHarness, engine: ScriptedEngine) -> None:
-    """As if the latest request's time were over, however fast the machine is."""
-    requests, clock = harness.gateway.requests, harness.gateway.clock
+    """Let the latest request's deadline pass, however fast the machine is."""
+    requests = harness.gateway.requests
+    clock = harness.gateway.clock
     requests.clock = lambda: clock() + 60 * SECOND
     requests.on_deadline(engine.events_of(Arrival)[-1].request_id)
     requests.clock = clock
@@ -138,7 +140,7 @@
 
 
 @pytest.mark.parametrize(
-    ("figures", "used"),
+    ("quota_report", "quota_usage"),
     [
         (b"$7\r\nused=85\r\n", 86),
         (b"$6\r\nused=0\r\n", 1),
@@ -146,34 +148,35 @@
         (b"$-1\r\n", 0),
     ],
 )
-def test_engine_gets_the_quota_usage_of_a_reply(figures: bytes, used: int) -> None:
+def test_engine_gets_the_quota_usage_of_a_reply(quota_report: bytes, quota_usage: int) -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            told: list[int] = []
+            reported: list[int] = []
             handle = harness.gateway.dispatcher.engine.handle
 
             def spy(now: int, event: Event) -> list[Action]:
                 if isinstance(event, AttemptEnded):
-                    told.append(event.quota_usage)
+                    reported.append(event.quota_usage)
                 return handle(now, event)
 
             harness.gateway.dispatcher.engine.handle = spy  # type: ignore[method-assign]
             client = await harness.connect_client()
             client.send(call_command())
             connection, _ = await harness.backend.next_command()
-            connection.send(b"*3\r\n" + bulk_string(b"v") + figures + b"$-1\r\n")
+            connection.send(b"*3\r\n" + bulk_string(b"v") + quota_report + b"$-1\r\n")
             assert await client.next_message() == b"v"
-            assert told == [used]
+            assert reported == [quota_usage]
 
     run_on_loop(test)
 
 
 def test_in_flight_count_of_the_engine_agrees_with_the_sockets_and_ends_at_zero() -> None:
-    """After good answers, errors, refusals, spoilt answers, resets, clients that leave, and a drain."""
+    """After good replies, errors, rejections, malformed replies, resets, clients that leave, and a drain."""
 
     async def test() -> None:
         async with gateway_harness() as harness:
-            module, backends = harness.gateway.dispatcher.engine, harness.gateway.backends
+            engine = harness.gateway.dispatcher.engine
+            backends = harness.gateway.backends
             endings = [
                 success_reply(b"v"),
                 b"-ERR failed\r\n",
@@ -190,9 +193,9 @@
                 connection, _ = await harness.backend.next_command()
                 busy = backends.open_connections - backends.idle_count()
                 assert (
-                    module.request_table.in_flight
+                    engine.request_table.in_flight
                     == busy
-                    == sum(s.in_flight for s in module.load_balancer.endpoints.values())
+                    == sum(each.in_flight for each in engine.load_balancer.endpoints.values())
                     == 1
                 )
                 if number == len(endings) - 1:
@@ -202,25 +205,25 @@
                     await wait_until(lambda: not backends.has_usable())
                 if ending is None:
                     client.abort()
-                    await wait_until(lambda: not module.request_table.open)
+                    await wait_until(lambda: not engine.request_table.open)
                     ending = success_reply(b"for nobody")
                 if ending == b"-BUSY\r\n":
                     # Never ran, so it is tried again; there is but one backend to do so.
                     connection.send(ending)
                     connection, _ = await harness.backend.next_command()
-                    assert module.request_table.in_flight == 1
+                    assert engine.request_table.in_flight == 1
                 connection.send(ending) if ending else connection.abort()
-                await wait_until(lambda: module.request_table.in_flight == 0)
-                assert not module.request_table.attempts
-                assert not module.request_table.open
+                await wait_until(lambda: engine.request_table.in_flight == 0)
+                assert not engine.request_table.attempts
+                assert not engine.request_table.open
                 assert not harness.gateway.requests._requests
                 assert backends.open_connections == backends.idle_count()
                 assert not harness.gateway.requests._open_ids
-                assert all(s.in_flight == 0 for s in module.load_balancer.endpoints.values())
-                for server in module.load_balancer.endpoints.values():
-                    server.ejected_until = 0  # symptoms would have it rest
+                assert all(each.in_flight == 0 for each in engine.load_balancer.endpoints.values())
+                for endpoint in engine.load_balancer.endpoints.values():
+                    endpoint.ejected_until = 0  # the symptoms would have it ejected
             await wait_until(lambda: backends.open_connections == 0)
-            assert all(a.in_flight == 0 for a in module.quota.accounts.values())
+            assert all(each.in_flight == 0 for each in engine.quota.accounts.values())
 
     run_on_loop(test)
 
@@ -353,7 +356,7 @@
 
 
 def test_attempt_whose_client_disconnected_ends_at_its_deadline() -> None:
-    """A backend that vanished says nothing: the connection would stay open, counted as out, for good."""
+    """A backend that vanished sends nothing: its connection would stay open and counted for good."""
 
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -555,7 +558,7 @@
 
 
 def test_stopping_gateway_closes_a_busy_connection_with_its_answer() -> None:
-    """Between two requests of a client in a hurry there is hardly a rest that a look now and then finds."""
+    """A periodic check would hardly ever find a busy client between two requests."""
 
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -704,7 +707,7 @@
 
 
 def test_close_with_bytes_unread_takes_no_answer_along() -> None:
-    """Half-close: the client may go on sending for a while, and reads all that it is owed."""
+    """Half-close: the client may go on sending for a while, and reads all its replies."""
 
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -725,10 +728,10 @@
 
 
 @pytest.mark.parametrize(
-    "said", [b"", b"*", b"*4\r\n$8\r\nCALL.GET\r\n", b"*1\r\n$60000\r\n" + b"x" * 59_000]
+    "data", [b"", b"*", b"*4\r\n$8\r\nCALL.GET\r\n", b"*1\r\n$60000\r\n" + b"x" * 59_000]
 )
 def test_client_that_says_nothing_or_half_a_command_is_closed(
-    said: bytes, monkeypatch: pytest.MonkeyPatch
+    data: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert client_timeouts.COMMAND_TIMEOUT_S + client_connections.CHECK_INTERVAL_S < 3.0
     monkeypatch.setattr(client_timeouts, "COMMAND_TIMEOUT_S", 0.02)
@@ -737,8 +740,8 @@
     async def test() -> None:
         async with gateway_harness() as harness:
             client = await harness.connect_client()
-            client.send(said)
-            if said:
+            client.send(data)
+            if data:
                 assert "without end" in str(await client.next_message())
             assert await client.next_message() is None
             await wait_until(lambda: harness.gateway.clients.connection_count() == 0)
@@ -753,8 +756,9 @@
 
     async def test() -> None:
         async with gateway_harness() as harness:
-            backend, most = only_backend(harness), 600  # some 40 MB of answers, far over the sockets' buffers
-            engine = script_engine(harness, *[lambda a: [Send(a.request_id, backend, 0)]] * most)
+            backend = only_backend(harness)
+            request_count = 600  # some 40 MB of replies, far over the sockets' buffers
+            engine = script_engine(harness, *[lambda a: [Send(a.request_id, backend, 0)]] * request_count)
 
             async def answer() -> None:
                 while True:
@@ -764,12 +768,12 @@
             answering = asyncio.create_task(answer())
             client = await harness.connect_client()
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-            client.send(b"".join(call_command(number=number) for number in range(most)))
+            client.send(b"".join(call_command(number=number) for number in range(request_count)))
             await wait_until(
                 lambda: bool(engine.events_of(Arrival)) and harness.gateway.clients.connection_count() == 0
             )
             answering.cancel()
-            assert len(engine.events_of(Arrival)) < most
+            assert len(engine.events_of(Arrival)) < request_count
             assert harness.gateway.clients.deferred_bytes == 0
 
     run_on_loop(test)
@@ -851,8 +855,8 @@
 
     async def test() -> None:
         async with gateway_harness() as harness:
-            made = [await harness.connect_client() for _ in range(4)]
-            for client in made:
+            idle_clients = [await harness.connect_client() for _ in range(4)]
+            for client in idle_clients:
                 client.send(b"*1\r\n$4\r\nPING\r\n")
                 assert await client.next_message() == b"PONG"
             harness.gateway.clients.max_connections = 6
--- a/tests/server/test_descriptor_limits.py
+++ b/tests/server/test_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""Idle clients may fill the descriptors: who means it is served all the same, by all that serves it."""
+"""Idle clients may use up the descriptors: clients with requests are served all the same."""
 
 from __future__ import annotations
 
@@ -76,69 +76,69 @@
         reading.cancel()
 
 
-async def idle(port: int, word: bytes, again: bool) -> None:
-    """A client that says this much and then waits until it is closed; comes again at once, or rests."""
+async def idle_client(port: int, data: bytes, reconnects: bool) -> None:
+    """Send this much and then wait until the gateway closes the connection; connect again at once, or not."""
     while True:
         try:
             reader, writer = await asyncio.open_connection(LOOPBACK, port)
-            writer.write(word)
+            writer.write(data)
             while await reader.read(1024):
                 pass
             writer.close()
         except OSError:
             pass
-        if not again:
+        if not reconnects:
             return
         await asyncio.sleep(0)
 
 
 @pytest.mark.parametrize(
-    ("word", "again"),
+    ("data", "reconnects"),
     [(PING, False), (PING, True), (b"", True), (HALF, True)],
-    ids=["rest", "come again", "say nothing", "half a command"],
+    ids=["idle", "reconnecting", "no command", "half a command"],
 )
 def test_idle_clients_that_fill_the_descriptors_while_discovery_is_down_keep_nobody_out(
-    word: bytes, again: bool, tmp_path: Path
+    data: bytes, reconnects: bool, tmp_path: Path
 ) -> None:
-    """At the return discovery, counter and a new order server are reached, and a client that comes then is
-    served on its first connection."""
+    """Once discovery is back, it, the counter and a new backend are connected to, and a new client is served
+    on its first connection."""
 
     async def test() -> None:
-        agent, old, new = FakeDiscovery(), FakeBackend(), FakeBackend()
-        async with listening(old), listening(new):
+        agent = FakeDiscovery()
+        old_backend = FakeBackend()
+        new_backend = FakeBackend()
+        async with listening(old_backend), listening(new_backend):
             discovery = await asyncio.start_server(agent.serve, LOOPBACK, 0)
             agent.port = discovery.sockets[0].getsockname()[1]
-            agent.first_update = endpoint_list(1, endpoint_entry("s-1", old.port))
+            agent.first_update = endpoint_list(1, endpoint_entry("s-1", old_backend.port))
             with socket.socket() as free:
                 free.bind((LOOPBACK, 0))
-                counter = free.getsockname()[1]
+                counter_port = free.getsockname()[1]
             raw = raw_config(
                 agent.port,
                 familyInfo__counter=True,
                 familyInfo__counterTimeout=50_000_000,
                 limits__peerMessages=False,
             )
-            raw |= {"limits": {"sockets": DESCRIPTORS}, "counter": f"{LOOPBACK}:{counter}"}
+            raw |= {"limits": {"sockets": DESCRIPTORS}, "counter": f"{LOOPBACK}:{counter_port}"}
             async with limited(tmp_path, raw, DESCRIPTORS) as port:
                 discovery.close()
                 agent.abort()
-                crowd = [asyncio.create_task(idle(port, word, again)) for _ in range(400)]
+                idle_clients = [asyncio.create_task(idle_client(port, data, reconnects)) for _ in range(400)]
                 await asyncio.sleep(0.5)
                 while not agent.requests.empty():
                     agent.requests.get_nowait()
-                agent.first_update, tally = (
-                    endpoint_list(2, endpoint_entry("s-2", new.port)),
-                    FakeCounter(counter),
-                )
-                async with listening(agent), listening(tally):
+                agent.first_update = endpoint_list(2, endpoint_entry("s-2", new_backend.port))
+                counter = FakeCounter(counter_port)
+                async with listening(agent), listening(counter):
                     await with_timeout(agent.requests.get())
-                    await wait_until(lambda: len(tally.connections) > 0)
-                    late = Connection(*await with_timeout(asyncio.open_connection(LOOPBACK, port)))
-                    late.send(call_command(wait_ms=20_000))
-                    connection, _ = await new.next_command()
+                    await wait_until(lambda: len(counter.connections) > 0)
+                    new_client = Connection(*await with_timeout(asyncio.open_connection(LOOPBACK, port)))
+                    new_client.send(call_command(wait_ms=20_000))
+                    connection, _ = await new_backend.next_command()
                     connection.send(success_reply(b"v"))
-                    assert await late.next_message() == b"v"
-                for task in crowd:
+                    assert await new_client.next_message() == b"v"
+                for task in idle_clients:
                     task.cancel()
 
     run_on_loop(test)
@@ -152,13 +152,13 @@
         async with listening(agent), listening(backend):
             agent.first_update = endpoint_list(1, endpoint_entry("s-1", backend.port))
             async with limited(tmp_path, raw_config(agent.port), 40) as port:
-                crowd = [
+                idle_clients = [
                     Connection(*await with_timeout(asyncio.open_connection(LOOPBACK, port)))
                     for _ in range(60)
                 ]
                 await asyncio.sleep(0.3)
-                for each in crowd:
-                    each.abort()
+                for idle in idle_clients:
+                    idle.abort()
                 client = Connection(*await with_timeout(asyncio.open_connection(LOOPBACK, port)))
                 client.send(call_command(wait_ms=20_000))
                 connection, _ = await backend.next_command()
@@ -168,70 +168,77 @@
     run_on_loop(test)
 
 
-class Short(socket.socket):
-    """A listening socket whose system has no descriptor left for so many tries."""
+class SocketWithoutDescriptors(socket.socket):
+    """A listening socket whose first calls of `accept` fail, as the process has no descriptor left."""
 
-    short, tries = 0, 0
+    failing_calls = 0
+    calls = 0
 
     def accept(self) -> tuple[socket.socket, Any]:
-        self.tries += 1
-        if self.tries <= self.short:
+        self.calls += 1
+        if self.calls <= self.failing_calls:
             raise OSError(errno.EMFILE, "Too many open files")
         return super().accept()
 
 
-class Kept(asyncio.Protocol):
-    def __init__(self, made: list[Kept]) -> None:
-        self.made = made
+class RecordedProtocol(asyncio.Protocol):
+    """Adds itself to a list once it is connected."""
+
+    def __init__(self, connected: list[RecordedProtocol]) -> None:
+        self.connected = connected
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.made.append(self)
+        self.connected.append(self)
         self.transport = transport
 
 
-@pytest.mark.parametrize("room", [True, False])
+@pytest.mark.parametrize("has_capacity", [True, False])
 def test_accept_without_room_or_descriptors_pauses_and_goes_on(
-    room: bool, monkeypatch: pytest.MonkeyPatch
+    has_capacity: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(listener, "ACCEPT_RETRY_INTERVAL_S", 0.05)
 
     async def test() -> None:
-        made, looks, free = list[Kept](), 0, room
+        connected = list[RecordedProtocol]()
+        capacity_checks = 0
+        capacity_left = has_capacity
 
-        def has_room() -> bool:
-            nonlocal looks
-            looks += 1
-            return free
+        def check_capacity() -> bool:
+            nonlocal capacity_checks
+            capacity_checks += 1
+            return capacity_left
 
-        with Short() as sock:
+        with SocketWithoutDescriptors() as sock:
             sock.bind((LOOPBACK, 0))
-            sock.short = 3 * room
-            accepting = Listener(sock, lambda: Kept(made), has_room)
-            waits = [await with_timeout(asyncio.open_connection(LOOPBACK, accepting.port)) for _ in range(3)]
+            sock.failing_calls = 3 * has_capacity
+            accepting = Listener(sock, lambda: RecordedProtocol(connected), check_capacity)
+            waiting = [
+                await with_timeout(asyncio.open_connection(LOOPBACK, accepting.port)) for _ in range(3)
+            ]
             turns = 0
-            while looks < 3:
+            while capacity_checks < 3:
                 turns += 1
                 await asyncio.sleep(0)
-            assert not made
+            assert not connected
             assert turns > 20
-            free = True
-            await wait_until(lambda: len(made) == 3 and accepting.connecting_count == 0)
+            capacity_left = True
+            await wait_until(lambda: len(connected) == 3 and accepting.connecting_count == 0)
             accepting.close()
-            for _, writer in waits:
+            for _, writer in waiting:
                 writer.close()
-            for each in made:
-                each.transport.close()
+            for protocol in connected:
+                protocol.transport.close()
 
     run_on_loop(test)
 
 
 def test_what_waits_without_room_for_long_is_shut_unread(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Time of the requests that lie there runs; their clients can turn elsewhere."""
+    """The time of the requests in it runs out; their clients can connect elsewhere."""
     monkeypatch.setattr(listener, "MAX_QUEUE_TIME_S", 0.03)
 
     async def test() -> None:
         with socket.create_server((LOOPBACK, 0)) as sock:
-            accepting = Listener(sock, lambda: Kept([]), lambda: False)
+            accepting = Listener(sock, lambda: RecordedProtocol([]), lambda: False)
             reader, writer = await with_timeout(asyncio.open_connection(LOOPBACK, accepting.port))
             assert await with_timeout(reader.read()) == b""
             accepting.close()
--- a/tests/server/test_graceful_shutdown.py
+++ b/tests/server/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""A gateway that is told to end: all that was taken gets its one answer, whatever comes in between."""
+"""Graceful shutdown: each command taken before it gets its one reply, whatever happens meanwhile."""
 
 from __future__ import annotations
 
@@ -126,10 +126,11 @@
 
 
 def test_signals_while_starting_end_it_in_good_order(tmp_path: Path) -> None:
-    """Discovery is silent, so the start waits for its word; both signals come meanwhile."""
+    """Discovery is silent, so the start waits for its first list; both signals come meanwhile."""
 
     async def test() -> None:
-        agent, backend = FakeDiscovery(), FakeBackend()
+        agent = FakeDiscovery()
+        backend = FakeBackend()
         async with listening(agent), listening(backend), launched(tmp_path, agent) as process:
             await with_timeout(agent.requests.get())
             process.send_signal(signal.SIGHUP)
@@ -158,8 +159,8 @@
                 env={**os.environ, "ROUTER_CONFIG": str(path)},
             )
             try:
-                words = Path(f"/proc/{process.pid}/cmdline")
-                await wait_until(lambda: words.read_bytes().startswith(sys.executable.encode()))
+                command_line = Path(f"/proc/{process.pid}/cmdline")
+                await wait_until(lambda: command_line.read_bytes().startswith(sys.executable.encode()))
                 process.send_signal(signal.SIGHUP)
                 await with_timeout(agent.requests.get())
                 process.send_signal(signal.SIGTERM)
