--- /dev/null
+++ b/qos_gateway/server/attempt.py
@@ -0,0 +1,98 @@
+"""One attempt of a request at one backend, and the command that it sends."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import TYPE_CHECKING, NamedTuple, cast
+
+import hiredis
+
+from ..units import MILLISECOND
+from .responses import AttemptResult, read_probe_response, read_response
+
+if TYPE_CHECKING:
+    from .backend_connection import BackendConnection
+
+CommandParts = tuple[tuple[bytes, ...], bytes, bytes, tuple[bytes, ...]]
+
+
+class AttemptCommand(NamedTuple):
+    """The client's command, divided where the deadline of an attempt goes in."""
+
+    command_start: tuple[bytes, ...]
+    pairs_before_deadline: bytes
+    pairs_after_deadline: bytes
+    body: tuple[bytes, ...]
+
+
+_PROBE_COMMAND = AttemptCommand((b"INFO", b"load"), b"", b"", ())
+
+
+class Attempt:
+    """One attempt of one request at one backend; times are in ns on the gateway's clock."""
+
+    __slots__ = (
+        "backend",
+        "command",
+        "connection",
+        "ended",
+        "expires_at",
+        "number",
+        "request",
+        "response_started_at",
+        "send_deadline",
+        "started_at",
+        "timer",
+    )
+
+    def __init__(
+        self,
+        request: int,
+        number: int,
+        backend: int,
+        started_at: int,
+        expires_at: int,
+        command_parts: CommandParts,
+        send_deadline: int = 0,
+    ) -> None:
+        """Take `send_deadline` as the time from which on it must not be written; 0 for none."""
+        self.request = request
+        self.number = number
+        self.backend = backend
+        self.started_at = started_at
+        self.expires_at = expires_at
+        self.send_deadline = send_deadline
+        self.command = AttemptCommand(*command_parts)
+        self.response_started_at = 0  # when a large value's first bytes came
+        self.ended = False  # its result has been reported
+        self.connection: BackendConnection | None = None
+        self.timer: asyncio.TimerHandle | None = None
+
+    def payload(self, now: int) -> bytes:
+        """Return the client's own bytes, but for `d`: the time left to this attempt in ms, rounded up."""
+        command = self.command
+        time_left_ms = max(1, -(-(self.expires_at - now) // MILLISECOND))
+        pairs = b"%bd=%d%b" % (command.pairs_before_deadline, time_left_ms, command.pairs_after_deadline)
+        words: tuple[bytes, ...] = (*command.command_start, pairs, *command.body)
+        return cast(bytes, hiredis.pack_command(words))  # type: ignore[arg-type]  # its stub lacks bytes
+
+    def read_response(self, response: object) -> AttemptResult:
+        """Return what a whole response to this attempt means."""
+        return read_response(response)
+
+
+class ProbeAttempt(Attempt):
+    """Asks a backend for its load, on a pooled connection like any attempt, but for no request."""
+
+    __slots__ = ()
+
+    def __init__(self, backend: int, started_at: int, expires_at: int) -> None:
+        super().__init__(0, 0, backend, started_at, expires_at, _PROBE_COMMAND)
+
+    def payload(self, now: int) -> bytes:  # noqa: ARG002  # a probe tells no deadline
+        """Return the probe's command."""
+        return cast(bytes, hiredis.pack_command(self.command.command_start))  # type: ignore[arg-type]
+
+    def read_response(self, response: object) -> AttemptResult:
+        """Return what a whole response to the probe means."""
+        return read_probe_response(response)
--- /dev/null
+++ b/qos_gateway/server/responses.py
@@ -0,0 +1,80 @@
+"""What a backend's response means: its outcome, value and load report."""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Iterable
+from typing import NamedTuple
+
+import hiredis
+
+from ..types import Outcome
+
+# What the protocol writes, not all that Python reads as a number: no sign and no infinity.
+_NUMBER = re.compile(rb"[0-9]{1,20}(?:\.[0-9]{1,20})?(?:[eE][+-]?[0-9]{1,2})?")
+_OUTCOMES_OF_ERRORS = (("ERR failed", Outcome.ERROR), ("BUSY", Outcome.OVERLOADED))
+
+LoadReport = dict[str, float]
+
+
+class AttemptResult(NamedTuple):
+    """How an attempt ended, with the value if it was served and the figures that the backend reported."""
+
+    outcome: Outcome
+    value: bytes | None
+    load_report: LoadReport
+
+    @classmethod
+    def without_response(cls, outcome: Outcome) -> AttemptResult:
+        """Return the result of an attempt that no whole response came to."""
+        return cls(outcome, None, {})
+
+
+class MalformedResponseError(ValueError):
+    """A response that the protocol does not allow: the request may have been executed."""
+
+
+def read_load_report(text: bytes) -> LoadReport:
+    """Return the numbers in `name=number,...`; none where the text is not of this form throughout."""
+    report: LoadReport = {}
+    for pair in text.split(b","):
+        name, _, number = pair.partition(b"=")
+        if not (name.isascii() and _NUMBER.fullmatch(number)):
+            return {}
+        report[name.decode()] = float(number)
+    return report
+
+
+def read_response(response: object) -> AttemptResult:
+    """Return what a whole response means, as the RESP parser gives it.
+
+    Reports that can't be read are left out; a value or an error that can't be read raises
+    MalformedResponseError.
+    """
+    if isinstance(response, list) and isinstance(response[0], bytes):
+        return AttemptResult(Outcome.OK, response[0], _merge_reports(response[1:]))
+    if isinstance(response, hiredis.ReplyError):
+        line = str(response)
+        for error, outcome in _OUTCOMES_OF_ERRORS:
+            if line == error:
+                return AttemptResult(outcome, None, {})
+            if line.startswith(error + " "):
+                reports = line[len(error) + 1 :].encode().split(b" ")
+                return AttemptResult(outcome, None, _merge_reports(reports))
+    raise MalformedResponseError(f"{response!r:.80}")
+
+
+def read_probe_response(response: object) -> AttemptResult:
+    """Return what the response to a probe means: a load report, or an error as any request's."""
+    if isinstance(response, bytes):
+        return AttemptResult(Outcome.OK, None, read_load_report(response))
+    return read_response(response)
+
+
+def _merge_reports(texts: Iterable[object]) -> LoadReport:
+    """Return quota usage and load report in one; what is not a text is left out."""
+    merged: LoadReport = {}
+    for text in texts:
+        if isinstance(text, bytes):
+            merged.update(read_load_report(text))
+    return merged
--- a/tests/server/test_backends.py
+++ b/tests/server/test_backends.py
@@ -10,19 +10,15 @@
 
 import pytest
 
-from qos_gateway.server import backends
-from qos_gateway.server.backends import (
-    Attempt,
-    BackendConnections,
-    KeepAliveEstimator,
-    LoadReport,
-    ResponseSink,
-    monotonic_unix_ns,
-    read_answer,
-    read_report,
-)
+from qos_gateway.server import connection_pool, response_receiver
+from qos_gateway.server.attempt import Attempt
+from qos_gateway.server.backends import BackendConnections
+from qos_gateway.server.clock import monotonic_unix_ns
+from qos_gateway.server.keep_alive import KeepAliveEstimator
 from qos_gateway.server.metrics import Metrics
 from qos_gateway.server.resp import ResponseFrames
+from qos_gateway.server.responses import AttemptResult, LoadReport, read_load_report, read_response
+from qos_gateway.server.value_stream import ResponseSink
 from qos_gateway.types import Outcome
 from tests.support.servers import (
     LOOPBACK,
@@ -180,7 +176,7 @@
     answer: bytes, pieces: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Half an answer, with nothing behind it, is spoilt once the rest has stayed away for a while.
-    monkeypatch.setattr(backends, "RESPONSE_STALL_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(response_receiver, "RESPONSE_STALL_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         backend = FakeBackend()
@@ -200,7 +196,7 @@
 
 
 def test_half_an_answer_that_breaks_off_ends_the_attempt_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(backends, "RESPONSE_STALL_TIMEOUT_S", 0.02)
+    monkeypatch.setattr(response_receiver, "RESPONSE_STALL_TIMEOUT_S", 0.02)
 
     async def test() -> None:
         faults: list[object] = []
@@ -216,7 +212,9 @@
             connection.abort()
             assert (await b.end())[:2] == (1, Outcome.RESET)
             assert link.timer is None
-            await asyncio.sleep(2 * backends.RESPONSE_STALL_TIMEOUT_S)  # nothing is left that could come then
+            await asyncio.sleep(
+                2 * response_receiver.RESPONSE_STALL_TIMEOUT_S
+            )  # nothing is left that could come then
             assert faults == []
             assert b.ends.empty()
 
@@ -251,7 +249,7 @@
             attempt = b.start(1)
             connection, _ = await backend.next_command()
             assert attempt.connection is not None
-            monkeypatch.setattr(attempt.connection, "reader", Noted())
+            monkeypatch.setattr(attempt.connection.responses, "parser", Noted())
             connection.send(b"*3\r\n$1\r\nv\r\n*100000000\r\n")
             assert (await b.end())[1] is Outcome.RESET
             assert not any(b"00000" in data for data in fed)
@@ -262,7 +260,7 @@
 def test_second_copy_in_a_later_packet_is_never_taken_for_the_next_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(backends, "REUSE_DELAY_S", 0.0)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
 
     async def test() -> None:
         with closing(socket.create_server((LOOPBACK, 0))) as server:
@@ -415,7 +413,7 @@
 
 
 def test_pooled_connection_that_ended_unnoticed_is_not_written_to(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(backends, "REUSE_DELAY_S", 0.0)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
 
     async def test() -> None:
         with closing(socket.create_server((LOOPBACK, 0))) as server:
@@ -473,7 +471,7 @@
 def test_connections_are_reused_last_in_first_out_with_one_request_each(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(backends, "REUSE_DELAY_S", 0.0)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
 
     async def test() -> None:
         backend = FakeBackend()
@@ -555,7 +553,7 @@
         ages.record_reuse(1.0)
     for _ in range(4):
         ages.record_reset(1.0)
-    assert ages.idle_limit == 15.0
+    assert ages.idle_limit_s == 15.0
 
 
 def test_connections_are_bounded_and_idle_ones_give_way() -> None:
@@ -650,11 +648,15 @@
 
 @pytest.mark.parametrize("number", [b"much", b"nan", b"inf", b"-1", b"+1", b"1_0", b" 1", b"1e999", b""])
 def test_report_must_be_finite_numbers_from_0_up(number: bytes) -> None:
-    assert read_answer([b"v", None, b"util=" + number]) == (Outcome.OK, b"v", {})
+    assert read_response([b"v", None, b"util=" + number]) == AttemptResult(Outcome.OK, b"v", {})
 
 
 def test_report_is_read_as_the_protocol_writes_it() -> None:
-    assert read_report(b"inflight=7,util=0.61,tiny=1e-05") == {"inflight": 7.0, "util": 0.61, "tiny": 1e-05}
+    assert read_load_report(b"inflight=7,util=0.61,tiny=1e-05") == {
+        "inflight": 7.0,
+        "util": 0.61,
+        "tiny": 1e-05,
+    }
 
 
 def test_connection_helper_reads_whole_answers() -> None:
--- a/tests/server/test_large_values.py
+++ b/tests/server/test_large_values.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from qos_gateway.server import backends, clients
+from qos_gateway.server import backend_connection, clients, response_receiver
 from qos_gateway.server.resp import MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES, FrameError, ResponseFrames
 from qos_gateway.types import AttemptEnded, ClientDisconnected, Outcome, ResponseStarted, Send
 from tests.server.test_clients import SECOND, only_backend, pass_deadline, script_engine
@@ -95,8 +95,8 @@
 def test_value_that_breaks_off_ends_its_clients_connection_without_a_second_attempt(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(backends, "RESPONSE_STALL_TIMEOUT_S", 0.02)
-    monkeypatch.setattr(backends, "LARGE_RESPONSE_STALL_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(response_receiver, "RESPONSE_STALL_TIMEOUT_S", 0.02)
+    monkeypatch.setattr(response_receiver, "LARGE_RESPONSE_STALL_TIMEOUT_S", 0.1)
 
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -140,7 +140,7 @@
             await wait_until(lambda: client.blocked)
             transport = client._transport
             assert transport is not None
-            most = harness.gateway.clients.write_buffer_bytes + 4 * backends.RECEIVE_BUFFER_BYTES
+            most = harness.gateway.clients.write_buffer_bytes + 4 * backend_connection.RECEIVE_BUFFER_BYTES
             got = bytearray()
             while len(got) < len(whole) + 12:
                 assert transport.get_write_buffer_size() <= most
@@ -217,7 +217,7 @@
 
 
 def test_answer_that_still_comes_is_not_cut_off_however_slowly(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(backends, "RESPONSE_STALL_TIMEOUT_S", 60.0)
+    monkeypatch.setattr(response_receiver, "RESPONSE_STALL_TIMEOUT_S", 60.0)
 
     async def test() -> None:
         async with gateway_harness() as harness:
--- a/tests/server/test_log_rate_limit.py
+++ b/tests/server/test_log_rate_limit.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from qos_gateway.server.backends import log as backends_log
+from qos_gateway.server.backend_connection import log as backends_log
 from qos_gateway.server.clients import log as clients_log
 from qos_gateway.server.logs import MAX_LINES, WINDOW_S, RateLimitFilter
 
