--- a/qos_gateway/server/attempt.py
+++ b/qos_gateway/server/attempt.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING, NamedTuple, cast
+from typing import TYPE_CHECKING, NamedTuple
 
 import hiredis
 
 from ..units import MILLISECOND
-from .responses import AttemptResult, read_probe_response, read_response
+from .responses import read_probe_response, read_response
 
 if TYPE_CHECKING:
     from .backend_connection import BackendConnection
@@ -45,6 +45,8 @@
         "timer",
     )
 
+    read_response = staticmethod(read_response)  # the meaning of a whole response to it
+
     def __init__(
         self,
         request: int,
@@ -74,11 +76,8 @@
         time_left_ms = max(1, -(-(self.expires_at - now) // MILLISECOND))
         pairs = b"%bd=%d%b" % (command.pairs_before_deadline, time_left_ms, command.pairs_after_deadline)
         words: tuple[bytes, ...] = (*command.command_start, pairs, *command.body)
-        return cast(bytes, hiredis.pack_command(words))  # type: ignore[arg-type]  # its stub lacks bytes
-
-    def read_response(self, response: object) -> AttemptResult:
-        """Return what a whole response to this attempt means."""
-        return read_response(response)
+        packed: bytes = hiredis.pack_command(words)  # type: ignore[arg-type]  # its stub lacks bytes
+        return packed
 
 
 class ProbeAttempt(Attempt):
@@ -86,13 +85,12 @@
 
     __slots__ = ()
 
+    read_response = staticmethod(read_probe_response)
+
     def __init__(self, backend: int, started_at: int, expires_at: int) -> None:
         super().__init__(0, 0, backend, started_at, expires_at, _PROBE_COMMAND)
 
     def payload(self, now: int) -> bytes:  # noqa: ARG002  # a probe tells no deadline
         """Return the probe's command."""
-        return cast(bytes, hiredis.pack_command(self.command.command_start))  # type: ignore[arg-type]
-
-    def read_response(self, response: object) -> AttemptResult:
-        """Return what a whole response to the probe means."""
-        return read_probe_response(response)
+        packed: bytes = hiredis.pack_command(self.command.command_start)  # type: ignore[arg-type]
+        return packed
--- a/qos_gateway/server/backend_connection.py
+++ b/qos_gateway/server/backend_connection.py
@@ -45,6 +45,7 @@
         "responses",
         "timer",
         "transport",
+        "unread_poll",
         "written_at",
     )
 
@@ -57,6 +58,7 @@
         self.connect_task: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None  # of the connect, then of a response that has begun
         self.responses = ResponseReceiver(self.owner.clock, self.owner.response_started)
+        self.unread_poll = select.poll()  # made once: it is asked before each request
         self.has_unsent = True
         self.paused = False
         self.written_at = 0.0
@@ -82,16 +84,12 @@
         A repeated response would be taken for the next one, and a request that is written behind an end
         may be thought to have been executed.
         """
-        transport = cast(asyncio.Transport, self.transport)
-        if transport.is_closing():
-            return False
-        poll = select.poll()
-        poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
-        return not poll.poll(0)
+        return not self.is_closed() and not self.unread_poll.poll(0)
 
     def send(self, attempt: Attempt, now: int) -> None:
         """Write an attempt's request, now in ns on the gateway's clock."""
-        transport = cast(asyncio.Transport, self.transport)
+        transport = self.transport
+        assert transport is not None  # an attempt is sent once the connection is up
         owner = self.owner
         attempt.connection = self
         self.attempt = attempt
@@ -147,6 +145,7 @@
         self.transport.set_write_buffer_limits(high=0)
         sock = self.transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
+        self.unread_poll.register(sock.fileno(), select.POLLIN)
         self.pool.connected(self)
 
     def pause_writing(self) -> None:
@@ -175,7 +174,8 @@
         if result is None:
             self._await_more()
             return
-        self.cancel_timer()
+        if self.timer is not None:
+            self.cancel_timer()
         self.attempt = None
         if self.responses.ended_with_data:
             self.pool.release(self)
--- a/qos_gateway/server/connection_pool.py
+++ b/qos_gateway/server/connection_pool.py
@@ -49,19 +49,21 @@
     def acquire(self) -> BackendConnection | None:
         """Take the connection out that became idle last; close those on the way that can't be used."""
         now = self.owner.time()
-        for index in range(len(self.idle) - 1, -1, -1):
-            connection = self.idle[index]
+        idle = self.idle
+        for index in range(len(idle) - 1, -1, -1):
+            connection = idle[index]
             if now - connection.idle_since < REUSE_DELAY_S:
                 continue
             if not connection.is_expired(now) and connection.is_clean():
-                del self.idle[index]
+                del idle[index]
                 return connection
             connection.close()
         return None
 
     def release(self, connection: BackendConnection) -> None:
         """Put a connection back as the next to be reused: the others stay idle until they expire."""
-        connection.resume()
+        if connection.paused:
+            connection.resume()
         if self.drain_ends_at is not None:
             connection.close()
             return
--- a/qos_gateway/server/responses.py
+++ b/qos_gateway/server/responses.py
@@ -11,7 +11,7 @@
 from ..types import Outcome
 
 # What the protocol writes, not all that Python reads as a number: no sign and no infinity.
-_NUMBER = re.compile(rb"[0-9]{1,20}(?:\.[0-9]{1,20})?(?:[eE][+-]?[0-9]{1,2})?")
+_match_number = re.compile(rb"[0-9]{1,20}(?:\.[0-9]{1,20})?(?:[eE][+-]?[0-9]{1,2})?").fullmatch
 _OUTCOMES_OF_ERRORS = (("ERR failed", Outcome.ERROR), ("BUSY", Outcome.OVERLOADED))
 
 LoadReport = dict[str, float]
@@ -39,7 +39,7 @@
     report: LoadReport = {}
     for pair in text.split(b","):
         name, _, number = pair.partition(b"=")
-        if not (name.isascii() and _NUMBER.fullmatch(number)):
+        if not (name.isascii() and _match_number(number)):
             return {}
         report[name.decode()] = float(number)
     return report
