--- a/qos_gateway/server/backends.py
+++ b/qos_gateway/server/backends.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from ..types import Outcome
-from .attempt import Attempt, AttemptCommand, ProbeAttempt
+from .attempt import Attempt, ProbeAttempt
 from .clock import monotonic_unix_ns
 from .config import Address
 from .connection_pool import REUSE_DELAY_S, ConnectionPool
@@ -19,7 +19,6 @@
 __all__ = [
     "REUSE_DELAY_S",
     "Attempt",
-    "AttemptCommand",
     "BackendConnections",
     "FlowControl",
     "LoadReport",
--- a/tests/server/test_backends.py
+++ b/tests/server/test_backends.py
@@ -1,4 +1,4 @@
-"""Pools and attempts over loopback sockets: what each happening means, and which connection is used."""
+"""Pools and attempts over loopback sockets: the outcome of each event, and which connection is used."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 
 SECOND = 1_000_000_000
 CLOCK = monotonic_unix_ns()
-Ended = tuple[int, Outcome, bytes | None, LoadReport]
+EndedAttempt = tuple[int, Outcome, bytes | None, LoadReport]
 
 
 class Bench:
     """Pools to one fake backend (number 7), and how attempts ended."""
 
     def __init__(self, most: int, connect: float, idle: float, grace: float) -> None:
-        self.ends: asyncio.Queue[Ended] = asyncio.Queue()
+        self.ends: asyncio.Queue[EndedAttempt] = asyncio.Queue()
         self.metrics = Metrics(())
         self.pools = BackendConnections(
             most,
@@ -61,15 +61,15 @@
         body: bytes = b"B",
         timeout: float | None = None,
         backend: int = 7,
-        before: int = 0,
+        send_deadline: int = 0,
     ) -> Attempt:
         now = CLOCK()
-        parts = ((b"CALL.POST", b"c", b"i"), b"c=x,", b",k=y", (body,))
-        attempt = Attempt(request, 0, backend, now, now + 3 * SECOND, parts, before)
+        command_parts = ((b"CALL.POST", b"c", b"i"), b"c=x,", b",k=y", (body,))
+        attempt = Attempt(request, 0, backend, now, now + 3 * SECOND, command_parts, send_deadline)
         self.pools.start_attempt(attempt, timeout)
         return attempt
 
-    async def end(self) -> Ended:
+    async def end(self) -> EndedAttempt:
         return await with_timeout(self.ends.get())
 
 
@@ -108,14 +108,14 @@
         (b"-BUSY used=0\r\n", Outcome.OVERLOADED, None, {"used": 0.0}),
         (b"-BUSY\r\n", Outcome.OVERLOADED, None, {}),
         (b"-BUSY util=1\r\n", Outcome.OVERLOADED, None, {"util": 1.0}),
-        # Good, with what can't be read where no value stands.
+        # Served, though a report can't be read.
         (success_reply(b"v", b"load_share=much"), Outcome.OK, b"v", {}),
         (success_reply(b"v", b"\xff\x00,="), Outcome.OK, b"v", {}),
         (b"*3\r\n$1\r\nv\r\n*2\r\n:1\r\n$1\r\nx\r\n$-1\r\n", Outcome.OK, b"v", {}),
         (b"*3\r\n$1\r\nv\r\n-odd\r\n+odd\r\n", Outcome.OK, b"v", {}),
     ],
 )
-def test_outcome_of_each_answer(
+def test_outcome_of_each_response(
     answer: bytes, outcome: Outcome, value: bytes | None, report: LoadReport
 ) -> None:
     async def test() -> None:
@@ -172,10 +172,10 @@
     ],
 )
 @pytest.mark.parametrize("pieces", [False, True])
-def test_spoilt_answer_may_have_run_and_closes_the_connection(
+def test_malformed_response_may_have_been_executed_and_closes_the_connection(
     answer: bytes, pieces: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Half an answer, with nothing behind it, is spoilt once the rest has stayed away for a while.
+    # Half a response is malformed once the rest has stayed away for the stall time-out.
     monkeypatch.setattr(response_receiver, "RESPONSE_STALL_TIMEOUT_S", 0.05)
 
     async def test() -> None:
@@ -195,7 +195,7 @@
     run_on_loop(test)
 
 
-def test_half_an_answer_that_breaks_off_ends_the_attempt_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_half_a_response_that_breaks_off_ends_the_attempt_once(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(response_receiver, "RESPONSE_STALL_TIMEOUT_S", 0.02)
 
     async def test() -> None:
@@ -206,15 +206,13 @@
             attempt = b.start(1)
             connection, _ = await backend.next_command()
             connection.send(b"*3\r\n$5\r\nhal")
-            link = attempt.connection
-            assert link is not None
-            await wait_until(lambda: link.timer is not None)
+            pooled = attempt.connection
+            assert pooled is not None
+            await wait_until(lambda: pooled.timer is not None)
             connection.abort()
             assert (await b.end())[:2] == (1, Outcome.RESET)
-            assert link.timer is None
-            await asyncio.sleep(
-                2 * response_receiver.RESPONSE_STALL_TIMEOUT_S
-            )  # nothing is left that could come then
+            assert pooled.timer is None
+            await asyncio.sleep(2 * response_receiver.RESPONSE_STALL_TIMEOUT_S)  # no timer is left
             assert faults == []
             assert b.ends.empty()
 
@@ -222,7 +220,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 7])
-def test_answer_in_pieces_is_read_whole(size: int) -> None:
+def test_response_in_pieces_is_read_whole(size: int) -> None:
     async def test() -> None:
         frames, whole = ResponseFrames(), success_reply(b"\r\n$1\r\n" * 20)
         ends = [frames.scan(whole[at : at + size], 0) for at in range(0, len(whole), size)]
@@ -233,13 +231,13 @@
     run_on_loop(test)
 
 
-def test_no_answer_has_places_set_aside_before_its_elements_have_come(
+def test_no_array_is_allocated_before_its_elements_have_come(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What hiredis is given is bounded: an array of a hundred million places stalls every collection."""
     fed: list[bytes] = []
 
-    class Noted:
+    class FeedRecorder:
         def feed(self, data: bytes) -> None:
             fed.append(data)
 
@@ -249,7 +247,7 @@
             attempt = b.start(1)
             connection, _ = await backend.next_command()
             assert attempt.connection is not None
-            monkeypatch.setattr(attempt.connection.responses, "parser", Noted())
+            monkeypatch.setattr(attempt.connection.responses, "parser", FeedRecorder())
             connection.send(b"*3\r\n$1\r\nv\r\n*100000000\r\n")
             assert (await b.end())[1] is Outcome.RESET
             assert not any(b"00000" in data for data in fed)
@@ -257,7 +255,7 @@
     run_on_loop(test)
 
 
-def test_second_copy_in_a_later_packet_is_never_taken_for_the_next_answer(
+def test_repeated_response_in_a_later_packet_is_never_taken_for_the_next_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_S", 0.0)
@@ -283,7 +281,7 @@
     run_on_loop(test)
 
 
-def test_connection_rests_after_an_answer_where_another_may_be_opened() -> None:
+def test_connection_is_not_reused_at_once_where_another_may_be_opened() -> None:
     async def test() -> None:
         backend = FakeBackend()
         async with bench(backend) as b:
@@ -303,7 +301,7 @@
     run_on_loop(test)
 
 
-def test_refused_connect_never_ran() -> None:
+def test_refused_connect_is_not_executed() -> None:
     async def test() -> None:
         with closing(socket.create_server((LOOPBACK, 0))) as unused:
             port = unused.getsockname()[1]
@@ -316,7 +314,7 @@
 
 
 @pytest.mark.parametrize("given_up_by", ["connect time-out", "attempt time-out"])
-def test_unfinished_connect_never_ran(given_up_by: str) -> None:
+def test_unfinished_connect_is_not_executed(given_up_by: str) -> None:
     async def test() -> None:
         # A full accept queue leaves a connect unanswered, as a vanished machine does.
         with closing(socket.socket()) as full:
@@ -339,7 +337,7 @@
 
 
 @pytest.mark.parametrize("how", ["reset", "end", "time-out", "cancel"])
-def test_after_the_last_byte_it_may_have_run(how: str) -> None:
+def test_after_the_last_byte_it_may_have_been_executed(how: str) -> None:
     async def test() -> None:
         backend = FakeBackend()
         async with bench(backend) as b:
@@ -357,7 +355,7 @@
                 b.pools.cancel_attempt(attempt)
                 wanted = Outcome.CANCELLED
             assert await b.end() == (1, wanted, None, {})
-            # The connection is closed too: an answer that still comes belongs to nobody.
+            # The connection is closed too: a response that still comes belongs to no attempt.
             await wait_until(lambda: backend.closed_connections == 1)
             assert b.pools.open_connections == 0
             assert b.ends.empty()
@@ -366,7 +364,7 @@
 
 
 @pytest.mark.parametrize("how", ["reset", "time-out"])
-def test_break_before_the_last_byte_never_ran(how: str) -> None:
+def test_break_before_the_last_byte_is_not_executed(how: str) -> None:
     async def test() -> None:
         with closing(socket.create_server((LOOPBACK, 0))) as server:
             async with bench(port=server.getsockname()[1]) as b:
@@ -390,7 +388,9 @@
 
 
 @pytest.mark.parametrize("size", [1, 8 << 20])
-def test_reset_right_behind_the_last_byte_may_have_run_however_late_that_was_written(size: int) -> None:
+def test_reset_right_after_the_last_byte_may_have_been_executed_however_late_that_was_written(
+    size: int,
+) -> None:
     """What one write does not take is written later, by the loop itself: out is out from then on."""
 
     async def test() -> None:
@@ -426,7 +426,7 @@
                     assert await with_timeout(loop.sock_recv(taken, 4096))
                     await with_timeout(loop.sock_sendall(taken, success_reply(b"v")))
                     assert (await b.end())[:2] == (number, Outcome.OK)
-                    # Reset or ended between two turns of the loop: the gateway has not heard of it.
+                    # Reset or ended between two turns of the loop: the gateway has not been notified.
                     if number == 1:
                         taken.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                     taken.close()
@@ -436,7 +436,7 @@
     run_on_loop(test)
 
 
-def test_late_answer_is_never_taken_for_the_next_attempt() -> None:
+def test_late_response_is_never_taken_for_the_next_attempt() -> None:
     async def test() -> None:
         backend = FakeBackend()
         async with bench(backend) as b:
@@ -454,7 +454,7 @@
     run_on_loop(test)
 
 
-def test_words_nobody_asked_for_close_the_connection() -> None:
+def test_unexpected_data_closes_the_connection() -> None:
     async def test() -> None:
         backend = FakeBackend()
         async with bench(backend) as b:
@@ -478,15 +478,15 @@
         async with bench(backend) as b:
             b.start(1)
             b.start(2)
-            held = [await backend.next_command() for _ in range(2)]
-            assert held[0][0] is not held[1][0]
-            for connection, _ in held:
+            requests = [await backend.next_command() for _ in range(2)]
+            assert requests[0][0] is not requests[1][0]
+            for connection, _ in requests:
                 connection.send(success_reply(b"v"))
                 await b.end()
             for number in (3, 4):
                 b.start(number)
                 connection, _ = await backend.next_command()
-                assert connection is held[1][0]
+                assert connection is requests[1][0]
                 connection.send(success_reply(b"v"))
                 await b.end()
             assert b.pools.open_connections == 2
@@ -494,7 +494,7 @@
     run_on_loop(test)
 
 
-def test_idle_connections_are_retired_before_the_backend_closes_them() -> None:
+def test_idle_connections_expire_before_the_backend_closes_them() -> None:
     async def test() -> None:
         backend = FakeBackend()
         async with bench(backend, idle=0.0) as b:
@@ -502,7 +502,7 @@
             connection, _ = await backend.next_command()
             connection.send(success_reply(b"v"))
             await b.end()
-            b.start(2)  # the old one is past its time, looked for or not
+            b.start(2)  # the old one is expired, swept or not
             other, _ = await backend.next_command()
             assert other is not connection
             other.send(success_reply(b"v"))
@@ -512,48 +512,48 @@
     run_on_loop(test)
 
 
-def test_connections_that_are_reset_after_a_rest_are_not_kept_so_long() -> None:
+def test_connections_that_are_reset_after_an_idle_time_are_not_kept_so_long() -> None:
     async def test() -> None:
         backend = FakeBackend()
         async with bench(backend) as b:
             clock = [100.0]
             b.pools.time = lambda: clock[0]
 
-            async def rested(seconds: float, broken: bool) -> bool:
-                """A good answer, then another request after that rest; whether it came on the same one."""
+            async def reused_after(idle_s: float, reset: bool) -> bool:
+                """Send a request after one that was idle so long; return whether both used one connection."""
                 b.start(1)
                 first, _ = await backend.next_command()
                 first.send(success_reply(b"v"))
                 await b.end()
-                clock[0] += seconds
+                clock[0] += idle_s
                 b.start(2)
                 second, _ = await backend.next_command()
-                second.abort() if broken else second.send(success_reply(b"v"))
-                assert (await b.end())[1] is (Outcome.RESET if broken else Outcome.OK)
+                second.abort() if reset else second.send(success_reply(b"v"))
+                assert (await b.end())[1] is (Outcome.RESET if reset else Outcome.OK)
                 clock[0] += 1000.0  # nothing of this round is used again
                 return second is first
 
             for _ in range(3):
-                assert await rested(0.3, True)
-            assert not await rested(0.3, False)
-            assert await rested(0.15, False)
+                assert await reused_after(0.3, True)
+            assert not await reused_after(0.3, False)
+            assert await reused_after(0.15, False)
             for _ in range(120):
                 b.pools.keep_alive.decay()
-            assert await rested(0.3, False)  # after a while it is tried again
+            assert await reused_after(0.3, False)  # after a while it is tried again
 
     run_on_loop(test)
 
 
-def test_breaks_that_come_at_any_age_or_seldom_shorten_no_rest() -> None:
-    ages = KeepAliveEstimator(15.0)
+def test_resets_at_any_age_or_rare_ones_do_not_shorten_the_keep_alive() -> None:
+    estimator = KeepAliveEstimator(15.0)
     for age in (0.01, 0.02) * 10:
-        ages.record_reuse(age)
-        ages.record_reset(age)
+        estimator.record_reuse(age)
+        estimator.record_reset(age)
     for _ in range(100):
-        ages.record_reuse(1.0)
+        estimator.record_reuse(1.0)
     for _ in range(4):
-        ages.record_reset(1.0)
-    assert ages.idle_limit_s == 15.0
+        estimator.record_reset(1.0)
+    assert estimator.idle_limit_s == 15.0
 
 
 def test_connections_are_bounded_and_idle_ones_give_way() -> None:
@@ -582,12 +582,12 @@
         async with bench(backend) as b:
             b.start(1)
             b.start(2)
-            held = [await backend.next_command() for _ in range(2)]
-            held[0][0].send(success_reply(b"v"))
+            requests = [await backend.next_command() for _ in range(2)]
+            requests[0][0].send(success_reply(b"v"))
             await b.end()
             b.pools.set_address(7, None)
             await wait_until(lambda: backend.closed_connections == 1)
-            held[1][0].send(success_reply(b"w"))
+            requests[1][0].send(success_reply(b"w"))
             assert (await b.end())[1:3] == (Outcome.OK, b"w")
             await wait_until(lambda: backend.closed_connections == 2)
 
@@ -607,15 +607,15 @@
     run_on_loop(test)
 
 
-def test_nothing_still_connecting_is_written_past_the_window_of_its_key() -> None:
+def test_nothing_still_connecting_is_written_past_its_idempotency_window() -> None:
     """A repeat decided within the window, on a connection that comes up when the window is over."""
 
     async def test() -> None:
         backend = FakeBackend()
         async with bench(backend) as b:
-            b.start(1, before=CLOCK())
+            b.start(1, send_deadline=CLOCK())
             assert (await b.end())[:2] == (1, Outcome.CONNECT_FAILED)
-            b.start(2, before=CLOCK() + 60 * SECOND)
+            b.start(2, send_deadline=CLOCK() + 60 * SECOND)
             assert (await backend.next_command())[1][2] == b"i"
             assert backend.commands.empty()
             assert b.pools.open_connections == 1
@@ -623,7 +623,7 @@
     run_on_loop(test)
 
 
-def test_attempt_ends_once_though_it_is_given_up_while_its_failure_is_on_its_way() -> None:
+def test_attempt_ends_once_though_it_is_cancelled_while_its_failure_is_scheduled() -> None:
     async def test() -> None:
         async with bench(port=1) as b:
             attempt = b.start(1, backend=99)
@@ -636,22 +636,22 @@
     run_on_loop(test)
 
 
-def test_unknown_backend_never_ran() -> None:
+def test_attempt_at_an_unknown_backend_is_not_executed() -> None:
     async def test() -> None:
         async with bench(port=1) as b:
             b.start(1, backend=99)
-            assert b.ends.empty()  # told in a turn of its own
+            assert b.ends.empty()  # reported in a later turn of the loop
             assert (await b.end())[:2] == (1, Outcome.CONNECT_FAILED)
 
     run_on_loop(test)
 
 
 @pytest.mark.parametrize("number", [b"much", b"nan", b"inf", b"-1", b"+1", b"1_0", b" 1", b"1e999", b""])
-def test_report_must_be_finite_numbers_from_0_up(number: bytes) -> None:
+def test_load_report_must_be_finite_numbers_from_0_up(number: bytes) -> None:
     assert read_response([b"v", None, b"util=" + number]) == AttemptResult(Outcome.OK, b"v", {})
 
 
-def test_report_is_read_as_the_protocol_writes_it() -> None:
+def test_load_report_is_read_as_the_protocol_writes_it() -> None:
     assert read_load_report(b"inflight=7,util=0.61,tiny=1e-05") == {
         "inflight": 7.0,
         "util": 0.61,
@@ -659,7 +659,7 @@
     }
 
 
-def test_connection_helper_reads_whole_answers() -> None:
+def test_connection_helper_reads_whole_responses() -> None:
     async def test() -> None:
         backend = FakeBackend()
         async with listening(backend):
@@ -675,8 +675,8 @@
     run_on_loop(test)
 
 
-def test_connection_that_has_not_rested_gives_way_rather_than_take_the_next_request() -> None:
-    """With no room for another, a second copy of its answer would be taken for the next request's."""
+def test_connection_within_its_reuse_delay_is_closed_rather_than_reused_at_the_limit() -> None:
+    """At the limit no other may be opened, and a repeated response would be taken for the next one."""
 
     async def test() -> None:
         backend = FakeBackend()
--- a/tests/server/test_large_values.py
+++ b/tests/server/test_large_values.py
@@ -91,7 +91,7 @@
     run_on_loop(test)
 
 
-@pytest.mark.parametrize("how", ["break", "spoilt", "stall"])
+@pytest.mark.parametrize("how", ["break", "malformed", "stall"])
 def test_value_that_breaks_off_ends_its_clients_connection_without_a_second_attempt(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -107,7 +107,7 @@
             await with_timeout(client.reader.readexactly(1000))
             if how == "break":
                 connection.abort()
-            elif how == "spoilt":
+            elif how == "malformed":
                 connection.send(b"x" * 40_000)
             assert (
                 len(await with_timeout(client.reader.read())) < 100_011 - 1000
@@ -170,7 +170,7 @@
     run_on_loop(test)
 
 
-def test_large_value_behind_another_answer_waits_for_its_turn() -> None:
+def test_large_value_behind_another_response_waits_for_its_turn() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             client = await harness.connect_client()
@@ -216,7 +216,7 @@
     run_on_loop(test)
 
 
-def test_answer_that_still_comes_is_not_cut_off_however_slowly(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_response_that_still_comes_is_not_cut_off_however_slowly(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(response_receiver, "RESPONSE_STALL_TIMEOUT_S", 60.0)
 
     async def test() -> None:
@@ -224,19 +224,19 @@
             client = await harness.connect_client()
             client.send(call_command())
             connection, _ = await harness.backend.next_command()
-            answer, heard = success_reply(b"v" * 30), 0.0
+            answer, last_data_at = success_reply(b"v" * 30), 0.0
             for at in range(0, len(answer) - 9, 9):
                 connection.send(answer[at : at + 9])
-                (link,) = harness.gateway.backends._pools[only_backend(harness)].connections
-                await wait_until(lambda link=link: link.last_data_at > 0.0)  # type: ignore[misc]
-                heard = link.last_data_at
-                link.last_data_at = heard - 59.0  # a piece a minute, as it were
-                link._check_stall()
-                assert link.timer is not None
-                assert link.attempt is not None
-                link.last_data_at = 0.0
-            link.last_data_at = heard - 61.0
-            link._check_stall()
+                (pooled,) = harness.gateway.backends._pools[only_backend(harness)].connections
+                await wait_until(lambda pooled=pooled: pooled.last_data_at > 0.0)  # type: ignore[misc]
+                last_data_at = pooled.last_data_at
+                pooled.last_data_at = last_data_at - 59.0  # a piece a minute, as it were
+                pooled._check_stall()
+                assert pooled.timer is not None
+                assert pooled.attempt is not None
+                pooled.last_data_at = 0.0
+            pooled.last_data_at = last_data_at - 61.0
+            pooled._check_stall()
             assert harness.gateway.activity.attempt_outcomes[Outcome.RESET] == 1
 
     run_on_loop(test)
