--- a/qos_gateway/server/logs.py
+++ b/qos_gateway/server/logs.py
@@ -1,30 +1,33 @@
-"""Bounds on log lines whose number others decide about."""
+"""Limit the rate of log lines whose number clients, backends or operators determine."""
 
 from __future__ import annotations
 
 import logging
 import time
 
-MAX_LINES = 10  # lines of one logger in a span
-WINDOW_S = 10.0  # s
+MAX_LINES = 10  # of one logger in a window
+WINDOW_S = 10.0
 
 
 class RateLimitFilter(logging.Filter):
-    """Lets the first lines of each span through: bad clients and spoilt answers must not buy CPU with them.
+    """Let the first lines of each window through, so that faulty peers cannot use up the CPU with logging.
 
-    What was left out is counted on the first line that goes through again.
+    The first line of the next window carries the number of those that were suppressed.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self._window_started, self._line_count = float("-inf"), 0
+        self._window_started_at_s = float("-inf")
+        self._line_count = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        now = time.monotonic()
-        if now - self._window_started >= WINDOW_S:
-            left_out = max(0, self._line_count - MAX_LINES)
-            self._window_started, self._line_count = now, 0
-            if left_out:
-                record.msg = f"{record.msg} ({left_out} lines like it left out)"
+        """Return whether the line is written; append the number of suppressed lines where there are any."""
+        now_s = time.monotonic()
+        if now_s - self._window_started_at_s >= WINDOW_S:
+            suppressed = max(0, self._line_count - MAX_LINES)
+            self._window_started_at_s = now_s
+            self._line_count = 0
+            if suppressed:
+                record.msg = f"{record.msg} suppressed_lines={suppressed}"
         self._line_count += 1
         return self._line_count <= MAX_LINES
--- a/qos_gateway/server/metrics.py
+++ b/qos_gateway/server/metrics.py
@@ -1,4 +1,4 @@
-"""What the gateway reports of itself: counts since the process began, and how things stand now."""
+"""Metrics for the operators: counters since the start of the process, gauges, and their text form."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from enum import Enum
 
 PREFIX = "edge_router"
-_UNSAFE_IN_NAME = re.compile(r"[^0-9A-Za-z_-]")  # would be read as structure inside a figure's name
+_UNSAFE_IN_NAME = re.compile(r"[^0-9A-Za-z_-]")  # would be read as structure inside a metric's name
 
 
 class RequestResult(Enum):
-    """How a request ended: served, refused or failed."""
+    """How a request ended; the values are parts of the metrics' names."""
 
     SERVED = "passed"
     REJECTED = "dropped"
@@ -20,37 +20,40 @@
 
 
 class Metrics:
-    """Each request is counted once, where its answer is given; each attempt once it is written whole."""
+    """Counters: each request once, where it is answered, and each attempt once it is wholly written."""
 
     def __init__(self, classes: Iterable[bytes]) -> None:
+        """Take the names of the request classes, in the order of their indices."""
         self.classes = tuple(_UNSAFE_IN_NAME.sub("_", name.decode()) for name in classes)
         self.requests = [dict.fromkeys(RequestResult, 0) for _ in self.classes]
         self.attempts = 0
 
-    def count_request(self, cls: int, how: RequestResult) -> None:
-        self.requests[cls][how] += 1
+    def count_request(self, class_index: int, result: RequestResult) -> None:
+        """Count one answered request."""
+        self.requests[class_index][result] += 1
 
 
 @dataclass(frozen=True, slots=True)
 class Gauges:
-    """How things stand at the time of the call."""
+    """Values at the time of the call."""
 
     open_requests: int
     listed_endpoints: int
     excluded_endpoints: int
 
 
-def render(figures: Metrics, standing: Gauges) -> bytes:
-    """The figures as lines of `name:value|kind`."""
+def render(metrics: Metrics, gauges: Gauges) -> bytes:
+    """Return one line for each metric, in the form `name:value|kind`."""
     lines = [
-        f"{PREFIX}.handled.{name}.{how.value}:{n}|c"
-        for name, ends in zip(figures.classes, figures.requests, strict=True)
-        for how, n in ends.items()
+        f"{PREFIX}.handled.{name}.{result.value}:{count}|c"
+        for name, counts in zip(metrics.classes, metrics.requests, strict=True)
+        for result, count in counts.items()
     ]
-    lines.append(f"{PREFIX}.upstream_tries:{figures.attempts}|c")
     lines += [
-        f"{PREFIX}.in_progress:{standing.open_requests}|g",
-        f"{PREFIX}.known_order_servers:{standing.listed_endpoints}|g",
-        f"{PREFIX}.skipped_order_servers:{standing.excluded_endpoints}|g",
+        f"{PREFIX}.upstream_tries:{metrics.attempts}|c",
+        f"{PREFIX}.in_progress:{gauges.open_requests}|g",
+        f"{PREFIX}.known_order_servers:{gauges.listed_endpoints}|g",
+        f"{PREFIX}.skipped_order_servers:{gauges.excluded_endpoints}|g",
+        "",
     ]
-    return "\n".join([*lines, ""]).encode()
+    return "\n".join(lines).encode()
--- a/tests/server/test_log_rate_limit.py
+++ b/tests/server/test_log_rate_limit.py
@@ -1,4 +1,4 @@
-"""Bounds on log lines that others cause."""
+"""Rate limits on log lines that clients and backends cause."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from qos_gateway.server.logs import MAX_LINES, WINDOW_S, RateLimitFilter
 
 
-def test_a_flood_of_lines_is_cut_and_counted(
+def test_lines_over_the_limit_are_suppressed_and_counted(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     clock = [1000.0]
@@ -19,11 +19,11 @@
     log = logging.getLogger("test.flood")
     log.addFilter(RateLimitFilter())
     for number in range(500):
-        log.warning("spoilt %d", number)
+        log.warning("malformed number=%d", number)
     assert len(caplog.messages) == MAX_LINES
     clock[0] += WINDOW_S
-    log.warning("spoilt %s", "again")
-    assert caplog.messages[MAX_LINES:] == [f"spoilt again ({500 - MAX_LINES} lines like it left out)"]
+    log.warning("malformed number=%s", "next")
+    assert caplog.messages[MAX_LINES:] == [f"malformed number=next suppressed_lines={500 - MAX_LINES}"]
 
 
 def test_logs_of_clients_and_backends_are_bounded() -> None:
