--- a/tests/server/test_admin.py
+++ b/tests/server/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' door as its callers see it, and the figures it shows."""
+"""The operators' API as its clients see it, and the metrics that it renders."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import pytest
 
-from qos_gateway.server import admin as operators
+from qos_gateway.server import admin, admin_connection
 from qos_gateway.server.admin import AdminServer
 from qos_gateway.server.metrics import Gauges, Metrics, RequestResult, render
 from tests.support.servers import (
@@ -24,38 +24,38 @@
 )
 
 
-class Desk:
+class FakeAdminHandler:
     """Stands in for the gateway."""
 
     def __init__(self) -> None:
-        self.open = True
-        self.asked: list[tuple[str, bool]] = []
+        self.is_accepting = True
+        self.calls: list[tuple[str, bool]] = []
 
     def accepts_clients(self) -> bool:
-        return self.open
+        return self.is_accepting
 
     def render_metrics(self) -> bytes:
         return b"a:1|c\n"
 
     async def set_endpoint_disabled(self, name: str, disabled: bool) -> bool:
-        self.asked.append((name, disabled))
+        self.calls.append((name, disabled))
         if name == "fault":
             raise RuntimeError("broken")
         return name == "s-1"
 
 
 @asynccontextmanager
-async def door(desk: Desk) -> AsyncIterator[AdminServer]:
-    made = AdminServer((LOOPBACK, 0), desk)
-    await made.start()
+async def admin_server(handler: FakeAdminHandler) -> AsyncIterator[AdminServer]:
+    server = AdminServer((LOOPBACK, 0), handler)
+    await server.start()
     try:
-        yield made
+        yield server
     finally:
-        made.close()
+        server.close()
 
 
-async def say(port: int, *pieces: bytes) -> tuple[int, bytes]:
-    """Status and body of what a call gets, read to the end of the connection; 0 where it gets nothing."""
+async def send_request(port: int, *pieces: bytes) -> tuple[int, bytes]:
+    """Return status and body of the response, read to the end of the connection; 0 without one."""
     reader, writer = await with_timeout(asyncio.open_connection(LOOPBACK, port))
     for piece in pieces:
         writer.write(piece)
@@ -69,114 +69,116 @@
     return (int(head.split()[1]) if head else 0), body
 
 
-def get(path: str) -> bytes:
+def get_request(path: str) -> bytes:
     return f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode()
 
 
-def post(path: str, body: bytes) -> bytes:
+def post_request(path: str, body: bytes) -> bytes:
     return b"POST %b HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%b" % (path.encode(), len(body), body)
 
 
-def test_readiness_is_a_yes_only_while_clients_are_taken() -> None:
+def test_readiness_is_200_only_while_clients_are_accepted() -> None:
     async def test() -> None:
-        desk = Desk()
-        async with door(desk) as d:
-            assert (await say(d.port, get("/ops/readiness")))[0] == 200
-            desk.open = False
-            assert (await say(d.port, get("/ops/readiness")))[0] == 503
+        handler = FakeAdminHandler()
+        async with admin_server(handler) as server:
+            assert (await send_request(server.port, get_request("/ops/readiness")))[0] == 200
+            handler.is_accepting = False
+            assert (await send_request(server.port, get_request("/ops/readiness")))[0] == 503
 
     run_on_loop(test)
 
 
-def test_calls_are_answered_though_they_come_byte_by_byte() -> None:
+def test_requests_are_answered_though_they_come_byte_by_byte() -> None:
     async def test() -> None:
-        desk = Desk()
-        async with door(desk) as d:
-            whole = post("/ops/order-servers/down", b"s-1\n")
-            status, _ = await say(d.port, *(whole[i : i + 1] for i in range(len(whole))))
+        handler = FakeAdminHandler()
+        async with admin_server(handler) as server:
+            whole = post_request("/ops/order-servers/down", b"s-1\n")
+            status, _ = await send_request(server.port, *(whole[i : i + 1] for i in range(len(whole))))
             assert status == 200
-            assert desk.asked == [("s-1", True)]
-            assert (await say(d.port, post("/ops/order-servers/up", b"s-1")))[0] == 200
-            assert desk.asked[1:] == [("s-1", False)]
-            assert (await say(d.port, post("/ops/order-servers/up", b"s-9")))[0] == 404
-            assert (await say(d.port, post("/ops/order-servers/up", b"fault")))[0] == 500
-            assert await say(d.port, get("/ops/stats")) == (200, b"a:1|c\n")
+            assert handler.calls == [("s-1", True)]
+            assert (await send_request(server.port, post_request("/ops/order-servers/up", b"s-1")))[0] == 200
+            assert handler.calls[1:] == [("s-1", False)]
+            assert (await send_request(server.port, post_request("/ops/order-servers/up", b"s-9")))[0] == 404
+            status, _ = await send_request(server.port, post_request("/ops/order-servers/up", b"fault"))
+            assert status == 500
+            assert await send_request(server.port, get_request("/ops/stats")) == (200, b"a:1|c\n")
 
     run_on_loop(test)
 
 
 @pytest.mark.parametrize(
-    ("said", "status"),
+    ("request_bytes", "status"),
     [
         (b"junk\r\n\r\n", 400),
-        (get("/ops/other"), 404),
-        (get("/ops/order-servers/down"), 405),
-        (post("/ops/stats", b""), 405),
+        (get_request("/ops/other"), 404),
+        (get_request("/ops/order-servers/down"), 405),
+        (post_request("/ops/stats", b""), 405),
         (b"HEAD /ops/stats HTTP/1.1\r\nHost: x\r\n\r\n", 405),
         (b"GET /ops/stats HTTP/1.1\r\n\r\n", 400),  # no host
-        (post("/ops/order-servers/down", b""), 400),
-        (post("/ops/order-servers/down", b"\xff\xfe"), 400),
-        (post("/ops/order-servers/down", b"s" * 300), 413),
+        (post_request("/ops/order-servers/down", b""), 400),
+        (post_request("/ops/order-servers/down", b"\xff\xfe"), 400),
+        (post_request("/ops/order-servers/down", b"s" * 300), 413),
         (b"GET /ops/stats HTTP/1.1\r\nHost: x\r\nX: " + b"y" * 20_000, 431),
     ],
 )
-def test_what_is_no_call_gets_a_plain_no(said: bytes, status: int) -> None:
+def test_invalid_requests_are_rejected_with_a_status(request_bytes: bytes, status: int) -> None:
     async def test() -> None:
-        desk = Desk()
-        async with door(desk) as d:
-            assert (await say(d.port, said))[0] == status
-            assert desk.asked == []
-            assert (await say(d.port, get("/ops/readiness")))[0] == 200
+        handler = FakeAdminHandler()
+        async with admin_server(handler) as server:
+            assert (await send_request(server.port, request_bytes))[0] == status
+            assert handler.calls == []
+            assert (await send_request(server.port, get_request("/ops/readiness")))[0] == 200
 
     run_on_loop(test)
 
 
-def test_caller_without_a_whole_call_is_told_so_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_incomplete_request_times_out_with_408(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr(operators, "REQUEST_TIMEOUT_S", 0.02)
-        async with door(Desk()) as d:
-            assert (await say(d.port, get("/ops/stats")[:20]))[0] == 408
-            assert (await say(d.port, post("/ops/order-servers/down", b"s-1")[:-1]))[0] == 408
+        monkeypatch.setattr(admin_connection, "REQUEST_TIMEOUT_S", 0.02)
+        async with admin_server(FakeAdminHandler()) as server:
+            assert (await send_request(server.port, get_request("/ops/stats")[:20]))[0] == 408
+            without_last_byte = post_request("/ops/order-servers/down", b"s-1")[:-1]
+            assert (await send_request(server.port, without_last_byte))[0] == 408
 
     run_on_loop(test)
 
 
-def test_callers_who_finish_no_call_do_not_starve_the_door() -> None:
+def test_incomplete_requests_do_not_starve_the_api() -> None:
     async def test() -> None:
-        async with door(Desk()) as d:
+        async with admin_server(FakeAdminHandler()) as server:
             idle = [
-                await with_timeout(asyncio.open_connection(LOOPBACK, d.port))
-                for _ in range(3 * operators.MAX_CONNECTIONS)
+                await with_timeout(asyncio.open_connection(LOOPBACK, server.port))
+                for _ in range(3 * admin.MAX_CONNECTIONS)
             ]
-            assert (await say(d.port, get("/ops/readiness")))[0] == 200
-            await wait_until(lambda: len(d._connections) <= operators.MAX_CONNECTIONS)
+            assert (await send_request(server.port, get_request("/ops/readiness")))[0] == 200
+            await wait_until(lambda: len(server._connections) <= admin.MAX_CONNECTIONS)
             for _, writer in idle:
                 writer.close()
 
     run_on_loop(test)
 
 
-def test_taken_address_is_tried_for_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_address_in_use_is_tried_again(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr(operators, "BIND_RETRY_INTERVAL_S", 0.005)
-        async with door(Desk()) as first:
-            second = AdminServer((LOOPBACK, first.port), Desk())
+        monkeypatch.setattr(admin, "BIND_RETRY_INTERVAL_S", 0.005)
+        async with admin_server(FakeAdminHandler()) as first:
+            second = AdminServer((LOOPBACK, first.port), FakeAdminHandler())
             await second.start()
             first.close()
             await wait_until(lambda: second.port == first.port)
-            assert (await say(second.port, get("/ops/readiness")))[0] == 200
+            assert (await send_request(second.port, get_request("/ops/readiness")))[0] == 200
             second.close()
 
     run_on_loop(test)
 
 
-def test_figures_are_rendered_one_a_line() -> None:
-    figures = Metrics((b"stock-check", b"look.up|x"))
-    figures.count_request(0, RequestResult.SERVED)
-    figures.count_request(1, RequestResult.REJECTED)
-    figures.count_request(1, RequestResult.FAILED)
-    figures.attempts = 5
-    assert render(figures, Gauges(14, 9, 2)).decode().splitlines() == [
+def test_metrics_are_rendered_one_a_line() -> None:
+    metrics = Metrics((b"stock-check", b"look.up|x"))
+    metrics.count_request(0, RequestResult.SERVED)
+    metrics.count_request(1, RequestResult.REJECTED)
+    metrics.count_request(1, RequestResult.FAILED)
+    metrics.attempts = 5
+    assert render(metrics, Gauges(14, 9, 2)).decode().splitlines() == [
         "edge_router.handled.stock-check.passed:1|c",
         "edge_router.handled.stock-check.dropped:0|c",
         "edge_router.handled.stock-check.bad_gateway:0|c",
@@ -190,20 +192,22 @@
     ]
 
 
-def read(text: bytes) -> dict[str, int]:
+def metric_values(text: bytes) -> dict[str, int]:
     lines = (line.partition(":") for line in text.decode().splitlines())
     return {name.removeprefix("edge_router."): int(value.partition("|")[0]) for name, _, value in lines}
 
 
-def test_each_request_ends_in_one_figure_and_attempts_count_once_written() -> None:
+def test_each_request_counts_in_one_metric_and_attempts_once_written() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             client = await harness.connect_client()
             for number, ending in enumerate((success_reply(b"v"), b"-ERR failed\r\n")):
                 client.send(call_command("charge", number))
                 connection, _ = await harness.backend.next_command()
-                assert read(harness.gateway.operations.render_metrics())["in_progress"] == 1
-                assert read(harness.gateway.operations.render_metrics())["upstream_tries"] == number + 1
+                assert metric_values(harness.gateway.operations.render_metrics())["in_progress"] == 1
+                assert (
+                    metric_values(harness.gateway.operations.render_metrics())["upstream_tries"] == number + 1
+                )
                 connection.send(ending)
                 await client.next_message()
             client.send(call_command("charge", 2, wait_ms=0))  # no time left for an attempt
@@ -211,11 +215,11 @@
             client.send(b"*1\r\n$4\r\nPING\r\n*2\r\n$8\r\nCALL.GET\r\n$1\r\nx\r\n")
             assert await client.next_message() == b"PONG"  # neither is a request
             await client.next_message()
-            figures = read(harness.gateway.operations.render_metrics())
-            assert [figures[f"handled.charge.{how.value}"] for how in RequestResult] == [1, 1, 1]
-            assert sum(n for name, n in figures.items() if name.startswith("handled.")) == 3
-            assert (figures["upstream_tries"], figures["in_progress"]) == (2, 0)
-            assert (figures["known_order_servers"], figures["skipped_order_servers"]) == (1, 0)
+            values = metric_values(harness.gateway.operations.render_metrics())
+            assert [values[f"handled.charge.{how.value}"] for how in RequestResult] == [1, 1, 1]
+            assert sum(n for name, n in values.items() if name.startswith("handled.")) == 3
+            assert (values["upstream_tries"], values["in_progress"]) == (2, 0)
+            assert (values["known_order_servers"], values["skipped_order_servers"]) == (1, 0)
 
     run_on_loop(test)
 
@@ -231,7 +235,7 @@
             connection, _ = await harness.backend.next_command()
             for _ in range(2):
                 assert await gateway.operations.set_endpoint_disabled("s-1", True)
-            assert read(gateway.operations.render_metrics())["skipped_order_servers"] == 1
+            assert metric_values(gateway.operations.render_metrics())["skipped_order_servers"] == 1
             connection.send(success_reply(b"v"))
             assert await client.next_message() == b"v"  # what it had is finished
             client.send(call_command(number=2))
@@ -245,10 +249,10 @@
             await wait_until(lambda: gateway.discovery._list.version == 4)
             client.send(call_command(number=3))
             assert str(await client.next_message()).startswith("BUSY")
-            assert read(gateway.operations.render_metrics())["skipped_order_servers"] == 1
+            assert metric_values(gateway.operations.render_metrics())["skipped_order_servers"] == 1
             assert await gateway.operations.set_endpoint_disabled("s-1", False)
             assert await gateway.operations.set_endpoint_disabled("s-1", False)
-            assert read(gateway.operations.render_metrics())["skipped_order_servers"] == 0
+            assert metric_values(gateway.operations.render_metrics())["skipped_order_servers"] == 0
             while not harness.backend.commands.qsize():
                 client.send(call_command(number=4))
                 answered = asyncio.ensure_future(client.next_message())
--- a/tests/server/test_process.py
+++ b/tests/server/test_process.py
@@ -88,7 +88,7 @@
     )
     try:
         made = Process(process, sock.getsockname()[1], backend, path)
-        made.door = int((await made.logged(b"operators' door at")).rsplit(b":", 1)[1])
+        made.door = int((await made.logged(b"admin_started")).rsplit(b":", 1)[1])
         await made.logged(b"listening on")
         yield made
     finally:
