--- a/qos_gateway/server/config_parser.py
+++ b/qos_gateway/server/config_parser.py
@@ -16,14 +16,16 @@
 DEFAULT_SEED = "0"  # hexadecimal
 DEFAULT_MAX_DESCRIPTORS = 1024  # the usual soft limit of a Linux process
 DEFAULT_MEMORY_MB = 64
-MEGABYTE_BITS = 20
+MEGABYTE_BYTES = 1 << 20
 MAX_PORT = 0xFFFF
 MIN_LEASE_S = 5
 MAX_LEASE_S = 50  # keys of the counter live for 60 s, which must hold a lease and the lead before it
 
 
 @dataclass(frozen=True, slots=True)
-class _ProcessLimits:
+class _StartupNumbers:
+    """Numbers outside the nested settings, which share one error text."""
+
     seed: int
     max_descriptors: int
     memory_bytes: int
@@ -38,7 +40,7 @@
     nested: JsonSection
     settings: Settings
     limits: JsonSection
-    process_limits: _ProcessLimits
+    startup_numbers: _StartupNumbers
     peers: tuple[Address, ...]
     counter: Address | None
     counter_family: JsonSection
@@ -72,7 +74,7 @@
         nested=nested,
         settings=settings,
         limits=nested.section("limits"),
-        process_limits=_parse_process_limits(raw),
+        startup_numbers=_parse_startup_numbers(raw),
         peers=tuple(address(peer, "peers") for peer in raw.get("peers") or []),
         counter_family=nested.section("familyInfo"),
         counter=_optional_address(raw.get("counter"), "counter") if settings.has_counter else None,
@@ -87,9 +89,9 @@
         name=overrides.name or str(raw.get("name", DEFAULT_NAME)),
         listen=address(overrides.listen or raw.get("listen"), "listen"),
         discovery=address(overrides.discovery or raw.get("discovery"), "discovery"),
-        seed=source.process_limits.seed,
-        max_descriptors=source.process_limits.max_descriptors,
-        memory_bytes=source.process_limits.memory_bytes,
+        seed=source.startup_numbers.seed,
+        max_descriptors=source.startup_numbers.max_descriptors,
+        memory_bytes=source.startup_numbers.memory_bytes,
         peer_listen=_optional_address(raw.get("peer_listen"), "peer_listen"),
         peers=source.peers,
         peer_broadcast=_optional_address(raw.get("peers_all"), "peers_all"),
@@ -116,13 +118,13 @@
         raise ConfigError(f"settings.{error}") from None
 
 
-def _parse_process_limits(raw: JsonObject) -> _ProcessLimits:
+def _parse_startup_numbers(raw: JsonObject) -> _StartupNumbers:
     try:
         limits = raw.get("limits", {})
-        return _ProcessLimits(
+        return _StartupNumbers(
             seed=int(str(raw.get("seed", DEFAULT_SEED)), 16),
             max_descriptors=int(limits.get("sockets", DEFAULT_MAX_DESCRIPTORS)),
-            memory_bytes=int(limits.get("memory_mb", DEFAULT_MEMORY_MB)) << MEGABYTE_BITS,
+            memory_bytes=int(limits.get("memory_mb", DEFAULT_MEMORY_MB)) * MEGABYTE_BYTES,
         )
     except (AttributeError, TypeError, ValueError):
         raise ConfigError("seed or limits: not a number") from None
