--- a/qos_gateway/decisions/load_balancer.py
+++ b/qos_gateway/decisions/load_balancer.py
@@ -92,6 +92,8 @@
         """Return whether an attempt may be sent to an endpoint now; refills its slow start tokens."""
         if not state.in_service or now < state.ejected_until or state.endpoint.id in self.admin_disabled:
             return False
+        if state.endpoint.id not in self.warming_up:
+            return True
         fraction = self.slow_start_fraction(now, state)
         return fraction >= 1.0 or has_token(now, self, state, fraction)
 
@@ -105,8 +107,10 @@
         slowness = min(MAX_SLOWNESS, max(MIN_SLOWNESS, mean_slowness))
         own_share = (PEER_IN_FLIGHT_PRIOR + state.in_flight) / (PEER_IN_FLIGHT_PRIOR + self.mean_in_flight)
         peers = own_share * self.peer_in_flight
-        factor = SLOW_START_COST_FACTOR if self.slow_start_fraction(now, state) < 1.0 else 1.0
-        return (1.0 + state.in_flight + peers) * slowness * factor + zone_cost
+        wait = (1.0 + state.in_flight + peers) * slowness
+        if state.endpoint.id in self.warming_up and self.slow_start_fraction(now, state) < 1.0:
+            wait *= SLOW_START_COST_FACTOR
+        return wait + zone_cost
 
     def pick(
         self, now: int, class_and_plan: ClassAndPlan, avoid: set[int], allowed: EndpointFilter
@@ -119,13 +123,15 @@
         class_index = class_and_plan[0]
         unknown = self.unanswered_ratio[class_index].mean_with_prior(now, 0.0, UNANSWERED_PRIOR_WEIGHT)
 
+        jitter = self.rng.random
+
         def cost(state: EndpointState) -> float:
             result = state.last_result_by_class.get(class_index)
             failure = unknown if result is None or now - result.at >= FAILURE_MEMORY else result.unanswered
             if now < state.overloaded_until.get(class_and_plan, 0):
                 failure = 1.0
             wait = self.expected_wait(now, state)
-            return wait * (1.0 + FAILURE_COST_FACTOR * failure) * (1.0 + JITTER * self.rng.random())
+            return wait * (1.0 + FAILURE_COST_FACTOR * failure) * (1.0 + JITTER * jitter())
 
         return min(self._candidates(now, avoid, allowed), key=cost, default=None)
 
@@ -137,14 +143,16 @@
         candidates = [
             state
             for state in self.subset(now)
-            if state.endpoint.id not in avoid and allowed(state.endpoint) and self.can_accept(now, state)
+            if state.endpoint.id not in avoid
+            and (allowed is None or allowed(state.endpoint))
+            and self.can_accept(now, state)
         ]
         return candidates or [
             state
             for endpoint_id, state in self.endpoints.items()
             if endpoint_id not in avoid
             and self.slow_start_fraction(now, state) >= 1.0
-            and allowed(state.endpoint)
+            and (allowed is None or allowed(state.endpoint))
             and self.can_accept(now, state)
         ]
 
--- a/qos_gateway/decisions/quota/counter.py
+++ b/qos_gateway/decisions/quota/counter.py
@@ -29,7 +29,7 @@
     uses_counter = True
 
     def _refill_unreported(self, now: int, account: CustomerAccount, elapsed_s: float) -> None:
-        if account.unreported_units and self._probably_has_tokens(now, account):
+        if self._probably_has_tokens(now, account):
             account.unreported_units = max(0.0, account.unreported_units - account.plan.rate * elapsed_s)
 
     def _ceiling_bucket(self, account: CustomerAccount, even: float) -> TokenBucket:
@@ -166,7 +166,7 @@
         if not self.is_leased(account):
             return super()._local_bucket(account, even)
         share = self._share(account)
-        return self.local_bucket(account, share, min(1.0, lease.MAX_SAVED_FRACTION * share))
+        return self.local_bucket(account.plan, share, min(1.0, lease.MAX_SAVED_FRACTION * share))
 
     def _ceiling_bucket(self, account: CustomerAccount, even: float) -> TokenBucket:
         if not self.is_leased(account):
--- a/qos_gateway/decisions/quota/peers.py
+++ b/qos_gateway/decisions/quota/peers.py
@@ -29,7 +29,7 @@
 
     def _bucket(self, account: CustomerAccount) -> TokenBucket:
         share = self.quota_share(account.refilled_at, account) * self.handover_fraction
-        return super()._bucket(account).scaled(share)
+        return TokenBucket(account.plan.rate * share, account.plan.burst * share)
 
     def _totals_message(self, now: int) -> Action:
         """Tell the peers of the totals that were repeated least."""
--- a/qos_gateway/decisions/retry_rules.py
+++ b/qos_gateway/decisions/retry_rules.py
@@ -5,7 +5,7 @@
 from ..state.request import RequestState
 from ..types import Endpoint, Idempotence, IdempotencyScope
 
-EndpointFilter = Callable[[Endpoint], bool]
+EndpointFilter = Callable[[Endpoint], bool] | None  # None: any endpoint
 
 
 def is_retry_harmless(request: RequestState) -> bool:
@@ -21,13 +21,13 @@
     cls = request.request_class
     first = request.first_keyed_endpoint
     if not request.may_have_executed or cls.idempotence is not Idempotence.KEYED or first is None:
-        return lambda _: True
+        return None
     if now - request.first_keyed_attempt_at >= cls.idempotency_window:
         return lambda _: False
     if cls.idempotency_scope is IdempotencyScope.ZONE:
         return lambda endpoint: endpoint.zone == first.zone
     if cls.idempotency_scope is IdempotencyScope.ALL:
-        return lambda _: True
+        return None
     return lambda endpoint: endpoint.cell == first.cell
 
 
--- a/qos_gateway/peer_messages.py
+++ b/qos_gateway/peer_messages.py
@@ -23,7 +23,7 @@
     DENIED = 4  # denies it; likewise
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class Reservation:
     """One message between a gateway and the owner of a customer's bucket."""
 
@@ -35,7 +35,7 @@
     sender_age: int  # tenths of a second that the sender has been running
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class CustomerTotal:
     """What the sender counted for one customer."""
 
@@ -44,7 +44,7 @@
     in_flight: int  # 255 at most
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class GossipMessage:
     """Running totals of one gateway."""
 
--- a/qos_gateway/state/class_latency.py
+++ b/qos_gateway/state/class_latency.py
@@ -7,7 +7,7 @@
 from .decaying_mean import DecayingMean, decay_factor
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class LatencySamples:
     """A number of latencies (ns), of which only the sum matters."""
 
--- a/qos_gateway/state/counter_reading.py
+++ b/qos_gateway/state/counter_reading.py
@@ -10,7 +10,7 @@
 from .pending_calls import CounterCall
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class CounterReading:
     """A customer's bucket just before a call was added to its counter."""
 
--- a/qos_gateway/state/counter_total.py
+++ b/qos_gateway/state/counter_total.py
@@ -20,7 +20,7 @@
     return key >> 16
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class CounterTotal:
     """A counter's total taken apart."""
 
--- a/qos_gateway/state/customer.py
+++ b/qos_gateway/state/customer.py
@@ -253,7 +253,7 @@
         return min(1.0, (self.plan.rate / self.slices + 2 * one) / (self.requested_rate(now) + one))
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class Demand:
     """What a customer's commitment asks for: the paper's Nreq, and its XMIN in requests per second."""
 
--- a/qos_gateway/state/lease_terms.py
+++ b/qos_gateway/state/lease_terms.py
@@ -13,7 +13,7 @@
 TERM_SCATTER = 0x9E3779B1  # a multiplier that scatters neighbouring numbers evenly
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class LeaseTerm:
     """A customer's term at one time."""
 
--- a/qos_gateway/state/outstanding.py
+++ b/qos_gateway/state/outstanding.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class OutstandingAttempt:
     """An attempt without a response: its age (ns) tells of congestion before the response does."""
 
--- a/qos_gateway/state/pending_calls.py
+++ b/qos_gateway/state/pending_calls.py
@@ -9,7 +9,7 @@
 Call = TypeVar("Call")
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class CounterCall:
     """One addition to the counter of a customer's usage."""
 
--- a/qos_gateway/state/priority_demand.py
+++ b/qos_gateway/state/priority_demand.py
@@ -15,7 +15,10 @@
 
     def add(self, now: int, kind: tuple[int, int], priority: float) -> None:
         """Count one arrival."""
-        self._by_kind.setdefault(kind, DecayingMean(self._time_constant)).add(now, priority)
+        mean = self._by_kind.get(kind)
+        if mean is None:
+            mean = self._by_kind[kind] = DecayingMean(self._time_constant)
+        mean.add(now, priority)
 
     def fraction_below(self, now: int, priority: float) -> float:
         """Return the part of recent arrivals whose kind has a lower mean priority."""
--- a/qos_gateway/state/quota_base.py
+++ b/qos_gateway/state/quota_base.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from math import inf
 
-from ..types import Action, Arrival, Settings
+from ..types import Action, Arrival, Plan, Settings
 from ..units import SECOND
 from .customer import CustomerAccount, DecayTimes, RetentionTimes
 from .decaying_mean import DecayingMean
@@ -117,7 +117,8 @@
         expires_after = self.tuning.report_expires_after
         span = expires_after - self.tuning.report_fresh_for
         freshness = [min(1.0, max(0.0, (expires_after - now + at) / span)) for at in reports]
-        return (1.0 + sum(freshness) / len(reports) * (account.slices - 1)) / account.slices
+        slices = account.slices
+        return (1.0 + sum(freshness) / len(reports) * (slices - 1)) / slices
 
     def refill(self, now: int, account: CustomerAccount) -> None:
         """Refill the customer's buckets up to `now`; call it before any decision on the customer."""
@@ -130,21 +131,22 @@
         account.ceiling_tokens = self._ceiling_bucket(account, even).refilled(
             account.ceiling_tokens, elapsed_s
         )
-        self._refill_unreported(now, account, elapsed_s)
+        if account.unreported_units:
+            self._refill_unreported(now, account, elapsed_s)
 
     def _bucket(self, account: CustomerAccount) -> TokenBucket:
         return TokenBucket(account.plan.rate, account.plan.burst)
 
     def _local_bucket(self, account: CustomerAccount, even: float) -> TokenBucket:
-        return self.local_bucket(account, even, even)
+        return self.local_bucket(account.plan, even, even)
 
-    def local_bucket(self, account: CustomerAccount, share: float, saved: float) -> TokenBucket:
+    def local_bucket(self, plan: Plan, share: float, saved: float) -> TokenBucket:
         """Return the slice with that share of the rate and `saved` of the burst; it can hold any request."""
-        capacity = max(account.plan.burst * saved, self.settings.largest_request_units)
-        return TokenBucket(account.plan.rate * share, capacity)
+        return TokenBucket(plan.rate * share, max(plan.burst * saved, self.settings.largest_request_units))
 
     def _ceiling_bucket(self, account: CustomerAccount, even: float) -> TokenBucket:
-        return TokenBucket(account.plan.ceiling_rate, account.plan.ceiling_burst).scaled(even)
+        plan = account.plan
+        return TokenBucket(plan.ceiling_rate * even, plan.ceiling_burst * even)
 
     def _refill_unreported(self, now: int, account: CustomerAccount, elapsed_s: float) -> None:
         """Forget unreported units that the bucket has refilled."""
--- a/qos_gateway/state/quota_decision.py
+++ b/qos_gateway/state/quota_decision.py
@@ -17,7 +17,7 @@
     RESERVED = "reserved"  # held until the reservation is answered or overdue
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class Charge:
     """A request as far as the quota is concerned."""
 
@@ -27,7 +27,7 @@
     may_exceed: bool  # whether serving it beyond the quota is worth more than that costs, at present
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class QuotaDecision:
     """The verdict on one request, and what has to be done for it."""
 
@@ -45,7 +45,7 @@
         return cls(verdict, actions or [], admitted and reports)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class QuotaReply:
     """What the reply of a peer or of the counter means for the request that waits for it."""
 
--- a/qos_gateway/state/zone.py
+++ b/qos_gateway/state/zone.py
@@ -16,7 +16,7 @@
     unresponsive_since: int = -1  # when it was last found unresponsive: -1 is before any attempt
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class UnresponsiveZone:
     """A zone that has just been found unresponsive."""
 
