--- a/tests/server/test_client_disconnects.py
+++ b/tests/server/test_client_disconnects.py
@@ -13,7 +13,7 @@
 from qos_gateway.server import backends, client_connection
 from qos_gateway.server.gateway import GatewayProcess
 from qos_gateway.types import Action, Arrival, AttemptEnded, ClientDisconnected, Outcome, Reject, Send
-from tests.server.test_clients import ScriptedEngine, only_backend, script_engine
+from tests.support.scripted_engine import ScriptedEngine, only_backend, script_engine
 from tests.support.servers import (
     FakeCounter,
     GatewayHarness,
--- a/tests/server/test_discovery.py
+++ b/tests/server/test_discovery.py
@@ -1,38 +1,26 @@
-"""Discovery's watch, the mapping of its entries, and messages between gateways, over loopback sockets."""
+"""Discovery's watch, over loopback sockets."""
 
 from __future__ import annotations
 
 import asyncio
 import json
-import os
-import time
 from typing import Any
 
 import pytest
 
 from qos_gateway.server import discovery_watch
-from qos_gateway.server.clients import ClientConnections
-from qos_gateway.server.config import Address, parse
 from qos_gateway.server.discovery import DiscoveryClient
 from qos_gateway.server.discovery_watch import WatchConnection
-from qos_gateway.server.endpoint_list import EndpointUpdate, ListError, endpoint_id, parse_update
-from qos_gateway.server.gateway import GatewayProcess
-from qos_gateway.server.peers import Peers
+from qos_gateway.server.endpoint_list import EndpointUpdate
 from qos_gateway.server.watch_schedule import INITIAL_BACKOFF_S, MAX_BACKOFF_S
-from qos_gateway.types import Endpoint, Health, ListKind, PeerMessage
-from tests.server.test_clients import ScriptedEngine
+from qos_gateway.types import Health, ListKind
 from tests.support.servers import (
     LOOPBACK,
     FakeDiscovery,
-    call_command,
     endpoint_entry,
     endpoint_list,
-    gateway_harness,
     listening,
-    make_config,
-    raw_config,
     run_on_loop,
-    success_reply,
     wait_until,
     with_timeout,
 )
@@ -52,65 +40,6 @@
         return await with_timeout(self.updates.get())
 
 
-def test_entry_is_mapped_as_on_the_simulators_wire() -> None:
-    entry = endpoint_entry("s-5be2a07c", 6379, "terminating", born_ms=1_700_000_000_123, block=3)
-    update = parse_update(endpoint_list(41, entry, whole=False), ZONES, KINDS)
-    assert update.topology.kind is ListKind.DELTA
-    assert update.topology.version == 41
-    number = endpoint_id("s-5be2a07c")
-    started_at = 1_700_000_000_123_000_000
-    assert update.topology.entries == (Endpoint(number, 0, 1, 3, Health.DRAINING, 1.0, started_at),)
-    assert update.addresses == {number: (LOOPBACK, 6379)}
-
-
-def test_endpoint_id_depends_on_the_name_alone() -> None:
-    # Written down, so that a changed mapping shows: gateways of two versions may run side by side.
-    assert endpoint_id("s-5be2a07c") == 54393183237098
-    assert endpoint_id("s-5be2a07d") != endpoint_id("s-5be2a07c")
-
-
-def test_start_long_ago_stays_zero_and_a_recent_one_is_on_the_engines_clock() -> None:
-    async def test() -> None:
-        async with gateway_harness() as harness:
-            now_ms = time.time_ns() // 1_000_000
-            entries = endpoint_entry("old", 1, born_ms=0), endpoint_entry("new", 2, born_ms=now_ms)
-            harness.discovery.send_update(endpoint_list(2, *entries))
-            servers = harness.gateway.dispatcher.engine.load_balancer.endpoints
-            await wait_until(lambda: endpoint_id("new") in servers)
-            assert servers[endpoint_id("old")].endpoint.started_at == 0
-            start = harness.gateway.config.settings.initial_capacity_fraction
-            fraction = harness.gateway.dispatcher.engine.load_balancer.slow_start_fraction(
-                harness.gateway.clock(), servers[endpoint_id("new")]
-            )
-            assert start <= fraction < 1.0
-
-    run_on_loop(test)
-
-
-def test_terminated_entry_needs_no_address() -> None:
-    raw: dict[str, Any] = {"seq": 2, "whole": False, "hosts": [{"host": "s-1", "health": "terminated"}]}
-    update = parse_update(raw, ZONES, KINDS)
-    assert update.topology.entries[0].health is Health.REMOVED
-    assert update.addresses == {}
-
-
-@pytest.mark.parametrize(
-    "raw",
-    [
-        [],
-        {},
-        {"seq": 1, "whole": True},
-        endpoint_list(1, {"host": "s"}),
-        endpoint_list(1, endpoint_entry("s", 1, "odd")),
-        {"seq": "x", "whole": True, "hosts": []},
-        endpoint_list(1, endpoint_entry("s", 1) | {"dial": "nowhere"}),
-    ],
-)
-def test_unreadable_list_is_an_error_not_a_crash(raw: Any) -> None:
-    with pytest.raises(ListError):
-        parse_update(raw, ZONES, KINDS)
-
-
 def test_changes_come_in_order_and_a_broken_watch_goes_on_from_the_last_version() -> None:
     async def test() -> None:
         agent = FakeDiscovery()
@@ -339,205 +268,3 @@
             assert agent.requests.empty()
 
     run_on_loop(test)
-
-
-def test_old_list_serves_while_discovery_is_down(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def test() -> None:
-        monkeypatch.setattr("qos_gateway.server.endpoint_feed.CACHED_LIST_TIMEOUT_S", 0.01)
-        monkeypatch.setattr(
-            "qos_gateway.server.endpoint_feed.FIRST_LIST_TIMEOUT_S", 600.0
-        )  # only without a list
-        gateway = GatewayProcess(make_config(1, endpoint_list(5, endpoint_entry("s-1", 1))))
-        assert gateway.is_ready()
-        await with_timeout(gateway.start())
-        assert gateway.clients.port > 0
-        await gateway.discovery.close()
-        gateway.clients.abort()
-
-    run_on_loop(test)
-
-
-class Lagging(asyncio.Protocol):
-    """An agent that answers at once, within a turn of the loop that then lasts too long."""
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.descriptor = transport.get_extra_info("socket").fileno()
-
-    def data_received(self, _data: bytes) -> None:
-        line = json.dumps(endpoint_list(6, endpoint_entry("s-1", 1, "terminating"))).encode() + b"\n"
-        head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-        os.write(self.descriptor, head + b"%x\r\n%b\r\n" % (len(line), line))
-        time.sleep(0.6)
-
-
-def test_update_of_discovery_counts_though_the_starting_loop_lagged(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What the agent has binds from the first moment: the list last known must not serve beside it."""
-    monkeypatch.setattr("qos_gateway.server.endpoint_feed.CACHED_LIST_TIMEOUT_S", 0.5)
-    ready: list[bool] = []
-
-    async def test() -> None:
-        agent = await asyncio.get_running_loop().create_server(Lagging, LOOPBACK, 0)
-        gateway = GatewayProcess(
-            make_config(agent.sockets[0].getsockname()[1], endpoint_list(5, endpoint_entry("s-1", 1)))
-        )
-
-        async def opened() -> None:
-            ready.append(gateway.is_ready())
-            await ClientConnections.start(gateway.clients)
-
-        monkeypatch.setattr(gateway.clients, "start", opened)
-        await with_timeout(gateway.start())
-        assert ready == [False]
-        await gateway.discovery.close()
-        gateway.clients.abort()
-        agent.close()
-
-    run_on_loop(test)
-
-
-def test_without_any_list_a_ping_is_not_answered_with_pong(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def test() -> None:
-        monkeypatch.setattr("qos_gateway.server.endpoint_feed.FIRST_LIST_TIMEOUT_S", 0.01)
-        async with gateway_harness() as harness:
-            harness.discovery.send_update(endpoint_list(2))
-            await wait_until(lambda: not harness.gateway.is_ready())
-            client = await harness.connect_client()
-            client.send(b"*1\r\n$4\r\nPING\r\n")
-            assert str(await client.next_message()).startswith("LOADING")
-            harness.discovery.send_update(endpoint_list(3, endpoint_entry("s-1", harness.backend.port)))
-            await wait_until(harness.gateway.is_ready)
-            client.send(b"*1\r\n$4\r\nPING\r\n")
-            assert await client.next_message() == b"PONG"
-
-    run_on_loop(test)
-
-
-def test_drained_backend_gets_nothing_new_and_a_whole_list_takes_away_what_it_lacks() -> None:
-    async def test() -> None:
-        async with gateway_harness() as harness:
-            client = await harness.connect_client()
-            client.send(call_command(number=1))
-            connection, _ = await harness.backend.next_command()
-            connection.send(success_reply(b"v"))
-            assert await client.next_message() == b"v"
-            harness.discovery.send_update(
-                endpoint_list(2, endpoint_entry("s-1", harness.backend.port, "terminating"), whole=False)
-            )
-            await wait_until(lambda: harness.backend.closed_connections == 1)  # the idle connection is closed
-            client.send(call_command(number=2))
-            assert str(await client.next_message()).startswith("BUSY")
-            harness.discovery.send_update(
-                endpoint_list(3, endpoint_entry("s-1", harness.backend.port), whole=False)
-            )
-            await wait_until(
-                lambda: (
-                    harness.gateway.dispatcher.engine.load_balancer.endpoints[endpoint_id("s-1")].in_service
-                )
-            )
-            client.send(call_command(number=3))
-            connection, _ = await harness.backend.next_command()
-            connection.send(success_reply(b"w"))
-            assert await client.next_message() == b"w"
-            harness.discovery.send_update(endpoint_list(4, endpoint_entry("s-2", harness.backend.port)))
-            await wait_until(lambda: harness.backend.closed_connections == 2)
-            assert endpoint_id("s-1") not in harness.gateway.dispatcher.engine.load_balancer.endpoints
-
-    run_on_loop(test)
-
-
-def test_stopping_gateway_reports_to_its_peers_up_to_the_longest_deadline(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    """Or they would hold its slices of the quotas back for one that fell silent, while its customers lean
-    on them."""
-    monkeypatch.setattr(
-        "qos_gateway.server.gateway.PEER_REPORT_TIME_S", -0.5
-    )  # short of the deadline here, to be quick
-
-    async def test() -> None:
-        agent, told = FakeDiscovery(), Told()
-        agent.first_update = endpoint_list(1, endpoint_entry("s-1", 1))
-        loop = asyncio.get_running_loop()
-        peer, _ = await loop.create_datagram_endpoint(lambda: told, local_addr=(LOOPBACK, 0))
-        own, _ = await loop.create_datagram_endpoint(asyncio.DatagramProtocol, local_addr=(LOOPBACK, 0))
-        ports = [":".join(map(str, end.get_extra_info("sockname"))) for end in (own, peer)]
-        own.close()
-        await asyncio.sleep(0)
-        async with listening(agent):
-            raw = raw_config(agent.port) | {"peer_listen": ports[0], "peers": ports}
-            gateway = GatewayProcess(parse(raw, {}))
-            await with_timeout(gateway.start())
-            stopping = asyncio.create_task(gateway.stop())
-            await wait_until(lambda: gateway.clients.closing and gateway.clients.connection_count() == 0)
-            told.at.clear()
-            await wait_until(lambda: len(told.at) >= 3)
-            assert not stopping.done()
-            await with_timeout(stopping)
-            last = len(told.at)
-            await asyncio.sleep(0)
-            assert len(told.at) == last
-        peer.close()
-
-    run_on_loop(test)
-
-
-class Told(asyncio.DatagramProtocol):
-    """Notes when word came."""
-
-    def __init__(self) -> None:
-        self.at: list[float] = []
-
-    def datagram_received(self, _data: bytes, _addr: object) -> None:
-        self.at.append(asyncio.get_running_loop().time())
-
-
-async def _peers(heard: list[tuple[int, bytes]], ports: list[Address], me: int) -> Peers:
-    made = Peers(tuple(ports), None, me, lambda message: heard.append((message.sender, message.data)))
-    await asyncio.get_running_loop().create_datagram_endpoint(lambda: made, local_addr=ports[me])
-    return made
-
-
-def test_peers_are_recognized_by_address_and_strangers_and_long_messages_are_dropped() -> None:
-    async def test() -> None:
-        loop = asyncio.get_running_loop()
-        quiet = asyncio.DatagramProtocol
-        probes = [await loop.create_datagram_endpoint(quiet, local_addr=(LOOPBACK, 0)) for _ in range(4)]
-        ports = [transport.get_extra_info("sockname") for transport, _ in probes]
-        stranger = probes[3][0]
-        probes[0][0].close()
-        probes[1][0].close()
-        heard0: list[tuple[int, bytes]] = []
-        heard1: list[tuple[int, bytes]] = []
-        await asyncio.sleep(0)
-        zero, one = await _peers(heard0, ports[:3], 0), await _peers(heard1, ports[:3], 1)
-        stranger.sendto(b"stranger", ports[1])
-        probes[2][0].sendto(b"x" * 257, ports[1])
-        zero.send(1, b"x" * 257)
-        zero.send(9, b"nobody")
-        zero.send(1, b"x" * 256)
-        await wait_until(lambda: bool(heard1))
-        zero.send(None, b"all")
-        await wait_until(lambda: len(heard1) == 2)
-        one.send(0, b"back")
-        await wait_until(lambda: bool(heard0))
-        assert heard1 == [(0, b"x" * 256), (0, b"all")]
-        assert heard0 == [(1, b"back")]
-        for end in (zero, one):
-            end.close()
-        for transport, _ in probes[2:]:
-            transport.close()
-
-    run_on_loop(test)
-
-
-def test_peer_message_reaches_the_engine_and_malformed_ones_do_no_harm() -> None:
-    async def test() -> None:
-        async with gateway_harness() as harness:
-            for junk in (b"", b"\xff" * 7, b"\x01" * 256):
-                harness.gateway.peers.datagram_received(junk, (LOOPBACK, 1))
-            engine = ScriptedEngine()
-            harness.gateway.dispatcher.engine = engine  # type: ignore[assignment]
-            harness.gateway.peers._on_message(PeerMessage(1, b"word"))
-            assert engine.events == [PeerMessage(1, b"word")]
-
-    run_on_loop(test)
--- /dev/null
+++ b/tests/server/test_endpoint_feed.py
@@ -0,0 +1,132 @@
+"""Endpoint lists in a gateway: at the start, while discovery is down, and drains."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import time
+
+import pytest
+
+from qos_gateway.server.clients import ClientConnections
+from qos_gateway.server.endpoint_list import endpoint_id
+from qos_gateway.server.gateway import GatewayProcess
+from tests.support.servers import (
+    LOOPBACK,
+    call_command,
+    endpoint_entry,
+    endpoint_list,
+    gateway_harness,
+    make_config,
+    run_on_loop,
+    success_reply,
+    wait_until,
+    with_timeout,
+)
+
+ZONES, KINDS = ("a", "b"), ("m1", "m2")
+
+
+class Lagging(asyncio.Protocol):
+    """An agent that answers at once, within a turn of the loop that then lasts too long."""
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        self.descriptor = transport.get_extra_info("socket").fileno()
+
+    def data_received(self, _data: bytes) -> None:
+        line = json.dumps(endpoint_list(6, endpoint_entry("s-1", 1, "terminating"))).encode() + b"\n"
+        head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+        os.write(self.descriptor, head + b"%x\r\n%b\r\n" % (len(line), line))
+        time.sleep(0.6)
+
+
+def test_old_list_serves_while_discovery_is_down(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def test() -> None:
+        monkeypatch.setattr("qos_gateway.server.endpoint_feed.CACHED_LIST_TIMEOUT_S", 0.01)
+        monkeypatch.setattr(
+            "qos_gateway.server.endpoint_feed.FIRST_LIST_TIMEOUT_S", 600.0
+        )  # only without a list
+        gateway = GatewayProcess(make_config(1, endpoint_list(5, endpoint_entry("s-1", 1))))
+        assert gateway.is_ready()
+        await with_timeout(gateway.start())
+        assert gateway.clients.port > 0
+        await gateway.discovery.close()
+        gateway.clients.abort()
+
+    run_on_loop(test)
+
+
+def test_update_of_discovery_counts_though_the_starting_loop_lagged(monkeypatch: pytest.MonkeyPatch) -> None:
+    """What the agent has binds from the first moment: the list last known must not serve beside it."""
+    monkeypatch.setattr("qos_gateway.server.endpoint_feed.CACHED_LIST_TIMEOUT_S", 0.5)
+    ready: list[bool] = []
+
+    async def test() -> None:
+        agent = await asyncio.get_running_loop().create_server(Lagging, LOOPBACK, 0)
+        gateway = GatewayProcess(
+            make_config(agent.sockets[0].getsockname()[1], endpoint_list(5, endpoint_entry("s-1", 1)))
+        )
+
+        async def opened() -> None:
+            ready.append(gateway.is_ready())
+            await ClientConnections.start(gateway.clients)
+
+        monkeypatch.setattr(gateway.clients, "start", opened)
+        await with_timeout(gateway.start())
+        assert ready == [False]
+        await gateway.discovery.close()
+        gateway.clients.abort()
+        agent.close()
+
+    run_on_loop(test)
+
+
+def test_without_any_list_a_ping_is_not_answered_with_pong(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def test() -> None:
+        monkeypatch.setattr("qos_gateway.server.endpoint_feed.FIRST_LIST_TIMEOUT_S", 0.01)
+        async with gateway_harness() as harness:
+            harness.discovery.send_update(endpoint_list(2))
+            await wait_until(lambda: not harness.gateway.is_ready())
+            client = await harness.connect_client()
+            client.send(b"*1\r\n$4\r\nPING\r\n")
+            assert str(await client.next_message()).startswith("LOADING")
+            harness.discovery.send_update(endpoint_list(3, endpoint_entry("s-1", harness.backend.port)))
+            await wait_until(harness.gateway.is_ready)
+            client.send(b"*1\r\n$4\r\nPING\r\n")
+            assert await client.next_message() == b"PONG"
+
+    run_on_loop(test)
+
+
+def test_drained_backend_gets_nothing_new_and_a_whole_list_takes_away_what_it_lacks() -> None:
+    async def test() -> None:
+        async with gateway_harness() as harness:
+            client = await harness.connect_client()
+            client.send(call_command(number=1))
+            connection, _ = await harness.backend.next_command()
+            connection.send(success_reply(b"v"))
+            assert await client.next_message() == b"v"
+            harness.discovery.send_update(
+                endpoint_list(2, endpoint_entry("s-1", harness.backend.port, "terminating"), whole=False)
+            )
+            await wait_until(lambda: harness.backend.closed_connections == 1)  # the idle connection is closed
+            client.send(call_command(number=2))
+            assert str(await client.next_message()).startswith("BUSY")
+            harness.discovery.send_update(
+                endpoint_list(3, endpoint_entry("s-1", harness.backend.port), whole=False)
+            )
+            await wait_until(
+                lambda: (
+                    harness.gateway.dispatcher.engine.load_balancer.endpoints[endpoint_id("s-1")].in_service
+                )
+            )
+            client.send(call_command(number=3))
+            connection, _ = await harness.backend.next_command()
+            connection.send(success_reply(b"w"))
+            assert await client.next_message() == b"w"
+            harness.discovery.send_update(endpoint_list(4, endpoint_entry("s-2", harness.backend.port)))
+            await wait_until(lambda: harness.backend.closed_connections == 2)
+            assert endpoint_id("s-1") not in harness.gateway.dispatcher.engine.load_balancer.endpoints
+
+    run_on_loop(test)
--- /dev/null
+++ b/tests/server/test_endpoint_list.py
@@ -0,0 +1,80 @@
+"""Entries of discovery's lists as endpoints."""
+
+from __future__ import annotations
+
+import time
+from typing import Any
+
+import pytest
+
+from qos_gateway.server.endpoint_list import ListError, endpoint_id, parse_update
+from qos_gateway.types import Endpoint, Health, ListKind
+from tests.support.servers import (
+    LOOPBACK,
+    endpoint_entry,
+    endpoint_list,
+    gateway_harness,
+    run_on_loop,
+    wait_until,
+)
+
+ZONES, KINDS = ("a", "b"), ("m1", "m2")
+
+
+def test_entry_is_mapped_as_on_the_simulators_wire() -> None:
+    entry = endpoint_entry("s-5be2a07c", 6379, "terminating", born_ms=1_700_000_000_123, block=3)
+    update = parse_update(endpoint_list(41, entry, whole=False), ZONES, KINDS)
+    assert update.topology.kind is ListKind.DELTA
+    assert update.topology.version == 41
+    number = endpoint_id("s-5be2a07c")
+    started_at = 1_700_000_000_123_000_000
+    assert update.topology.entries == (Endpoint(number, 0, 1, 3, Health.DRAINING, 1.0, started_at),)
+    assert update.addresses == {number: (LOOPBACK, 6379)}
+
+
+def test_endpoint_id_depends_on_the_name_alone() -> None:
+    # Written down, so that a changed mapping shows: gateways of two versions may run side by side.
+    assert endpoint_id("s-5be2a07c") == 54393183237098
+    assert endpoint_id("s-5be2a07d") != endpoint_id("s-5be2a07c")
+
+
+def test_start_long_ago_stays_zero_and_a_recent_one_is_on_the_engines_clock() -> None:
+    async def test() -> None:
+        async with gateway_harness() as harness:
+            now_ms = time.time_ns() // 1_000_000
+            entries = endpoint_entry("old", 1, born_ms=0), endpoint_entry("new", 2, born_ms=now_ms)
+            harness.discovery.send_update(endpoint_list(2, *entries))
+            servers = harness.gateway.dispatcher.engine.load_balancer.endpoints
+            await wait_until(lambda: endpoint_id("new") in servers)
+            assert servers[endpoint_id("old")].endpoint.started_at == 0
+            start = harness.gateway.config.settings.initial_capacity_fraction
+            fraction = harness.gateway.dispatcher.engine.load_balancer.slow_start_fraction(
+                harness.gateway.clock(), servers[endpoint_id("new")]
+            )
+            assert start <= fraction < 1.0
+
+    run_on_loop(test)
+
+
+def test_terminated_entry_needs_no_address() -> None:
+    raw: dict[str, Any] = {"seq": 2, "whole": False, "hosts": [{"host": "s-1", "health": "terminated"}]}
+    update = parse_update(raw, ZONES, KINDS)
+    assert update.topology.entries[0].health is Health.REMOVED
+    assert update.addresses == {}
+
+
+@pytest.mark.parametrize(
+    "raw",
+    [
+        [],
+        {},
+        {"seq": 1, "whole": True},
+        endpoint_list(1, {"host": "s"}),
+        endpoint_list(1, endpoint_entry("s", 1, "odd")),
+        {"seq": "x", "whole": True, "hosts": []},
+        endpoint_list(1, endpoint_entry("s", 1) | {"dial": "nowhere"}),
+    ],
+)
+def test_unreadable_list_is_an_error_not_a_crash(raw: Any) -> None:
+    with pytest.raises(ListError):
+        parse_update(raw, ZONES, KINDS)
--- a/tests/server/test_large_values.py
+++ b/tests/server/test_large_values.py
@@ -10,7 +10,8 @@
 from qos_gateway.server import backend_connection, clients, response_receiver
 from qos_gateway.server.resp import MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES, FrameError, ResponseFrames
 from qos_gateway.types import AttemptEnded, ClientDisconnected, Outcome, ResponseStarted, Send
-from tests.server.test_clients import SECOND, only_backend, pass_deadline, script_engine
+from tests.support.builders import SECOND
+from tests.support.scripted_engine import only_backend, pass_deadline, script_engine
 from tests.support.servers import (
     LOOPBACK,
     GatewayHarness,
