--- /dev/null
+++ b/tests/support/backend_harness.py
@@ -0,0 +1,87 @@
+"""Connections to backends, driven by a test attempt by attempt."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+
+from qos_gateway.server.attempt import Attempt
+from qos_gateway.server.backends import BackendConnections
+from qos_gateway.server.clock import monotonic_unix_ns
+from qos_gateway.server.metrics import Metrics
+from qos_gateway.server.responses import LoadReport
+from qos_gateway.server.value_stream import ResponseSink
+from qos_gateway.types import Outcome
+from tests.support.servers import (
+    LOOPBACK,
+    FakeBackend,
+    listening,
+    with_timeout,
+)
+
+SECOND = 1_000_000_000
+
+
+CLOCK = monotonic_unix_ns()
+
+
+EndedAttempt = tuple[int, Outcome, bytes | None, LoadReport]
+
+
+class BackendHarness:
+    """Pools to one fake backend (number 7), and how attempts ended."""
+
+    def __init__(self, most: int, connect: float, idle: float, grace: float) -> None:
+        self.ends: asyncio.Queue[EndedAttempt] = asyncio.Queue()
+        self.metrics = Metrics(())
+        self.pools = BackendConnections(
+            most,
+            connect,
+            idle,
+            grace,
+            CLOCK,
+            lambda attempt, *end: self.ends.put_nowait((attempt.request, *end)),
+            self.metrics,
+            lambda _attempt, _length, _flow: self.sink,
+        )
+        self.sink: ResponseSink | None = None
+
+    def start(
+        self,
+        request: int,
+        body: bytes = b"B",
+        timeout: float | None = None,
+        backend: int = 7,
+        send_deadline: int = 0,
+    ) -> Attempt:
+        now = CLOCK()
+        command_parts = ((b"CALL.POST", b"c", b"i"), b"c=x,", b",k=y", (body,))
+        attempt = Attempt(request, 0, backend, now, now + 3 * SECOND, command_parts, send_deadline)
+        self.pools.start_attempt(attempt, timeout)
+        return attempt
+
+    async def end(self) -> EndedAttempt:
+        return await with_timeout(self.ends.get())
+
+
+@asynccontextmanager
+async def backend_harness(
+    backend: FakeBackend | None = None,
+    most: int = 100,
+    connect: float = 20.0,
+    idle: float = 30.0,
+    grace: float = 20.0,
+    port: int = 0,
+) -> AsyncIterator[BackendHarness]:
+    made = BackendHarness(most, connect, idle, grace)
+    try:
+        if backend is None:
+            made.pools.set_address(7, (LOOPBACK, port))
+            yield made
+        else:
+            async with listening(backend):
+                made.pools.set_address(7, (LOOPBACK, backend.port))
+                yield made
+    finally:
+        made.pools.close()
