--- a/qos_gateway/decisions/admission.py
+++ b/qos_gateway/decisions/admission/admission_controller.py
@@ -1,14 +1,14 @@
 """Admission: the customer's cap, the limit on all in flight, and the quota, in this order."""
 
-from ..state.customer import CustomerAccount
-from ..state.priority_demand import PriorityDemand
-from ..state.quota_decision import QuotaReply, Verdict
-from ..state.request import RequestState
-from ..types import Action, Arrival, RejectReason
+from ...types import Action, Arrival, RejectReason
+from ..congestion.queue_model import TARGET_WAIT_FRACTION, TICK
+from ..quota.account import CustomerAccount
+from ..quota.quota_decision import QuotaReply, Verdict
+from ..requests.dispatcher import Dispatcher
+from ..requests.request_state import RequestState
+from ..statistics.time_constants import LONG_MEMORY
 from .commitments import CommitmentTable
-from .dispatch import Dispatcher
-from .queue_model import TARGET_WAIT_FRACTION, TICK
-from .time_constants import LONG_MEMORY
+from .priority_demand import PriorityDemand
 
 LOWEST_PRIORITY_FRACTION = 0.7  # part of the limit on all in flight that the lowest priority may fill
 PRIORITY_SMOOTHING = 0.2  # weight of the newest request in a customer's mean priority
--- a/qos_gateway/decisions/commitments.py
+++ b/qos_gateway/decisions/admission/commitments.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 from math import ceil, inf
 
-from ..state.customer import CustomerAccount, Demand
-from ..units import SECOND
-from .queue_model import QueueModel
-from .quota.base import Quota
+from ...units import SECOND
+from ..congestion.queue_model import QueueModel
+from ..quota.account import CustomerAccount, Demand
+from ..quota.base import Quota
 
 COMMITMENT_IDLE_TIME = 10 * SECOND  # without requests until one ends: outlasts a steady customer's lulls
 EVALUATION_INTERVAL = 2 * SECOND  # long enough for a fit, short for a burst
--- a/qos_gateway/state/priority_demand.py
+++ b/qos_gateway/decisions/admission/priority_demand.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .decaying_mean import DecayingMean
+from ..statistics.decaying_mean import DecayingMean
 
 
 class PriorityDemand:
--- a/qos_gateway/state/class_latency.py
+++ b/qos_gateway/decisions/congestion/class_latency.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from .decaying_mean import DecayingMean, decay_factor
+from ..statistics.decaying_mean import DecayingMean, decay_factor
 
 
 @dataclass(slots=True)
--- a/qos_gateway/decisions/queue_model.py
+++ b/qos_gateway/decisions/congestion/queue_model.py
@@ -2,13 +2,13 @@
 
 from math import ceil
 
-from ..mean_value_analysis import ClosedNetwork
-from ..state.class_latency import ClassLatency
-from ..state.decaying_mean import DecayingMean
-from ..state.outstanding import OutstandingAttempt
-from ..types import Settings
-from ..units import SECOND
-from .time_constants import LONG_MEMORY, SHORT_MEMORY
+from ...types import Settings
+from ...units import SECOND
+from ..statistics.decaying_mean import DecayingMean
+from ..statistics.time_constants import LONG_MEMORY, SHORT_MEMORY
+from .class_latency import ClassLatency
+from .mean_value_analysis import ClosedNetwork
+from .outstanding_attempt import OutstandingAttempt
 
 TICK = SECOND // 10  # between refits, gossip and checks of open requests: a tenth of usual objectives
 LATENCY_SAMPLES = 8.0  # responses that a recent latency rests on; where few come, memory is longer
--- a/qos_gateway/decisions/engine.py
+++ b/qos_gateway/decisions/engine.py
@@ -12,14 +12,14 @@
 from ..types.actions import Action, LogLine, SetTimer, WatchEndpoints
 from ..types.settings import Settings
 from ..units import SECOND
-from . import stalled_requests
-from .admission import LOWEST_PRIORITY_FRACTION, AdmissionController
-from .commitments import COMMITMENT_IDLE_TIME, CommitmentTable
-from .dispatch import Dispatcher
-from .load_balancer import LoadBalancer
-from .queue_model import TICK, QueueModel
+from .admission.admission_controller import LOWEST_PRIORITY_FRACTION, AdmissionController
+from .admission.commitments import COMMITMENT_IDLE_TIME, CommitmentTable
+from .congestion.queue_model import TICK, QueueModel
+from .load_balancing.load_balancer import LoadBalancer
 from .quota import create_quota
-from .time_constants import LONG_MEMORY
+from .requests import stalled_requests
+from .requests.dispatcher import Dispatcher
+from .statistics.time_constants import LONG_MEMORY
 
 TICK_TIMER = 1  # token of the timer for the next tick ...
 LIST_RETRY_TIMER = 2  # ... and of the one for another call for the endpoint list
--- a/qos_gateway/server/engine_capture.py
+++ b/qos_gateway/decisions/handover.py
@@ -8,14 +8,14 @@
 
 from dataclasses import dataclass
 
-from ..decisions.engine import DecisionEngine
-from ..decisions.load_balancer import LoadBalancer
-from ..decisions.quota.base import Quota
-from ..state.customer import CustomerAccount
-from ..state.endpoint import EndpointState
-from ..state.snapshot import AccountSnapshot, EndpointSnapshot, EngineSnapshot, MeanSnapshot
 from ..types import Health
 from ..units import SECOND
+from .engine import DecisionEngine
+from .load_balancing.endpoint_state import EndpointState
+from .load_balancing.load_balancer import LoadBalancer
+from .quota.account import CustomerAccount
+from .quota.base import Quota
+from .snapshot import AccountSnapshot, EndpointSnapshot, EngineSnapshot, MeanSnapshot
 
 IN_FLIGHT_REPORT_VALID_NS = SECOND  # a process before that reported attempts in flight is long gone by then
 WHOLE = 1.0  # the fraction of a process that shares with no other
--- a/qos_gateway/state/endpoint_observations.py
+++ b/qos_gateway/decisions/load_balancing/endpoint_observations.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass
 
-from ..types import Settings
-from .decaying_mean import DecayingMean
-from .endpoint import ClassResult, EndpointState
+from ...types import Settings
+from ..statistics.decaying_mean import DecayingMean
 from .endpoint_registry import EndpointRegistry, NewEndpointState
-from .zone import ZoneTable
+from .endpoint_state import ClassResult, EndpointState
+from .zones import ZoneTable
 
 
 @dataclass(frozen=True, slots=True)
--- a/qos_gateway/state/endpoint_registry.py
+++ b/qos_gateway/decisions/load_balancing/endpoint_registry.py
@@ -5,8 +5,8 @@
 from bisect import bisect_left
 from collections.abc import Callable
 
-from ..types import Endpoint, Health, ListKind, Topology
-from .endpoint import EndpointState
+from ...types import Endpoint, Health, ListKind, Topology
+from .endpoint_state import EndpointState
 
 NewEndpointState = Callable[[int, Endpoint], EndpointState]  # given the time and the entry of the list
 
--- a/qos_gateway/state/endpoint.py
+++ b/qos_gateway/decisions/load_balancing/endpoint_state.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, field
 
-from ..types import Endpoint
-from .decaying_mean import DecayingMean
+from ...types import Endpoint
+from ..statistics.decaying_mean import DecayingMean
 
 ClassAndPlan = tuple[int, int]  # indexes of a request class and of a customer's plan in the settings
 
--- a/qos_gateway/decisions/load_balancer.py
+++ b/qos_gateway/decisions/load_balancing/load_balancer.py
@@ -5,16 +5,16 @@
 import random
 from collections.abc import Iterable
 
-from ..state.decaying_mean import DecayingMean
-from ..state.endpoint import ClassAndPlan, EndpointState
-from ..state.endpoint_observations import EndpointObservations, ObservationMemory
-from ..state.request import RequestState
-from ..state.zone import UnresponsiveZone
-from ..types import AttemptEnded, Endpoint, Outcome, Settings, Topology
+from ...types import AttemptEnded, Endpoint, Outcome, Settings, Topology
+from ..requests.request_state import RequestState
+from ..requests.retry_rules import EndpointFilter
+from ..statistics.decaying_mean import DecayingMean
+from ..statistics.time_constants import LONG_MEMORY, SHORT_MEMORY
+from .endpoint_observations import EndpointObservations, ObservationMemory
+from .endpoint_state import ClassAndPlan, EndpointState
 from .outlier_ejection import BASE_EJECTION_TIME, detect_unresponsive_zones, record_outcome
-from .retry_rules import EndpointFilter
 from .slow_start import has_token
-from .time_constants import LONG_MEMORY, SHORT_MEMORY
+from .zones import UnresponsiveZone
 
 GATEWAYS_PER_ENDPOINT = 10  # with it in their subset: each observes it often, and it has few connections
 SLOW_START_COST_FACTOR = 0.7  # wait at an endpoint in slow start with a token, relative to a warm one's
--- a/qos_gateway/decisions/outlier_ejection.py
+++ b/qos_gateway/decisions/load_balancing/outlier_ejection.py
@@ -5,12 +5,12 @@
 from collections.abc import Iterable
 from math import ceil, log
 
-from ..state.endpoint import EndpointState
-from ..state.endpoint_observations import EndpointObservations
-from ..state.request import RequestState
-from ..state.zone import UnresponsiveZone
-from ..types import Outcome
-from ..units import SECOND
+from ...types import Outcome
+from ...units import SECOND
+from ..requests.request_state import RequestState
+from .endpoint_observations import EndpointObservations
+from .endpoint_state import EndpointState
+from .zones import UnresponsiveZone
 
 BASE_EJECTION_TIME = SECOND // 2  # ns of the first ejection, doubled by each that follows without a success
 MAX_EJECTION_TIME = 8 * SECOND  # ns
--- a/qos_gateway/decisions/slow_start.py
+++ b/qos_gateway/decisions/load_balancing/slow_start.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from ..state.endpoint import EndpointState
-from ..state.endpoint_observations import EndpointObservations
-from ..types import Settings
-from ..units import SECOND
+from ...types import Settings
+from ...units import SECOND
+from .endpoint_observations import EndpointObservations
+from .endpoint_state import EndpointState
 
 RATE_MULTIPLE = 1.4  # token rate at full capacity, relative to the completion rate of a warm endpoint ...
 OVERLOAD_FRACTION = 0.7  # ... and at most this fraction of the multiple of its capacity that overloads it
--- a/qos_gateway/state/zone.py
+++ b/qos_gateway/decisions/load_balancing/zones.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from dataclasses import dataclass
 
-from .request import RequestState
+from ..requests.request_state import RequestState
 
 
 @dataclass(slots=True)
--- a/qos_gateway/state/customer.py
+++ b/qos_gateway/decisions/quota/account.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from ..peer_messages import CustomerTotal
-from ..types import Plan
-from ..units import SECOND
-from .decaying_mean import DecayingMean
+from ...types import Plan
+from ...units import SECOND
+from ..statistics.decaying_mean import DecayingMean
+from .peer_messages import CustomerTotal
 from .peer_totals import spent_since
 from .pending_calls import CounterCall
 
--- a/qos_gateway/decisions/quota/base.py
+++ b/qos_gateway/decisions/quota/base.py
@@ -2,16 +2,16 @@
 
 from math import ceil
 
-from ...state.counter_protocol import CounterProtocol
-from ...state.customer import CustomerAccount, DecayTimes, RetentionTimes
-from ...state.peer_protocol import ReservationProtocol
-from ...state.quota_base import QuotaTuning
-from ...state.quota_decision import Charge, QuotaDecision, Verdict
 from ...types import Arrival
 from ...units import SECOND
-from ..lease import Leases
-from ..queue_model import TICK
-from ..time_constants import LONG_MEMORY, SHORT_MEMORY
+from ..congestion.queue_model import TICK
+from ..statistics.time_constants import LONG_MEMORY, SHORT_MEMORY
+from .account import CustomerAccount, DecayTimes, RetentionTimes
+from .counter_protocol import CounterProtocol
+from .leases import Leases
+from .peer_protocol import ReservationProtocol
+from .quota_base import QuotaTuning
+from .quota_decision import Charge, QuotaDecision, Verdict
 
 TUNING = QuotaTuning(
     decay=DecayTimes(SHORT_MEMORY, LONG_MEMORY, 3 * LONG_MEMORY),
--- a/qos_gateway/decisions/quota/counter.py
+++ b/qos_gateway/decisions/quota/counter.py
@@ -3,16 +3,16 @@
 import random
 from math import ceil
 
-from ...state.counter_reading import CounterReading
-from ...state.counter_total import customer_of
-from ...state.customer import CustomerAccount
-from ...state.quota_decision import Charge, QuotaDecision, QuotaReply
-from ...state.token_bucket import TokenBucket, ceiling_beyond_quota, leased_ceiling, whole_slice
 from ...types import Action, CounterReplied, Outcome, Settings
 from ...units import SECOND
-from .. import lease
-from ..time_constants import LONG_MEMORY
+from ..statistics.time_constants import LONG_MEMORY
+from . import leases as lease
+from .account import CustomerAccount
 from .base import TUNING, Quota
+from .counter_reading import CounterReading
+from .counter_total import customer_of
+from .quota_decision import Charge, QuotaDecision, QuotaReply
+from .token_bucket import TokenBucket, ceiling_beyond_quota, leased_ceiling, whole_slice
 
 CALL_RATE_INCREASE = 0.01  # of the call rate with each reply: a crowded counter must not be crowded again
 CALL_RATE_FACTOR = 0.7  # for the call rate with each call that fails
--- a/qos_gateway/state/counter_protocol.py
+++ b/qos_gateway/decisions/quota/counter_protocol.py
@@ -4,13 +4,13 @@
 
 from collections.abc import Iterable
 
-from ..types import Action, AddToCounter, CounterReplied, Outcome
+from ...types import Action, AddToCounter, CounterReplied, Outcome
+from ..requests.request_state import RequestState
+from .account import CustomerAccount
 from .counter_reading import CounterReading, read_counter
 from .counter_total import COUNTER_KEY_LIFETIME, IN_FLIGHT_UNIT, counter_key, customer_of
-from .customer import CustomerAccount
 from .quota_base import QuotaBase
 from .quota_decision import QuotaReply
-from .request import RequestState
 
 
 class CounterProtocol(QuotaBase):
--- a/qos_gateway/state/counter_reading.py
+++ b/qos_gateway/decisions/quota/counter_reading.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass
 
-from ..types import CounterReplied
+from ...types import CounterReplied
+from .account import CustomerAccount
 from .counter_total import decode_total, refilled_units
-from .customer import CustomerAccount
 from .pending_calls import CounterCall
 
 
--- a/qos_gateway/state/counter_total.py
+++ b/qos_gateway/decisions/quota/counter_total.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ..units import SECOND
+from ...units import SECOND
 
 COUNTER_KEY_LIFETIME = 60 * SECOND  # ns, the longest that may be asked for; then a new key follows
 IN_FLIGHT_UNIT = 10_000.0  # one request in flight, in a total: above all units of a lifetime
--- a/qos_gateway/state/lease_terms.py
+++ b/qos_gateway/decisions/quota/lease_terms.py
@@ -5,9 +5,9 @@
 import random
 from dataclasses import dataclass
 
-from ..types import Action, AddToCounter, CounterReplied, Outcome
+from ...types import Action, AddToCounter, CounterReplied, Outcome
+from .account import CustomerAccount
 from .counter_total import COUNTER_KEY_LIFETIME, counter_key
-from .customer import CustomerAccount
 from .pending_calls import PendingCalls
 
 TERM_SCATTER = 0x9E3779B1  # a multiplier that scatters neighbouring numbers evenly
--- a/qos_gateway/decisions/lease.py
+++ b/qos_gateway/decisions/quota/leases.py
@@ -1,8 +1,8 @@
 """Leases of a part of a customer's quota for a term: docs/quota-leases.md has the design."""
 
-from ..state.customer import CustomerAccount
-from ..state.lease_terms import LeaseClaim, LeaseClaims
-from ..types import Action
+from ...types import Action
+from .account import CustomerAccount
+from .lease_terms import LeaseClaim, LeaseClaims
 
 EVEN_FRACTION = 0.5  # of each quota that stays in even slices: most customers use less, and need no call
 LEASED_FRACTION = 0.6  # of each quota that is leased: a tenth too much in all, as few use all of their leases
--- a/qos_gateway/state/peer_protocol.py
+++ b/qos_gateway/decisions/quota/peer_protocol.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Iterable
 
-from .. import peer_messages
-from ..peer_messages import GossipMessage, Reservation, ReservationKind
-from ..types import Action, PeerMessage, SendPeerMessage
-from ..units import SECOND
-from .customer import CustomerAccount
+from ...types import Action, PeerMessage, SendPeerMessage
+from ...units import SECOND
+from . import peer_messages
+from .account import CustomerAccount
+from .peer_messages import GossipMessage, Reservation, ReservationKind
 from .peer_totals import PeerStatus
 from .quota_base import QuotaBase
 from .quota_decision import QuotaReply
--- a/qos_gateway/decisions/quota/peers.py
+++ b/qos_gateway/decisions/quota/peers.py
@@ -2,15 +2,15 @@
 
 import random
 
-from ...peer_messages import MAX_TOTALS
-from ...state.customer import CustomerAccount
-from ...state.peer_protocol import GossipProtocol
-from ...state.quota_decision import Charge, QuotaDecision
-from ...state.token_bucket import TokenBucket
 from ...types import Action, Settings
 from ...units import SECOND
-from ..queue_model import TICK
+from ..congestion.queue_model import TICK
+from .account import CustomerAccount
 from .base import Quota
+from .peer_messages import MAX_TOTALS
+from .peer_protocol import GossipProtocol
+from .quota_decision import Charge, QuotaDecision
+from .token_bucket import TokenBucket
 
 OWNER_CEILING_FRACTION = 0.75  # of a ceiling, handed out by the owner; the rest is for when it is silent
 
--- a/qos_gateway/state/quota_base.py
+++ b/qos_gateway/decisions/quota/quota_base.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass
 from math import inf
 
-from ..types import Action, Arrival, Plan, Settings
-from ..units import SECOND
-from .customer import CustomerAccount, DecayTimes, RetentionTimes
-from .decaying_mean import DecayingMean
+from ...types import Action, Arrival, Plan, Settings
+from ...units import SECOND
+from ..statistics.decaying_mean import DecayingMean
+from .account import CustomerAccount, DecayTimes, RetentionTimes
 from .peer_totals import PeerStatus
 from .pending_calls import CounterCall, PendingCalls
 from .token_bucket import TokenBucket
--- a/qos_gateway/state/quota_decision.py
+++ b/qos_gateway/decisions/quota/quota_decision.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from ..types import Action
-from .customer import CustomerAccount
+from ...types import Action
+from .account import CustomerAccount
 
 
 class Verdict(Enum):
--- a/qos_gateway/state/token_bucket.py
+++ b/qos_gateway/decisions/quota/token_bucket.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from ..types import Plan
+from ...types import Plan
 
 
 @dataclass(slots=True)
--- a/qos_gateway/decisions/dispatch.py
+++ b/qos_gateway/decisions/requests/dispatcher.py
@@ -1,16 +1,16 @@
 """Attempts of admitted requests: where each is sent, when it is given up, and what follows its end."""
 
-from ..state.request import RequestState
-from ..state.request_table import RequestTable
-from ..state.retry_budget import RetryBudget
-from ..types.actions import Action, Fail, Reject, RejectReason, Send
-from ..types.events import NOT_EXECUTED, Arrival, AttemptEnded, Outcome
-from ..types.settings import Settings
-from ..units import SECOND
+from ...types.actions import Action, Fail, Reject, RejectReason, Send
+from ...types.events import NOT_EXECUTED, Arrival, AttemptEnded, Outcome
+from ...types.settings import Settings
+from ...units import SECOND
+from ..congestion.queue_model import QueueModel
+from ..load_balancing.load_balancer import LoadBalancer
+from ..quota.base import Quota
 from . import retry_rules
-from .load_balancer import LoadBalancer
-from .queue_model import QueueModel
-from .quota.base import Quota
+from .request_state import RequestState
+from .request_table import RequestTable
+from .retry_budget import RetryBudget
 
 UNANSWERED_RATIO_FOR_TIMEOUT = 0.05  # part of recent attempts unanswered from which they get a time-out
 UNANSWERED_PRIOR_SAMPLES = 3.0  # answered attempts that this part is taken to rest on from the start
--- a/qos_gateway/state/request.py
+++ b/qos_gateway/decisions/requests/request_state.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, field
 
-from ..types import Arrival, Endpoint, RequestClass
-from .customer import CustomerAccount
+from ...types import Arrival, Endpoint, RequestClass
+from ..quota.account import CustomerAccount
 
 
 @dataclass(slots=True)
--- a/qos_gateway/state/request_table.py
+++ b/qos_gateway/decisions/requests/request_table.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ..types import Action, CancelAttempt, Endpoint
-from .request import RequestState
+from ...types import Action, CancelAttempt, Endpoint
+from .request_state import RequestState
 
 AttemptKey = tuple[int, int]  # request id and number of the attempt
 
--- a/qos_gateway/decisions/retry_rules.py
+++ b/qos_gateway/decisions/requests/retry_rules.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable
 
-from ..state.request import RequestState
-from ..types import Endpoint, Idempotence, IdempotencyScope
+from ...types import Endpoint, Idempotence, IdempotencyScope
+from .request_state import RequestState
 
 EndpointFilter = Callable[[Endpoint], bool] | None  # None: any endpoint
 
--- a/qos_gateway/decisions/stalled_requests.py
+++ b/qos_gateway/decisions/requests/stalled_requests.py
@@ -1,9 +1,9 @@
 """Open requests whose responses stay out: presumed lost, hedged, moved to another zone, or given up."""
 
-from ..state.outstanding import OutstandingAttempt
-from ..state.request import RequestState
-from ..types import Action, CloseIdleConnections, Idempotence, LogLine, Send
-from .dispatch import Dispatcher
+from ...types import Action, CloseIdleConnections, Idempotence, LogLine, Send
+from ..congestion.outstanding_attempt import OutstandingAttempt
+from .dispatcher import Dispatcher
+from .request_state import RequestState
 
 LOST_AFTER_LATENCIES = 4.0  # mean latencies by which newer attempts overtake one that then counts as lost
 HEDGE_COST = 1.0  # of the retry budget, for a hedged request's second attempt
--- a/qos_gateway/state/snapshot.py
+++ b/qos_gateway/decisions/snapshot.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from .decaying_mean import DecayingMean
+from .statistics.decaying_mean import DecayingMean
 
 JsonObject = dict[str, Any]  # decoded JSON, of which nothing is known yet
 
--- /dev/null
+++ b/qos_gateway/decisions/statistics/__init__.py
@@ -0,0 +1,1 @@
+"""Decaying means, and the time constants that decisions share."""
--- a/qos_gateway/state/decaying_mean.py
+++ b/qos_gateway/decisions/statistics/decaying_mean.py
@@ -4,7 +4,7 @@
 
 from math import exp
 
-from ..units import SECOND
+from ...units import SECOND
 
 
 def decay_factor(age: int, time_constant: int) -> float:
--- a/qos_gateway/server/handover.py
+++ b/qos_gateway/server/handover.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass
 
 from ..decisions.engine import INCOMING_FRACTION, OUTGOING_FRACTION
+from ..decisions.handover import HandoverFractions, capture, complete, restore
 from ..types import SetEndpointEnabled, Settings
 from .backends import BackendConnections
 from .clients import ClientConnections
 from .discovery import DiscoveryClient, EndpointUpdate
 from .endpoint_directory import EndpointDirectory
-from .engine_capture import HandoverFractions, capture, complete, restore
 from .event_dispatcher import EventDispatcher
 from .handover_messages import HandoverState, ReceivedState
 
--- a/qos_gateway/server/handover_messages.py
+++ b/qos_gateway/server/handover_messages.py
@@ -9,7 +9,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..state.snapshot import EngineSnapshot, JsonObject, SnapshotFormatError, decode_snapshot, encode_snapshot
+from ..decisions.snapshot import (
+    EngineSnapshot,
+    JsonObject,
+    SnapshotFormatError,
+    decode_snapshot,
+    encode_snapshot,
+)
 
 VERSION = 1
 WANTED_STATE = "state"  # the one thing that may be asked for
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -14,11 +14,15 @@
 from typing import Any
 
 from qos_gateway import __main__ as program
-from qos_gateway.decisions import load_balancer as load_balancer_module
-from qos_gateway.decisions import retry_rules, slow_start, stalled_requests
-from qos_gateway.decisions.dispatch import Dispatcher
-from qos_gateway.decisions.load_balancer import LoadBalancer
+from qos_gateway.decisions.load_balancing import load_balancer as load_balancer_module
+from qos_gateway.decisions.load_balancing import slow_start
+from qos_gateway.decisions.load_balancing.endpoint_state import EndpointState
+from qos_gateway.decisions.load_balancing.load_balancer import LoadBalancer
 from qos_gateway.decisions.quota.base import Quota
+from qos_gateway.decisions.quota.quota_decision import QuotaDecision
+from qos_gateway.decisions.requests import retry_rules, stalled_requests
+from qos_gateway.decisions.requests.dispatcher import Dispatcher
+from qos_gateway.decisions.requests.retry_budget import RetryBudget
 from qos_gateway.server import client_timeouts, endpoint_list
 from qos_gateway.server import gateway as gateway_module
 from qos_gateway.server.admin_operations import AdminOperations
@@ -35,9 +39,6 @@
 from qos_gateway.server.send_guard import SendGuard
 from qos_gateway.server.start_guard import check_start
 from qos_gateway.server.watched_list import WatchedList
-from qos_gateway.state.endpoint import EndpointState
-from qos_gateway.state.quota_decision import QuotaDecision
-from qos_gateway.state.retry_budget import RetryBudget
 from qos_gateway.types import Health, RequestClass
 from qos_gateway.units import SECOND
 
--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -9,7 +9,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from qos_gateway.decisions.load_balancer import LoadBalancer
+from qos_gateway.decisions.load_balancing.load_balancer import LoadBalancer
 from qos_gateway.types import Endpoint, Health, ListKind
 from tests.support.builders import SECOND, backend, full_list, settings
 
--- a/tests/decisions/test_engine.py
+++ b/tests/decisions/test_engine.py
@@ -9,7 +9,7 @@
 from hypothesis import settings as hypothesis_settings
 
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
-from qos_gateway.peer_messages import Reservation, ReservationKind, encode_reservation
+from qos_gateway.decisions.quota.peer_messages import Reservation, ReservationKind, encode_reservation
 from qos_gateway.types import (
     CounterReplied,
     Event,
--- a/tests/decisions/test_gossip.py
+++ b/tests/decisions/test_gossip.py
@@ -4,10 +4,10 @@
 
 import pytest
 
+from qos_gateway.decisions.congestion.queue_model import TICK
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
-from qos_gateway.decisions.queue_model import TICK
-from qos_gateway.peer_messages import CustomerTotal, encode_totals
-from qos_gateway.state.peer_totals import PeerStatus
+from qos_gateway.decisions.quota.peer_messages import CustomerTotal, encode_totals
+from qos_gateway.decisions.quota.peer_totals import PeerStatus
 from qos_gateway.types import (
     PeerMessage,
     SendPeerMessage,
--- a/tests/decisions/test_late_requests.py
+++ b/tests/decisions/test_late_requests.py
@@ -4,10 +4,10 @@
 
 import pytest
 
+from qos_gateway.decisions.congestion.outstanding_attempt import OutstandingAttempt
+from qos_gateway.decisions.congestion.queue_model import TICK
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
-from qos_gateway.decisions.queue_model import TICK
-from qos_gateway.decisions.stalled_requests import give_up_late, hedge
-from qos_gateway.state.outstanding import OutstandingAttempt
+from qos_gateway.decisions.requests.stalled_requests import give_up_late, hedge
 from qos_gateway.types import (
     Action,
     Arrival,
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -15,8 +15,13 @@
 from benchmarks.quota_counter import Fault, FaultWindow, partition_half
 from benchmarks.scenario import FleetSize, Restart, Scenario
 from qos_gateway.decisions.engine import DecisionEngine
-from qos_gateway.decisions.lease import EVEN_FRACTION, LEASED_FRACTION, MAX_SAVED_FRACTION, RENEWAL_LEAD
 from qos_gateway.decisions.quota.counter import LeasedQuota
+from qos_gateway.decisions.quota.leases import (
+    EVEN_FRACTION,
+    LEASED_FRACTION,
+    MAX_SAVED_FRACTION,
+    RENEWAL_LEAD,
+)
 from qos_gateway.server.config import MAX_LEASE_S, ConfigError, parse
 from qos_gateway.types import Action, AddToCounter, CounterReplied, ListKind, Outcome, Reject, Send, Settings
 from tests.support.builders import MS, SECOND, arrival, backend, ended, full_list, plan, settings
--- a/tests/decisions/test_load_balancer.py
+++ b/tests/decisions/test_load_balancer.py
@@ -4,8 +4,8 @@
 
 import pytest
 
+from qos_gateway.decisions.congestion.queue_model import TICK
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
-from qos_gateway.decisions.queue_model import TICK
 from qos_gateway.types import (
     Health,
     ListKind,
--- a/tests/decisions/test_queue_model.py
+++ b/tests/decisions/test_queue_model.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from qos_gateway.decisions.commitments import Goal, seven_cases
-from qos_gateway.decisions.queue_model import TICK, QueueModel
-from qos_gateway.mean_value_analysis import response_times
-from qos_gateway.state.outstanding import OutstandingAttempt
+from qos_gateway.decisions.admission.commitments import Goal, seven_cases
+from qos_gateway.decisions.congestion.mean_value_analysis import response_times
+from qos_gateway.decisions.congestion.outstanding_attempt import OutstandingAttempt
+from qos_gateway.decisions.congestion.queue_model import TICK, QueueModel
 from tests.support.builders import MS, SECOND, settings
 
 
--- a/tests/decisions/test_quota_by_counter.py
+++ b/tests/decisions/test_quota_by_counter.py
@@ -7,9 +7,9 @@
 
 import pytest
 
+from qos_gateway.decisions.congestion.queue_model import TICK
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
-from qos_gateway.decisions.queue_model import TICK
-from qos_gateway.state.counter_total import IN_FLIGHT_UNIT
+from qos_gateway.decisions.quota.counter_total import IN_FLIGHT_UNIT
 from qos_gateway.types import (
     Action,
     AddToCounter,
--- a/tests/decisions/test_quota_by_owner.py
+++ b/tests/decisions/test_quota_by_owner.py
@@ -6,9 +6,14 @@
 
 import pytest
 
-from qos_gateway.decisions.admission import RESERVATION_TIMEOUT
+from qos_gateway.decisions.admission.admission_controller import RESERVATION_TIMEOUT
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
-from qos_gateway.peer_messages import Reservation, ReservationKind, decode_reservation, encode_reservation
+from qos_gateway.decisions.quota.peer_messages import (
+    Reservation,
+    ReservationKind,
+    decode_reservation,
+    encode_reservation,
+)
 from qos_gateway.types import (
     PeerMessage,
     Reject,
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -12,8 +12,8 @@
 import pytest
 
 from qos_gateway.decisions.engine import DecisionEngine
-from qos_gateway.decisions.load_balancer import LoadBalancer
-from qos_gateway.state.endpoint import EndpointState
+from qos_gateway.decisions.load_balancing.endpoint_state import EndpointState
+from qos_gateway.decisions.load_balancing.load_balancer import LoadBalancer
 from qos_gateway.types import (
     AttemptEnded,
     CancelAttempt,
--- a/tests/server/test_handover_messages.py
+++ b/tests/server/test_handover_messages.py
@@ -8,6 +8,7 @@
 
 import pytest
 
+from qos_gateway.decisions.snapshot import SnapshotFormatError, decode_snapshot
 from qos_gateway.server.handover_messages import (
     Acknowledgement,
     EndpointDisabled,
@@ -20,7 +21,6 @@
     decode_message,
     encode_message,
 )
-from qos_gateway.state.snapshot import SnapshotFormatError, decode_snapshot
 
 FIXTURES = Path(__file__).parent.parent / "fixtures"
 ENGINE: dict[str, Any] = json.loads((FIXTURES / "handover_state.json").read_text())[
--- a/tests/state/test_endpoint.py
+++ b/tests/state/test_endpoint.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from qos_gateway.state.decaying_mean import DecayingMean
-from qos_gateway.state.endpoint import EndpointState
+from qos_gateway.decisions.load_balancing.endpoint_state import EndpointState
+from qos_gateway.decisions.statistics.decaying_mean import DecayingMean
 from tests.support.builders import SECOND, backend
 
 
--- a/tests/state/test_handover_snapshot.py
+++ b/tests/state/test_handover_snapshot.py
@@ -7,8 +7,8 @@
 import pytest
 
 from qos_gateway.decisions.engine import DecisionEngine
-from qos_gateway.server.engine_capture import complete
-from qos_gateway.state.snapshot import SnapshotFormatError
+from qos_gateway.decisions.handover import complete
+from qos_gateway.decisions.snapshot import SnapshotFormatError
 from qos_gateway.types import CounterReplied, Outcome, Send, SetEndpointEnabled
 from tests.support.builders import SECOND, arrival, backend, ended, full_list, plan, settings
 from tests.support.handover import capture_json, restore_json
--- a/tests/state/test_quota_arithmetic.py
+++ b/tests/state/test_quota_arithmetic.py
@@ -4,16 +4,21 @@
 
 import pytest
 
-from qos_gateway.state.counter_total import (
+from qos_gateway.decisions.quota.counter_total import (
     IN_FLIGHT_UNIT,
     counter_key,
     customer_of,
     decode_total,
     refilled_units,
 )
-from qos_gateway.state.peer_totals import spent_since
-from qos_gateway.state.pending_calls import CounterCall, PendingCalls
-from qos_gateway.state.token_bucket import TokenBucket, ceiling_beyond_quota, leased_ceiling, whole_slice
+from qos_gateway.decisions.quota.peer_totals import spent_since
+from qos_gateway.decisions.quota.pending_calls import CounterCall, PendingCalls
+from qos_gateway.decisions.quota.token_bucket import (
+    TokenBucket,
+    ceiling_beyond_quota,
+    leased_ceiling,
+    whole_slice,
+)
 from tests.support.builders import SECOND, plan
 
 
--- a/tests/state/test_zone.py
+++ b/tests/state/test_zone.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from qos_gateway.state.zone import ZoneTable
+from qos_gateway.decisions.load_balancing.zones import ZoneTable
 
 
 @pytest.mark.parametrize(
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -5,7 +5,7 @@
 import random
 from typing import Any
 
-from qos_gateway.decisions.admission import RESERVATION_TIMEOUT
+from qos_gateway.decisions.admission.admission_controller import RESERVATION_TIMEOUT
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
 from qos_gateway.types import (
     Action,
--- a/tests/support/handover.py
+++ b/tests/support/handover.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from qos_gateway.decisions.engine import DecisionEngine
-from qos_gateway.server.engine_capture import capture, restore
+from qos_gateway.decisions.handover import capture, restore
+from qos_gateway.decisions.snapshot import decode_snapshot, encode_snapshot
 from qos_gateway.server.handover import FRACTIONS
-from qos_gateway.state.snapshot import decode_snapshot, encode_snapshot
 from qos_gateway.types import Settings
 
 
--- a/tests/test_source_limits.py
+++ b/tests/test_source_limits.py
@@ -13,17 +13,21 @@
 DECISIONS = PACKAGE / "decisions"
 # What carries decisions out may import them; all else in the package is what they rest on.
 ADAPTERS = (PACKAGE / "server", PACKAGE / "simulator", PACKAGE / "__main__.py")
-# Numbers that are no one's choice: units, sentinels, and what the layout of messages and counters has.
-CONSTANTS_OF_THE_WIRE = {
-    "units.py": {"MILLISECOND", "SECOND"},
-    "peer_messages.py": {"MAX_MESSAGE_BYTES"},
-    "counter_total.py": {
-        "COUNTER_KEY_LIFETIME",
-        "IN_FLIGHT_UNIT",
-    },  # the longest allowed; base of the encoding
-    "customer.py": {"NEVER"},
-    "lease_terms.py": {"TERM_SCATTER"},  # a hash multiplier
-    "peer_totals.py": {"RESTARTED_GROWTH"},  # half of a 16-bit total
+# Numbers that are no one's choice.
+CONSTANTS_OF_UNITS = {"units.py": {"MILLISECOND", "SECOND"}}
+# What decisions may import of the standard library: no I/O, no clock, no threads or processes.
+PURE_MODULES = {
+    "__future__",
+    "bisect",
+    "collections",
+    "dataclasses",
+    "enum",
+    "functools",
+    "itertools",
+    "math",
+    "random",
+    "struct",
+    "typing",
 }
 
 
@@ -50,6 +54,10 @@
     assert sorted(policy_files()) == sorted(p.relative_to(ROOT).as_posix() for p in DECISIONS.rglob("*.py"))
 
 
+def decision_files() -> list[Path]:
+    return sorted(DECISIONS.rglob("*.py"))
+
+
 def imported_modules(path: Path) -> set[str]:
     """Names of modules, and of what is imported from them, with relative ones made whole."""
     package = path.relative_to(ROOT).parent.parts
@@ -70,6 +78,15 @@
     assert [name for name in imported_modules(path) if name.startswith(forbidden)] == []
 
 
+@pytest.mark.parametrize("path", decision_files(), ids=lambda path: path.relative_to(PACKAGE).as_posix())
+def test_decisions_import_no_io_no_clock_and_nothing_that_carries_them_out(path: Path) -> None:
+    imported = imported_modules(path)
+    own = ("qos_gateway.decisions", "qos_gateway.types", "qos_gateway.units")
+    inside = {name for name in imported if name.startswith("qos_gateway")}
+    assert [name for name in inside if not name.startswith(own)] == []
+    assert {name.split(".")[0] for name in imported - inside} - PURE_MODULES == set()
+
+
 def numeric_constants(path: Path) -> set[str]:
     """Names that a module or class binds to a number, or to an expression of numbers alone."""
     found = set()
@@ -89,8 +106,8 @@
 
 @pytest.mark.parametrize("path", foundations(), ids=lambda path: path.relative_to(PACKAGE).as_posix())
 def test_what_decisions_rest_on_has_no_tuned_constants(path: Path) -> None:
-    in_enumerations = {"types/events.py", "peer_messages.py"}
-    allowed = CONSTANTS_OF_THE_WIRE.get(path.name, set())
+    in_enumerations = {"types/events.py"}
+    allowed = CONSTANTS_OF_UNITS.get(path.name, set())
     found = numeric_constants(path) - allowed
     if path.relative_to(PACKAGE).as_posix() in in_enumerations:
         found -= members_of_enumerations(path)
