--- a/benchmarks/customer_population.py
+++ b/benchmarks/customer_population.py
@@ -12,7 +12,7 @@
 from tests.support.builders import plan
 
 GATEWAYS_PER_CUSTOMER = 10
-MEAN_ATTEMPT_DURATION = 100 * MILLISECOND  # ns
+MEAN_ATTEMPT_DURATION_NS = 100 * MILLISECOND
 CLASS_FRACTIONS = (0.6, 0.27, 0.13)  # of the requests, by request class
 PLAN_FRACTIONS = (0.6, 0.3, 0.1)  # of the customers, by plan
 
@@ -25,7 +25,7 @@
         name="limited",
         rate=LIMITED_RATE,
         burst=64.4,
-        max_in_flight=ceil(IN_FLIGHT_HEADROOM * LIMITED_RATE * MEAN_ATTEMPT_DURATION / SECOND),
+        max_in_flight=ceil(IN_FLIGHT_HEADROOM * LIMITED_RATE * MEAN_ATTEMPT_DURATION_NS / SECOND),
         excess_weight=0.2,
         excess_cost=0.0,
     ),
--- a/benchmarks/endpoint_lists.py
+++ b/benchmarks/endpoint_lists.py
@@ -32,8 +32,8 @@
 
 LIST_LENGTHS = (200, 800, 1_800, 3_500, 7_100)
 REQUESTS_PER_RUN = 200  # arrivals and ends in one timed run
-REQUEST_INTERVAL = 5 * MILLISECOND  # ns: as at the design size's rate
-ATTEMPT_DURATION = MILLISECOND  # ns
+REQUEST_INTERVAL_NS = 5 * MILLISECOND  # as at the design size's rate
+ATTEMPT_DURATION_NS = MILLISECOND
 CUSTOMERS_PER_GATEWAY = 23  # the design size's customers over its gateways
 TICKS_PER_RUN = 10
 
@@ -119,15 +119,15 @@
     def _run_requests(self) -> None:
         for _ in range(REQUESTS_PER_RUN):
             request_id = next(self._request_ids)
-            self._now += REQUEST_INTERVAL
+            self._now += REQUEST_INTERVAL_NS
             customer = request_id % CUSTOMERS_PER_GATEWAY + 1
             request = arrival(
                 request_id, self._now, customer_id=customer, gateway_spread=GATEWAYS_PER_CUSTOMER
             )
             actions = self._engine.handle(self._now, request)
             (sent,) = (action for action in actions if isinstance(action, Send))
-            ended = successful_attempt(request_id, sent.endpoint, ATTEMPT_DURATION)
-            self._engine.handle(self._now + ATTEMPT_DURATION, ended)
+            ended = successful_attempt(request_id, sent.endpoint, ATTEMPT_DURATION_NS)
+            self._engine.handle(self._now + ATTEMPT_DURATION_NS, ended)
 
     def _run_ticks(self) -> None:
         for _ in range(TICKS_PER_RUN):
--- a/benchmarks/engine_instances.py
+++ b/benchmarks/engine_instances.py
@@ -18,7 +18,7 @@
 INSTANCE_COUNTS = (1, 8, 60, 240, 480)
 TICKS_PER_RUN = 10
 TICKS_PER_S = 10
-TICK_INTERVAL = SECOND // TICKS_PER_S  # ns
+TICK_INTERVAL_NS = SECOND // TICKS_PER_S
 
 
 @dataclass(frozen=True)
@@ -51,7 +51,7 @@
         for _ in range(TICKS_PER_RUN):
             self._ticks += 1
             for engine in self._engines:
-                engine.handle(START + self._ticks * TICK_INTERVAL, TimerFired(TICK_TIMER))
+                engine.handle(START + self._ticks * TICK_INTERVAL_NS, TimerFired(TICK_TIMER))
 
 
 def read_list(endpoints: int) -> Topology:
--- a/benchmarks/fleet_simulation.py
+++ b/benchmarks/fleet_simulation.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass, replace
 
 from benchmarks.arrivals import ArrivalProcess, ScheduledArrival
-from benchmarks.customer_population import MEAN_ATTEMPT_DURATION, PLANS, Customer, make_customers
+from benchmarks.customer_population import MEAN_ATTEMPT_DURATION_NS, PLANS, Customer, make_customers
 from benchmarks.engines import cached_list, successful_attempt
 from benchmarks.event_queue import EventQueue
-from benchmarks.quota_audit import METER_PERIOD, CustomerAudit, FleetCounts
+from benchmarks.quota_audit import METER_PERIOD_NS, CustomerAudit, FleetCounts
 from benchmarks.quota_counter import QuotaCounter
 from benchmarks.scenario import Scenario
 from qos_gateway.decisions.engine import DecisionEngine
@@ -33,7 +33,7 @@
 
 FIRST_ENGINE_SEED = 7  # of the first gateway; every other one has another seed
 ENDPOINTS_PER_GATEWAY = 2  # few, as attempts always succeed: only quotas matter here
-START_INTERVAL = 100 * MILLISECOND  # ns; gateways start within it, and requests arrive from its end on
+START_INTERVAL_NS = 100 * MILLISECOND  # gateways start within it, and requests arrive from its end on
 SHORTEST_ATTEMPT = 0.6  # times the mean duration
 LONGEST_ATTEMPT = 1.4
 
@@ -58,7 +58,7 @@
             may_message=False,
             has_counter=True,
             plans=PLANS,
-            usage_period=METER_PERIOD if scenario.has_usage_meter else 0,
+            usage_period=METER_PERIOD_NS if scenario.has_usage_meter else 0,
         )
         self._generations = [0] * self._size
         self._engines = [self._start(gateway, 0) for gateway in range(self._size)]
@@ -108,9 +108,9 @@
         """Simulate the whole scenario and return its counts."""
         for gateway in range(self._scenario.size.gateways):
             # Gateways start at different times, or the timers of all would fire at once.
-            start = self._rng.randrange(START_INTERVAL)
+            start = self._rng.randrange(START_INTERVAL_NS)
             self._queue.schedule(start, GatewayEvent(gateway, 0, self._endpoint_list))
-        self._arrivals.start_at(START_INTERVAL)
+        self._arrivals.start_at(START_INTERVAL_NS)
         self._schedule_arrival()
         end = self._scenario.end_s * SECOND
         while (now := self._queue.next_time()) < end:
@@ -195,7 +195,7 @@
         exceeds_limit = self._audits[customer.index].start_attempt()
         if self._is_counted(now):
             self._counts.over_in_flight_limit += exceeds_limit
-        duration = int(MEAN_ATTEMPT_DURATION * self._rng.uniform(SHORTEST_ATTEMPT, LONGEST_ATTEMPT))
+        duration = int(MEAN_ATTEMPT_DURATION_NS * self._rng.uniform(SHORTEST_ATTEMPT, LONGEST_ATTEMPT))
         return successful_attempt(action.request_id, action.endpoint, duration, attempt)
 
     def _count_sent(self, now: int, customer: Customer) -> None:
--- a/benchmarks/gateway_process.py
+++ b/benchmarks/gateway_process.py
@@ -20,7 +20,7 @@
 from qos_gateway.units import MILLISECOND
 from tests.support.servers import nested_settings
 
-COUNTER_TIMEOUT = 80 * MILLISECOND  # ns
+COUNTER_TIMEOUT_NS = 80 * MILLISECOND
 SECRET_SEED = "8c1f30d27a5be964"
 QUOTA_RATE = 14.2  # requests a second: the mean of the design size's customers
 QUOTA_BURST = 57.0
@@ -37,7 +37,7 @@
         "limits__peerMessages": False,
         "limits__probes": False,
         "familyInfo__counter": has_counter,
-        "familyInfo__counterTimeout": COUNTER_TIMEOUT,
+        "familyInfo__counterTimeout": COUNTER_TIMEOUT_NS,
     }
     settings = nested_settings(**changes)
     settings["classes"][0]["name"] = "lookup"
--- a/benchmarks/gateway_simulation.py
+++ b/benchmarks/gateway_simulation.py
@@ -15,7 +15,7 @@
 from qos_gateway.units import MILLISECOND, SECOND
 from tests.support.builders import CLASSES, arrival, settings
 
-ATTEMPT_DURATION = 100 * MILLISECOND  # ns
+ATTEMPT_DURATION_NS = 100 * MILLISECOND
 ENDPOINTS = 148  # in a gateway's subset at the design size
 
 
@@ -109,8 +109,8 @@
         """Schedule what follows from an action of the engine."""
         match action:
             case Send():
-                ended = successful_attempt(action.request_id, action.endpoint, ATTEMPT_DURATION)
-                self._queue.schedule(now + ATTEMPT_DURATION, ended)
+                ended = successful_attempt(action.request_id, action.endpoint, ATTEMPT_DURATION_NS)
+                self._queue.schedule(now + ATTEMPT_DURATION_NS, ended)
             case SetTimer(delay, token):
                 self._queue.schedule(now + delay, TimerFired(token))
             case AddToCounter():
--- a/benchmarks/quota_audit.py
+++ b/benchmarks/quota_audit.py
@@ -10,8 +10,8 @@
 from qos_gateway.types import CounterReplied, Outcome, Plan
 from qos_gateway.units import MILLISECOND, SECOND
 
-METER_PERIOD = 500 * MILLISECOND  # ns
-METER_DELAY = 700 * MILLISECOND  # ns after a period's end until endpoints report its usage
+METER_PERIOD_NS = 500 * MILLISECOND
+METER_DELAY_NS = 700 * MILLISECOND  # after a period's end until endpoints report its usage
 
 
 class CustomerAudit:
@@ -31,7 +31,7 @@
 
     def send(self, now: int) -> bool:
         """Record a request that was sent on at `now` (ns); return whether the quota covers it."""
-        self._sent_by_period[now // METER_PERIOD] += 1
+        self._sent_by_period[now // METER_PERIOD_NS] += 1
         return self._sent_quota.take(now)
 
     def exceeds_ceiling(self, now: int) -> bool:
@@ -50,10 +50,10 @@
 
     def reported_usage(self, now: int) -> int:
         """Return the usage that an endpoint reports: 1 + percent of the rate, or 0 if there is none yet."""
-        period = (now - METER_DELAY) // METER_PERIOD - 1
+        period = (now - METER_DELAY_NS) // METER_PERIOD_NS - 1
         if period < 0:
             return 0
-        allowed = self._plan.rate * METER_PERIOD / SECOND
+        allowed = self._plan.rate * METER_PERIOD_NS / SECOND
         return 1 + round(100 * self._sent_by_period[period] / allowed)
 
 
--- a/benchmarks/quota_counter.py
+++ b/benchmarks/quota_counter.py
@@ -11,9 +11,9 @@
 from qos_gateway.types import AddToCounter, CounterReplied, Outcome
 from qos_gateway.units import MILLISECOND, SECOND
 
-REPLY_TIME = 2 * MILLISECOND  # ns until a call is answered
-CALL_TIMEOUT = 80 * MILLISECOND  # ns after which a gateway gives a call up
-CONNECTION_REFUSAL_TIME = MILLISECOND // 5  # ns until a connection is refused
+REPLY_TIME_NS = 2 * MILLISECOND  # until a call is answered
+CALL_TIMEOUT_NS = 80 * MILLISECOND  # after which a gateway gives a call up
+CONNECTION_REFUSAL_TIME_NS = MILLISECOND // 5  # until a connection is refused
 BURST_WINDOW_S = 0.05  # calls of so many seconds' capacity are accepted at once
 ALL_GATEWAYS = 1 << 30  # above every gateway's position
 
@@ -84,15 +84,15 @@
         faults = {window.fault for window in self._fault_windows if window.affects(now, gateway)}
         self._reset_data(now)
         if Fault.CONNECTION_REFUSED in faults:
-            return CounterReplied(CONNECTION_REFUSAL_TIME, Outcome.CONNECT_FAILED, action.key, 0.0)
+            return CounterReplied(CONNECTION_REFUSAL_TIME_NS, Outcome.CONNECT_FAILED, action.key, 0.0)
         if Fault.REQUEST_DROPPED in faults:
-            return CounterReplied(CALL_TIMEOUT, Outcome.TIMEOUT, action.key, 0.0)
+            return CounterReplied(CALL_TIMEOUT_NS, Outcome.TIMEOUT, action.key, 0.0)
         if self._accepted_calls is not None and not self._accepted_calls.take(now):
-            return CounterReplied(REPLY_TIME, Outcome.OVERLOADED, action.key, 0.0)
+            return CounterReplied(REPLY_TIME_NS, Outcome.OVERLOADED, action.key, 0.0)
         self._totals[action.key] += action.amount * (2 if Fault.DUPLICATED in faults else 1)
         if Fault.REPLY_DROPPED in faults:
-            return CounterReplied(CALL_TIMEOUT, Outcome.TIMEOUT, action.key, 0.0)
-        return CounterReplied(REPLY_TIME, Outcome.OK, action.key, self._totals[action.key])
+            return CounterReplied(CALL_TIMEOUT_NS, Outcome.TIMEOUT, action.key, 0.0)
+        return CounterReplied(REPLY_TIME_NS, Outcome.OK, action.key, self._totals[action.key])
 
     def _reset_data(self, now: int) -> None:
         """Clear the sums once for every data reset that is due."""
--- a/qos_gateway/decisions/admission/admission_controller.py
+++ b/qos_gateway/decisions/admission/admission_controller.py
@@ -1,19 +1,19 @@
 """Admission: the customer's cap, the limit on all in flight, and the quota, in this order."""
 
 from ...types import Action, Arrival, RejectReason
-from ..congestion.queue_model import TARGET_WAIT_FRACTION, TICK
+from ..congestion.queue_model import TARGET_WAIT_FRACTION
 from ..quota.account import CustomerAccount
 from ..quota.quota_decision import QuotaReply, Verdict
 from ..requests.dispatcher import Dispatcher
 from ..requests.request_state import RequestState
-from ..statistics.time_constants import LONG_MEMORY
+from ..statistics.time_constants import LONG_MEMORY_NS, TICK_INTERVAL_NS
 from .commitments import CommitmentTable
 from .priority_demand import PriorityDemand
 
 LOWEST_PRIORITY_FRACTION = 0.7  # part of the limit on all in flight that the lowest priority may fill
 PRIORITY_SMOOTHING = 0.2  # weight of the newest request in a customer's mean priority
 HEADROOM_GROWTH = 1.01  # per request, by which a customer's headroom recovers towards its classes'
-RESERVATION_TIMEOUT = TICK // 2  # over a round trip between gateways, far below an objective
+RESERVATION_TIMEOUT_NS = TICK_INTERVAL_NS // 2  # over a round trip between gateways, far below an objective
 
 
 class AdmissionController:
@@ -23,7 +23,7 @@
         self.dispatcher = dispatcher
         self.quota = dispatcher.quota
         self.commitments = commitments
-        self.priority_demand = PriorityDemand(LONG_MEMORY)
+        self.priority_demand = PriorityDemand(LONG_MEMORY_NS)
         self.awaiting_reservation: dict[int, RequestState] = {}  # by the reservation's number
 
     def on_arrival(self, now: int, arrival: Arrival) -> list[Action]:
@@ -107,6 +107,6 @@
         """Decide locally on requests whose reservation was not answered in time."""
         waiting = self.awaiting_reservation
         expired = [
-            n for n, request in waiting.items() if now - request.reservation_sent_at >= RESERVATION_TIMEOUT
+            n for n, request in waiting.items() if now - request.reservation_sent_at >= RESERVATION_TIMEOUT_NS
         ]
         return [action for number in expired for action in self.on_reply(now, QuotaReply(number))]
--- a/qos_gateway/decisions/admission/commitments.py
+++ b/qos_gateway/decisions/admission/commitments.py
@@ -8,8 +8,8 @@
 from ..quota.account import CustomerAccount, Demand
 from ..quota.base import Quota
 
-COMMITMENT_IDLE_TIME = 10 * SECOND  # without requests until one ends: outlasts a steady customer's lulls
-EVALUATION_INTERVAL = 2 * SECOND  # long enough for a fit, short for a burst
+COMMITMENT_IDLE_TIME_NS = 10 * SECOND  # without requests until one ends: outlasts a steady customer's lulls
+EVALUATION_INTERVAL_NS = 2 * SECOND  # long enough for a fit, short for a burst
 MIN_OFFERED = 2  # requests in flight that a customer asks for at least, so that a small burst passes
 MIN_THROUGHPUT = 1e-3  # requests per second: below it a customer sets no limit to others' response times
 BUSY_IN_FLIGHT = 0.05  # mean in flight from which a customer's commitment counts
@@ -57,10 +57,10 @@
         """End idle commitments and evaluate those due, lowest priority first, so that cuts fall on it."""
         for account in list(self.active.values()):
             account.mean_in_flight.add(now, account.in_flight)
-            if now - account.last_request_at > COMMITMENT_IDLE_TIME and not account.in_flight:
+            if now - account.last_request_at > COMMITMENT_IDLE_TIME_NS and not account.in_flight:
                 account.in_flight_cap = 0  # the token bucket stays, as the quota does
                 del self.active[account.customer_id]
-        due = [a for a in self.active.values() if now - a.evaluated_at >= EVALUATION_INTERVAL]
+        due = [a for a in self.active.values() if now - a.evaluated_at >= EVALUATION_INTERVAL_NS]
         throughputs: dict[int, float] = {}
         for account in sorted(due, key=lambda a: (a.priority_weight, a.customer_id)):
             self.evaluate(now, account, throughputs)
--- a/qos_gateway/decisions/congestion/queue_model.py
+++ b/qos_gateway/decisions/congestion/queue_model.py
@@ -5,12 +5,11 @@
 from ...types import Settings
 from ...units import SECOND
 from ..statistics.decaying_mean import DecayingMean
-from ..statistics.time_constants import LONG_MEMORY, SHORT_MEMORY
+from ..statistics.time_constants import LONG_MEMORY_NS, SHORT_MEMORY_NS, TICK_INTERVAL_NS
 from .class_latency import ClassLatency
 from .mean_value_analysis import ClosedNetwork
 from .outstanding_attempt import OutstandingAttempt
 
-TICK = SECOND // 10  # between refits, gossip and checks of open requests: a tenth of usual objectives
 LATENCY_SAMPLES = 8.0  # responses that a recent latency rests on; where few come, memory is longer
 MIN_LATENCY_SAMPLES = 0.5  # below which a class's latency is not used ...
 MIN_BASELINE_SAMPLES = 4.0  # ... nor its baseline moved
@@ -27,8 +26,8 @@
 
     def __init__(self, settings: Settings) -> None:
         self.objectives = [float(c.latency_objective) for c in settings.classes]
-        self.latency = [ClassLatency(SHORT_MEMORY) for _ in settings.classes]
-        self.mean_in_flight = DecayingMean(SHORT_MEMORY)
+        self.latency = [ClassLatency(SHORT_MEMORY_NS) for _ in settings.classes]
+        self.mean_in_flight = DecayingMean(SHORT_MEMORY_NS)
         self.mean_latency = 0.0
         self.delay = 0.0  # latency outside the queue, over all classes
         self.network = ClosedNetwork()
@@ -49,7 +48,7 @@
             late = [a.age for a in outstanding if a.class_index == class_index and a.age > latency.value]
             samples = latency.samples_with(now, late)
             if latency.weight >= MIN_BASELINE_SAMPLES:
-                latency.move_baseline(1.0 + BASELINE_GROWTH_PER_S * TICK / SECOND)
+                latency.move_baseline(1.0 + BASELINE_GROWTH_PER_S * TICK_INTERVAL_NS / SECOND)
             total += samples.total
             weight += samples.weight
             delay += latency.baseline_or_mean() * samples.weight
@@ -84,4 +83,4 @@
 
 def _time_constant(rate: float) -> int:
     """Return how long responses are remembered that come at this rate (per second)."""
-    return int(min(LONG_MEMORY, max(SHORT_MEMORY, LATENCY_SAMPLES * SECOND / max(1e-3, rate))))
+    return int(min(LONG_MEMORY_NS, max(SHORT_MEMORY_NS, LATENCY_SAMPLES * SECOND / max(1e-3, rate))))
--- a/qos_gateway/decisions/engine.py
+++ b/qos_gateway/decisions/engine.py
@@ -13,17 +13,17 @@
 from ..types.settings import Settings
 from ..units import SECOND
 from .admission.admission_controller import LOWEST_PRIORITY_FRACTION, AdmissionController
-from .admission.commitments import COMMITMENT_IDLE_TIME, CommitmentTable
-from .congestion.queue_model import TICK, QueueModel
+from .admission.commitments import COMMITMENT_IDLE_TIME_NS, CommitmentTable
+from .congestion.queue_model import QueueModel
 from .load_balancing.load_balancer import LoadBalancer
 from .quota import create_quota
 from .requests import stalled_requests
 from .requests.dispatcher import Dispatcher
-from .statistics.time_constants import LONG_MEMORY
+from .statistics.time_constants import LONG_MEMORY_NS, TICK_INTERVAL_NS
 
 TICK_TIMER = 1  # token of the timer for the next tick ...
 LIST_RETRY_TIMER = 2  # ... and of the one for another call for the endpoint list
-LIST_RETRY_DELAY = 1 * SECOND
+LIST_RETRY_DELAY_NS = 1 * SECOND
 OUTGOING_FRACTION = 0.25  # of shared budgets during a handover: the old process only ends what it has
 INCOMING_FRACTION = 0.75  # ... and the rest, for the process that takes over
 
@@ -44,14 +44,14 @@
         self.admission = AdmissionController(self.dispatcher, self.commitments)
         self.started = False
         self.pruned_at = now
-        self.congestion_logged_at = now - LONG_MEMORY
+        self.congestion_logged_at = now - LONG_MEMORY_NS
 
     def handle(self, now: int, event: events.Event) -> list[Action]:
         """Take in one event; the actions take effect at `now`."""
         if self.started:
             return self._handle(now, event)
         self.started = True
-        first: list[Action] = [SetTimer(TICK, TICK_TIMER)]
+        first: list[Action] = [SetTimer(TICK_INTERVAL_NS, TICK_TIMER)]
         if self.settings.polls_discovery:
             first.append(WatchEndpoints(True))
         return first + self._handle(now, event)
@@ -75,7 +75,7 @@
             case events.Topology():
                 self.load_balancer.update_list(now, event)
                 if event.kind is events.ListKind.FAILED:
-                    return [SetTimer(LIST_RETRY_DELAY, LIST_RETRY_TIMER)]
+                    return [SetTimer(LIST_RETRY_DELAY_NS, LIST_RETRY_TIMER)]
             case events.SetEndpointEnabled(endpoint, enabled):
                 self.load_balancer.set_enabled(now, endpoint, enabled)
         return []
@@ -83,7 +83,7 @@
     def _tick(self, now: int) -> list[Action]:
         """Look after all that is open, refit the model, and evaluate the commitments that are due."""
         table = self.request_table
-        actions: list[Action] = [SetTimer(TICK, TICK_TIMER)]
+        actions: list[Action] = [SetTimer(TICK_INTERVAL_NS, TICK_TIMER)]
         actions += self.admission.expire_reservations(now)
         actions += self.quota.resend_releases(now, self.commitments.active.values())
         actions += stalled_requests.leave_unresponsive_zones(now, self.dispatcher)
@@ -94,7 +94,7 @@
         actions += stalled_requests.give_up_late(now, self.dispatcher)
         self.load_balancer.refresh(now)
         self.commitments.evaluate_due(now)
-        if now - self.pruned_at >= COMMITMENT_IDLE_TIME:
+        if now - self.pruned_at >= COMMITMENT_IDLE_TIME_NS:
             self.pruned_at = now
             self.quota.prune(now)
         return actions + self.quota.gossip(now) + self._log_congestion(now)
@@ -102,7 +102,7 @@
     def _log_congestion(self, now: int) -> list[Action]:
         limit = self.model.concurrency_limit
         in_flight = self.request_table.in_flight
-        recently = now - self.congestion_logged_at < LONG_MEMORY
+        recently = now - self.congestion_logged_at < LONG_MEMORY_NS
         if limit is None or in_flight < LOWEST_PRIORITY_FRACTION * limit or recently:
             return []
         self.congestion_logged_at = now
--- a/qos_gateway/decisions/load_balancing/load_balancer.py
+++ b/qos_gateway/decisions/load_balancing/load_balancer.py
@@ -9,17 +9,17 @@
 from ..requests.request_state import RequestState
 from ..requests.retry_rules import EndpointFilter
 from ..statistics.decaying_mean import DecayingMean
-from ..statistics.time_constants import LONG_MEMORY, SHORT_MEMORY
+from ..statistics.time_constants import LONG_MEMORY_NS, SHORT_MEMORY_NS
 from .endpoint_observations import EndpointObservations, ObservationMemory
 from .endpoint_state import ClassAndPlan, EndpointState
-from .outlier_ejection import BASE_EJECTION_TIME, detect_unresponsive_zones, record_outcome
+from .outlier_ejection import BASE_EJECTION_TIME_NS, detect_unresponsive_zones, record_outcome
 from .slow_start import has_token
 from .zones import UnresponsiveZone
 
 GATEWAYS_PER_ENDPOINT = 10  # with it in their subset: each observes it often, and it has few connections
 SLOW_START_COST_FACTOR = 0.7  # wait at an endpoint in slow start with a token, relative to a warm one's
 FAILURE_COST_FACTOR = 3.0  # added cost where similar attempts were lately rejected or timed out
-FAILURE_MEMORY = 3 * LONG_MEMORY  # ns after which a class's last result at an endpoint counts no more
+FAILURE_MEMORY_NS = 3 * LONG_MEMORY_NS  # after which a class's last result at an endpoint counts no more
 JITTER = 0.1  # random part of the cost: equal endpoints are used equally
 PEER_IN_FLIGHT_PRIOR = 2.0  # own attempts that tell as much of the peers' as the mean over endpoints
 MIN_SLOWNESS = 0.5  # latency relative to the mean of the class, in the cost: load counts as well ...
@@ -35,15 +35,15 @@
     """Selects endpoints from the list by what this gateway observes of them."""
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
-        super().__init__(settings, ObservationMemory(SHORT_MEMORY, LONG_MEMORY), self._new_state)
+        super().__init__(settings, ObservationMemory(SHORT_MEMORY_NS, LONG_MEMORY_NS), self._new_state)
         self.rng = rng
         self.mean_in_flight = 0.0  # own attempts at each endpoint of the subset
         self.peer_in_flight = 0.0  # estimate of other gateways' attempts there
 
     def _new_state(self, now: int, endpoint: Endpoint) -> EndpointState:
         tokens = self.rng.random()  # where gateways are many, each seldom has a whole token to spend
-        slowness = DecayingMean(SHORT_MEMORY)
-        return EndpointState(endpoint, slowness, BASE_EJECTION_TIME, tokens, now)
+        slowness = DecayingMean(SHORT_MEMORY_NS)
+        return EndpointState(endpoint, slowness, BASE_EJECTION_TIME_NS, tokens, now)
 
     def update_list(self, now: int, event: Topology) -> None:
         """Apply a whole endpoint list or the changes to it."""
@@ -127,7 +127,7 @@
 
         def cost(state: EndpointState) -> float:
             result = state.last_result_by_class.get(class_index)
-            failure = unknown if result is None or now - result.at >= FAILURE_MEMORY else result.unanswered
+            failure = unknown if result is None or now - result.at >= FAILURE_MEMORY_NS else result.unanswered
             if now < state.overloaded_until.get(class_and_plan, 0):
                 failure = 1.0
             wait = self.expected_wait(now, state)
@@ -174,12 +174,12 @@
         if outcome in CLASS_SAMPLES:
             self.record_class_result(now, state, class_and_plan[0], float(outcome is Outcome.TIMEOUT))
         elif outcome is Outcome.OVERLOADED:
-            state.overloaded_until[class_and_plan] = now + LONG_MEMORY
+            state.overloaded_until[class_and_plan] = now + LONG_MEMORY_NS
         if outcome in WORKED_ON and self.slow_start_fraction(now, state) >= 1.0:
             self.warm_completions.add(now, 1.0)
         if outcome is Outcome.OK:
             slowness = min(MAX_SLOWNESS_SAMPLE, relative_latency)
-            state.record_success(now, now - event.elapsed, slowness, BASE_EJECTION_TIME)
+            state.record_success(now, now - event.elapsed, slowness, BASE_EJECTION_TIME_NS)
             self.latest_answered_send = max(self.latest_answered_send, state.latest_answered_send)
         record_outcome(now, self, state, outcome)
 
--- a/qos_gateway/decisions/load_balancing/outlier_ejection.py
+++ b/qos_gateway/decisions/load_balancing/outlier_ejection.py
@@ -12,8 +12,8 @@
 from .endpoint_state import EndpointState
 from .zones import UnresponsiveZone
 
-BASE_EJECTION_TIME = SECOND // 2  # ns of the first ejection, doubled by each that follows without a success
-MAX_EJECTION_TIME = 8 * SECOND  # ns
+BASE_EJECTION_TIME_NS = SECOND // 2  # of the first ejection, doubled by each that follows without a success
+MAX_EJECTION_TIME_NS = 8 * SECOND
 FAILURES_TO_EJECT = 2  # consecutive: a single one may be a coincidence
 SIGNIFICANCE_LEVEL = 0.005  # resets in a row less likely than this are no coincidence
 MAX_RESET_RATIO = 0.5  # of all attempts: where more are reset, more in a row tell nothing
@@ -36,7 +36,7 @@
     if outcome not in NOT_FAILED:
         state.consecutive_failures += 1
         if state.consecutive_failures >= _failures_to_eject(now, observations, outcome):
-            state.eject(now, MAX_EJECTION_TIME)
+            state.eject(now, MAX_EJECTION_TIME_NS)
 
 
 def _failures_to_eject(now: int, observations: EndpointObservations, outcome: Outcome) -> int:
@@ -83,5 +83,5 @@
     observations.zones.record_unresponsive(now, zone)
     in_zone = [s for s in observations.endpoints.values() if s.endpoint.zone == zone and s.in_service]
     for state in in_zone:
-        state.eject(now, MAX_EJECTION_TIME)
+        state.eject(now, MAX_EJECTION_TIME_NS)
     return UnresponsiveZone(zone, waiting, [state.endpoint.id for state in in_zone])
--- a/qos_gateway/decisions/quota/base.py
+++ b/qos_gateway/decisions/quota/base.py
@@ -4,8 +4,7 @@
 
 from ...types import Arrival
 from ...units import SECOND
-from ..congestion.queue_model import TICK
-from ..statistics.time_constants import LONG_MEMORY, SHORT_MEMORY
+from ..statistics.time_constants import LONG_MEMORY_NS, SHORT_MEMORY_NS, TICK_INTERVAL_NS
 from .account import CustomerAccount, DecayTimes, RetentionTimes
 from .counter_protocol import CounterProtocol
 from .leases import Leases
@@ -14,7 +13,7 @@
 from .quota_decision import Charge, QuotaDecision, Verdict
 
 TUNING = QuotaTuning(
-    decay=DecayTimes(SHORT_MEMORY, LONG_MEMORY, 3 * LONG_MEMORY),
+    decay=DecayTimes(SHORT_MEMORY_NS, LONG_MEMORY_NS, 3 * LONG_MEMORY_NS),
     # A rare customer spent eight quarter units at most: most such never come again.
     retention=RetentionTimes(120 * SECOND, 20 * SECOND, 8),
     report_fresh_for=1 * SECOND,  # in the order of latency objectives
@@ -24,7 +23,7 @@
     max_reordering_tenths=50,  # more of them come from a peer that restarted
 )
 USAGE_GRANT_SPAN = 0.5  # of a quota, around all used: from surely granted to surely denied
-MIN_RESERVATION_TIME = 4 * TICK  # ns to the deadline: with less a request can't wait for a reply
+MIN_RESERVATION_TIME_NS = 4 * TICK_INTERVAL_NS  # to the deadline: with less a request can't wait for a reply
 UNCOUNTED_SLOT_PROBABILITY = 0.4  # that a slot is free where even slices of an in-flight limit are under one
 PLAN_PRIOR_WEIGHT = 0.1  # samples of no grant: a plan's first reports already say more
 CUSTOMER_PRIOR_WEIGHT = 0.5  # samples of its plan's grants: a customer's own first report outweighs them
@@ -71,7 +70,7 @@
 
     def _grant_probability(self, now: int, account: CustomerAccount, units: float) -> float:
         plan_ratio = self.plan_grant_ratio[account.plan_index].mean_with_prior(now, 0.0, PLAN_PRIOR_WEIGHT)
-        fits = account.fraction_within_slice(now, units, LONG_MEMORY)
+        fits = account.fraction_within_slice(now, units, LONG_MEMORY_NS)
         fits *= UNCOUNTED_SLOT_PROBABILITY if self._in_flight_slot(account) else 1.0
         return account.grant_ratio.mean_with_prior(now, plan_ratio, CUSTOMER_PRIOR_WEIGHT) * fits
 
@@ -84,6 +83,6 @@
             return QuotaDecision.immediate(True)
         reservation = self.next_reservation()
         action = self._ask(now, charge.account, charge.units, reservation)
-        if charge.deadline - now >= MIN_RESERVATION_TIME:
+        if charge.deadline - now >= MIN_RESERVATION_TIME_NS:
             return QuotaDecision(Verdict.RESERVED, [action], reservation=reservation)
         return QuotaDecision.immediate(self.decide_locally(now, charge.account, charge.units), [action])
--- a/qos_gateway/decisions/quota/counter.py
+++ b/qos_gateway/decisions/quota/counter.py
@@ -5,7 +5,7 @@
 
 from ...types import Action, CounterReplied, Outcome, Settings
 from ...units import SECOND
-from ..statistics.time_constants import LONG_MEMORY
+from ..statistics.time_constants import LONG_MEMORY_NS
 from . import leases as lease
 from .account import CustomerAccount
 from .base import TUNING, Quota
@@ -82,7 +82,7 @@
     def _probably_has_tokens(self, now: int, account: CustomerAccount) -> bool:
         """Return whether the bucket likely has tokens where reports are too rare to be certain."""
         largest = self.settings.largest_request_units
-        return account.usage_estimate(now, TYPICAL_USAGE, largest, LONG_MEMORY) < UNCERTAIN_USAGE
+        return account.usage_estimate(now, TYPICAL_USAGE, largest, LONG_MEMORY_NS) < UNCERTAIN_USAGE
 
     def _may_spend_unreported(self, now: int, account: CustomerAccount, units: float) -> bool:
         """Return whether a little may be spent of a bucket that likely has tokens, without a call."""
--- a/qos_gateway/decisions/quota/counter_protocol.py
+++ b/qos_gateway/decisions/quota/counter_protocol.py
@@ -8,7 +8,7 @@
 from ..requests.request_state import RequestState
 from .account import CustomerAccount
 from .counter_reading import CounterReading, read_counter
-from .counter_total import COUNTER_KEY_LIFETIME, IN_FLIGHT_UNIT, counter_key, customer_of
+from .counter_total import COUNTER_KEY_LIFETIME_NS, IN_FLIGHT_UNIT, counter_key, customer_of
 from .quota_base import QuotaBase
 from .quota_decision import QuotaReply
 
@@ -29,10 +29,10 @@
         correction: bool = False,
     ) -> Action:
         """Return a call that adds an amount, and what was not reported before, to the customer's counter."""
-        key = counter_key(account.customer_id, now // COUNTER_KEY_LIFETIME)
+        key = counter_key(account.customer_id, now // COUNTER_KEY_LIFETIME_NS)
         call = account.take_unsent(amount, reservation, correction)
         self.pending_calls.push(key, call)
-        return AddToCounter(key, COUNTER_KEY_LIFETIME, call.total)
+        return AddToCounter(key, COUNTER_KEY_LIFETIME_NS, call.total)
 
     def release_slot(self, now: int, request: RequestState) -> list[Action]:
         """Give back the in-flight slot that a request holds, once it has no attempt in flight any more."""
--- a/qos_gateway/decisions/quota/counter_total.py
+++ b/qos_gateway/decisions/quota/counter_total.py
@@ -6,7 +6,7 @@
 
 from ...units import SECOND
 
-COUNTER_KEY_LIFETIME = 60 * SECOND  # ns, the longest that may be asked for; then a new key follows
+COUNTER_KEY_LIFETIME_NS = 60 * SECOND  # the longest that may be asked for; then a new key follows
 IN_FLIGHT_UNIT = 10_000.0  # one request in flight, in a total: above all units of a lifetime
 
 
@@ -36,4 +36,4 @@
 
 def refilled_units(rate: float, sent_at: int) -> float:
     """Return the units that a bucket of that rate (units a second) was refilled with under its key."""
-    return rate * (sent_at % COUNTER_KEY_LIFETIME) / SECOND
+    return rate * (sent_at % COUNTER_KEY_LIFETIME_NS) / SECOND
--- a/qos_gateway/decisions/quota/lease_terms.py
+++ b/qos_gateway/decisions/quota/lease_terms.py
@@ -7,7 +7,7 @@
 
 from ...types import Action, AddToCounter, CounterReplied, Outcome
 from .account import CustomerAccount
-from .counter_total import COUNTER_KEY_LIFETIME, counter_key
+from .counter_total import COUNTER_KEY_LIFETIME_NS, counter_key
 from .pending_calls import PendingCalls
 
 TERM_SCATTER = 0x9E3779B1  # a multiplier that scatters neighbouring numbers evenly
@@ -52,7 +52,7 @@
         """Return the call that claims a fraction of the quota for a term."""
         key = counter_key(account.customer_id, term)
         self.pending_claims.push(key, LeaseClaim(term, fraction))
-        return AddToCounter(key, COUNTER_KEY_LIFETIME, fraction)
+        return AddToCounter(key, COUNTER_KEY_LIFETIME_NS, fraction)
 
     def on_counter_reply(self, now: int, event: CounterReplied, account: CustomerAccount | None) -> None:
         """Take in the reply to a claim."""
--- a/qos_gateway/decisions/quota/peers.py
+++ b/qos_gateway/decisions/quota/peers.py
@@ -4,7 +4,7 @@
 
 from ...types import Action, Settings
 from ...units import SECOND
-from ..congestion.queue_model import TICK
+from ..statistics.time_constants import TICK_INTERVAL_NS
 from .account import CustomerAccount
 from .base import Quota
 from .peer_messages import MAX_TOTALS
@@ -25,7 +25,9 @@
 
     def __init__(self, settings: Settings, seed: int, now: int, rng: random.Random) -> None:
         super().__init__(settings, seed, now, rng)
-        self.gossip_interval = message_interval(settings) - TICK // 2  # sent with the tick that is nearest
+        self.gossip_interval = (
+            message_interval(settings) - TICK_INTERVAL_NS // 2
+        )  # sent with the tick that is nearest
 
     def _bucket(self, account: CustomerAccount) -> TokenBucket:
         share = self.quota_share(account.refilled_at, account) * self.handover_fraction
--- a/qos_gateway/decisions/requests/dispatcher.py
+++ b/qos_gateway/decisions/requests/dispatcher.py
@@ -19,7 +19,7 @@
 RETRY_BUDGET_RATIO = 0.1  # retries for each first attempt: keeps a failing fleet's load from being doubled
 RETRY_BUDGET_BURST = 10.0  # retries that may be saved up
 MIN_RETRY_COST = 0.1  # of a retry after an attempt that broke off at once: it took no endpoint's time
-RETRY_AFTER = SECOND // 5  # told to a rejected client: longer left capacity unused, and floods ignore it
+RETRY_AFTER_NS = SECOND // 5  # told to a rejected client: longer left capacity unused, and floods ignore it
 RETRY_AFTER_OBJECTIVE_DIVISOR = 6  # of its objective at most: that runs from the first attempt on
 
 
@@ -122,5 +122,5 @@
     def reject(self, arrival: Arrival, reason: RejectReason) -> Reject:
         """Reject a request, with the time after which its client may retry."""
         objective = self.settings.classes[arrival.class_index].latency_objective
-        wait = min(RETRY_AFTER, objective // RETRY_AFTER_OBJECTIVE_DIVISOR, self.settings.max_retry_after)
+        wait = min(RETRY_AFTER_NS, objective // RETRY_AFTER_OBJECTIVE_DIVISOR, self.settings.max_retry_after)
         return Reject(arrival.request_id, wait * self.settings.sends_retry_after, reason)
--- a/qos_gateway/decisions/statistics/time_constants.py
+++ b/qos_gateway/decisions/statistics/time_constants.py
@@ -2,5 +2,6 @@
 
 from ...units import SECOND
 
-SHORT_MEMORY = 1 * SECOND  # a few dozen responses at usual rates
-LONG_MEMORY = 10 * SECOND  # for what happens seldom
+SHORT_MEMORY_NS = 1 * SECOND  # a few dozen responses at usual rates
+LONG_MEMORY_NS = 10 * SECOND  # for what happens seldom
+TICK_INTERVAL_NS = SECOND // 10  # between refits, gossip and checks of open requests
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -45,7 +45,7 @@
 LOST_EVERY = 20
 CRASH_AFTER_S = 3.0
 FAIL_AFTER_S = 3.0
-HEDGE_AFTER = SECOND // 20  # ns
+HEDGE_AFTER_NS = SECOND // 20
 EXTRA_ATTEMPTS = 20
 
 
@@ -152,7 +152,7 @@
 
     def hedge(now: int, dispatcher: Dispatcher) -> list[Any]:
         waiting = [r for r in dispatcher.requests.open.values() if r.attempts_in_flight == 1]
-        late = [r for r in waiting if now - r.last_attempt_at >= HEDGE_AFTER]
+        late = [r for r in waiting if now - r.last_attempt_at >= HEDGE_AFTER_NS]
         return [send for r in late if (send := dispatcher.send(now, r, untried_only=True)) is not None]
 
     _patch(stalled_requests, "hedge", hedge)
--- a/tests/benchmarks/test_quota_counter.py
+++ b/tests/benchmarks/test_quota_counter.py
@@ -5,9 +5,9 @@
 import pytest
 
 from benchmarks.quota_counter import (
-    CALL_TIMEOUT,
-    CONNECTION_REFUSAL_TIME,
-    REPLY_TIME,
+    CALL_TIMEOUT_NS,
+    CONNECTION_REFUSAL_TIME_NS,
+    REPLY_TIME_NS,
     Fault,
     FaultWindow,
     QuotaCounter,
@@ -25,30 +25,30 @@
 
 def test_totals_add_up() -> None:
     counter = QuotaCounter()
-    assert counter.call(0, 0, INCREMENT) == reply(Outcome.OK, REPLY_TIME, 2.0)
-    assert counter.call(0, 1, INCREMENT) == reply(Outcome.OK, REPLY_TIME, 4.0)
+    assert counter.call(0, 0, INCREMENT) == reply(Outcome.OK, REPLY_TIME_NS, 2.0)
+    assert counter.call(0, 1, INCREMENT) == reply(Outcome.OK, REPLY_TIME_NS, 4.0)
 
 
 def test_calls_beyond_the_capacity_are_overloaded_and_add_nothing() -> None:
     counter = QuotaCounter(capacity=20.0)
     assert counter.call(0, 0, INCREMENT).outcome is Outcome.OK
-    assert counter.call(0, 0, INCREMENT) == reply(Outcome.OVERLOADED, REPLY_TIME)
-    assert counter.call(SECOND, 0, INCREMENT) == reply(Outcome.OK, REPLY_TIME, 4.0)
+    assert counter.call(0, 0, INCREMENT) == reply(Outcome.OVERLOADED, REPLY_TIME_NS)
+    assert counter.call(SECOND, 0, INCREMENT) == reply(Outcome.OK, REPLY_TIME_NS, 4.0)
 
 
 @pytest.mark.parametrize(
     ("fault", "during", "total_after"),
     [
-        (Fault.CONNECTION_REFUSED, reply(Outcome.CONNECT_FAILED, CONNECTION_REFUSAL_TIME), 2.0),
-        (Fault.REQUEST_DROPPED, reply(Outcome.TIMEOUT, CALL_TIMEOUT), 2.0),
-        (Fault.REPLY_DROPPED, reply(Outcome.TIMEOUT, CALL_TIMEOUT), 4.0),
-        (Fault.DUPLICATED, reply(Outcome.OK, REPLY_TIME, 4.0), 6.0),
+        (Fault.CONNECTION_REFUSED, reply(Outcome.CONNECT_FAILED, CONNECTION_REFUSAL_TIME_NS), 2.0),
+        (Fault.REQUEST_DROPPED, reply(Outcome.TIMEOUT, CALL_TIMEOUT_NS), 2.0),
+        (Fault.REPLY_DROPPED, reply(Outcome.TIMEOUT, CALL_TIMEOUT_NS), 4.0),
+        (Fault.DUPLICATED, reply(Outcome.OK, REPLY_TIME_NS, 4.0), 6.0),
     ],
 )
 def test_fault_lasts_for_its_window(fault: Fault, during: CounterReplied, total_after: float) -> None:
     counter = QuotaCounter(fault_windows=(FaultWindow(fault, 1.0, 2.0),))
     assert counter.call(SECOND, 0, INCREMENT) == during
-    assert counter.call(2 * SECOND, 0, INCREMENT) == reply(Outcome.OK, REPLY_TIME, total_after)
+    assert counter.call(2 * SECOND, 0, INCREMENT) == reply(Outcome.OK, REPLY_TIME_NS, total_after)
 
 
 def test_data_reset_happens_once() -> None:
--- a/tests/decisions/test_gossip.py
+++ b/tests/decisions/test_gossip.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from qos_gateway.decisions.congestion.queue_model import TICK
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
 from qos_gateway.decisions.quota.peer_messages import CustomerTotal, encode_totals
 from qos_gateway.decisions.quota.peer_totals import PeerStatus
+from qos_gateway.decisions.statistics.time_constants import TICK_INTERVAL_NS
 from qos_gateway.types import (
     PeerMessage,
     SendPeerMessage,
@@ -55,8 +55,10 @@
     for i in range(19):
         there.handle(MS, arrival(i, MS))
         there.handle(MS, ended(i, 1))
-    told = [a for a in there.handle(TICK, TimerFired(TICK_TIMER)) if isinstance(a, SendPeerMessage)]
-    here.handle(TICK, PeerMessage(1, told[0].data))
+    told = [
+        a for a in there.handle(TICK_INTERVAL_NS, TimerFired(TICK_TIMER)) if isinstance(a, SendPeerMessage)
+    ]
+    here.handle(TICK_INTERVAL_NS, PeerMessage(1, told[0].data))
     assert here.quota.accounts[1].tokens < 5.0
 
 
--- a/tests/decisions/test_late_requests.py
+++ b/tests/decisions/test_late_requests.py
@@ -5,9 +5,9 @@
 import pytest
 
 from qos_gateway.decisions.congestion.outstanding_attempt import OutstandingAttempt
-from qos_gateway.decisions.congestion.queue_model import TICK
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
 from qos_gateway.decisions.requests.stalled_requests import give_up_late, hedge
+from qos_gateway.decisions.statistics.time_constants import TICK_INTERVAL_NS
 from qos_gateway.types import (
     Action,
     Arrival,
@@ -43,8 +43,8 @@
     g.handle(0, full_list(backend(1)))
     assert isinstance(g.handle(START, arrival(1, START, cls))[0], Send)
     if answered:
-        g.handle(START + 8 * TICK, arrival(2, START + 8 * TICK, customer_id=2))
-        g.handle(START + 9 * TICK, ended(2, 1, elapsed=TICK))
+        g.handle(START + 8 * TICK_INTERVAL_NS, arrival(2, START + 8 * TICK_INTERVAL_NS, customer_id=2))
+        g.handle(START + 9 * TICK_INTERVAL_NS, ended(2, 1, elapsed=TICK_INTERVAL_NS))
     fit = g.model.fit
 
     def rise(now: int, in_flight: int, outstanding: list[OutstandingAttempt]) -> None:
@@ -52,9 +52,9 @@
         g.model.congested = risen
 
     g.model.fit = rise  # type: ignore[method-assign]
-    early = g.handle(START + 10 * TICK - MS, TimerFired(TICK_TIMER))
+    early = g.handle(START + 10 * TICK_INTERVAL_NS - MS, TimerFired(TICK_TIMER))
     assert not [a for a in early if isinstance(a, CancelAttempt | Fail | Reject)]
-    return g, g.handle(START + 10 * TICK, TimerFired(TICK_TIMER))
+    return g, g.handle(START + 10 * TICK_INTERVAL_NS, TimerFired(TICK_TIMER))
 
 
 @pytest.mark.parametrize(("cls", "end"), [(SAFE, Reject), (KEYED, Fail), (UNSAFE, Fail)])
@@ -64,7 +64,7 @@
     (final,) = (a for a in actions if isinstance(a, Fail | Reject))
     assert isinstance(final, end)
     assert final.request_id == 1
-    again = g.handle(START + 11 * TICK, TimerFired(TICK_TIMER))
+    again = g.handle(START + 11 * TICK_INTERVAL_NS, TimerFired(TICK_TIMER))
     assert not [a for a in again if isinstance(a, CancelAttempt | Fail | Reject | Send)]
 
 
@@ -99,8 +99,10 @@
 
 def test_calling_off_says_nothing_against_the_server() -> None:
     g, _ = pressed()
-    g.handle(START + 10 * TICK, ended(1, 1, Outcome.CANCELLED, finished=True))
+    g.handle(START + 10 * TICK_INTERVAL_NS, ended(1, 1, Outcome.CANCELLED, finished=True))
     assert g.load_balancer.endpoints[1].consecutive_failures == 0
     assert g.request_table.in_flight == 0
-    sent = g.handle(START + 11 * TICK, Arrival(9, SAFE, 0, 9, START + 40 * TICK, 1.0, 1, 0, 0))
+    sent = g.handle(
+        START + 11 * TICK_INTERVAL_NS, Arrival(9, SAFE, 0, 9, START + 40 * TICK_INTERVAL_NS, 1.0, 1, 0, 0)
+    )
     assert [a for a in sent if isinstance(a, Send | Reject)]
--- a/tests/decisions/test_load_balancer.py
+++ b/tests/decisions/test_load_balancer.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from qos_gateway.decisions.congestion.queue_model import TICK
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
+from qos_gateway.decisions.statistics.time_constants import TICK_INTERVAL_NS
 from qos_gateway.types import (
     Health,
     ListKind,
@@ -76,7 +76,7 @@
     engine.handle(MS, full_list(backend(5), backend(min(others), Health.DRAINING)))
     assert set(engine.load_balancer.endpoints) == {used, 5, min(others)}
     engine.handle(2 * MS, ended(1, used))
-    engine.handle(TICK, TimerFired(TICK_TIMER))
+    engine.handle(TICK_INTERVAL_NS, TimerFired(TICK_TIMER))
     assert set(engine.load_balancer.endpoints) == {5, min(others)}
 
 
--- a/tests/decisions/test_queue_model.py
+++ b/tests/decisions/test_queue_model.py
@@ -7,7 +7,8 @@
 from qos_gateway.decisions.admission.commitments import Goal, seven_cases
 from qos_gateway.decisions.congestion.mean_value_analysis import response_times
 from qos_gateway.decisions.congestion.outstanding_attempt import OutstandingAttempt
-from qos_gateway.decisions.congestion.queue_model import TICK, QueueModel
+from qos_gateway.decisions.congestion.queue_model import QueueModel
+from qos_gateway.decisions.statistics.time_constants import TICK_INTERVAL_NS
 from tests.support.builders import MS, SECOND, settings
 
 
@@ -97,7 +98,7 @@
         now = i * 500 * MS
         model.latency[0].add(now, (100 if i < 60 else 700) * MS)
         for tick in range(5):
-            model.fit(now + tick * TICK, 2, [])
+            model.fit(now + tick * TICK_INTERVAL_NS, 2, [])
     assert model.congested
     assert model.concurrency_limit is not None
 
@@ -111,7 +112,7 @@
         jam = 20 * SECOND <= now < 30 * SECOND
         model.latency[i % 3].add(now, (900 if jam else 100) * MS)
         for tick in range(3):
-            model.fit(now + tick * TICK, 3, [])
+            model.fit(now + tick * TICK_INTERVAL_NS, 3, [])
         risen.append(model.congested)
     assert any(risen[66:90])
     assert not any(risen[3 * 36 :])
--- a/tests/decisions/test_quota_by_counter.py
+++ b/tests/decisions/test_quota_by_counter.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from qos_gateway.decisions.congestion.queue_model import TICK
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
 from qos_gateway.decisions.quota.counter_total import IN_FLIGHT_UNIT
+from qos_gateway.decisions.statistics.time_constants import TICK_INTERVAL_NS
 from qos_gateway.types import (
     Action,
     AddToCounter,
@@ -179,7 +179,7 @@
     g.handle(2 * MS, CounterReplied(MS, Outcome.OK, call.key, call.amount))
     (back,) = [a for a in g.handle(3 * MS, ended(1, 1)) if isinstance(a, AddToCounter)]
     g.handle(4 * MS, CounterReplied(MS, Outcome.OVERLOADED, back.key, 0.0))
-    told = [a for i in range(20) for a in g.handle(i * TICK, TimerFired(TICK_TIMER))]
+    told = [a for i in range(20) for a in g.handle(i * TICK_INTERVAL_NS, TimerFired(TICK_TIMER))]
     assert [a.amount for a in told if isinstance(a, AddToCounter)] == [-IN_FLIGHT_UNIT]
 
 
--- a/tests/decisions/test_quota_by_owner.py
+++ b/tests/decisions/test_quota_by_owner.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from qos_gateway.decisions.admission.admission_controller import RESERVATION_TIMEOUT
+from qos_gateway.decisions.admission.admission_controller import RESERVATION_TIMEOUT_NS
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
 from qos_gateway.decisions.quota.peer_messages import (
     Reservation,
@@ -79,7 +79,7 @@
     asked = [a for i in range(5) for a in g.handle(MS, arrival(i, MS, customer_id=i, gateway_spread=MANY))]
     held = len(g.admission.awaiting_reservation)
     assert held == sum(isinstance(a, SendPeerMessage) for a in asked) > 0
-    after = g.handle(MS + RESERVATION_TIMEOUT, TimerFired(TICK_TIMER))
+    after = g.handle(MS + RESERVATION_TIMEOUT_NS, TimerFired(TICK_TIMER))
     assert sum(isinstance(a, Send | Reject) for a in after) == held
     assert not g.admission.awaiting_reservation
 
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -5,7 +5,7 @@
 import random
 from typing import Any
 
-from qos_gateway.decisions.admission.admission_controller import RESERVATION_TIMEOUT
+from qos_gateway.decisions.admission.admission_controller import RESERVATION_TIMEOUT_NS
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
 from qos_gateway.types import (
     Action,
@@ -78,7 +78,7 @@
             request, before = start + i, len(self.sent)
             spread = {"gateway_spread": len(self.gateways), **changes}
             self.give(now, position, arrival(request, now, **spread))
-            late = now + 2 * RESERVATION_TIMEOUT
+            late = now + 2 * RESERVATION_TIMEOUT_NS
             if request in self.gateways[position].request_table.open and len(self.sent) == before:
                 self.give(late, position, TimerFired(TICK_TIMER))
             for _, send in self.sent[before:]:
