--- a/qos_gateway/server/endpoint_list.py
+++ b/qos_gateway/server/endpoint_list.py
@@ -61,13 +61,13 @@
 
 def _parse_entry(host: dict[str, Any], zones: Sequence[str], machine_classes: Sequence[str]) -> Endpoint:
     return Endpoint(
-        endpoint_id(host["host"]),
-        _index_of(zones, host.get("site")),
-        _index_of(machine_classes, host.get("class")),
-        int(host.get("block", 0)),
-        _HEALTH[host["health"]],
-        float(host.get("share", 1.0)),
-        int(host.get("born_ms", 0)) * MILLISECOND,  # Unix time, as the engine's clock
+        id=endpoint_id(host["host"]),
+        zone=_index_of(zones, host.get("site")),
+        machine_class=_index_of(machine_classes, host.get("class")),
+        cell=int(host.get("block", 0)),
+        health=_HEALTH[host["health"]],
+        weight=float(host.get("share", 1.0)),
+        started_at=int(host.get("born_ms", 0)) * MILLISECOND,  # Unix time, as the engine's clock
     )
 
 
--- a/qos_gateway/server/open_requests.py
+++ b/qos_gateway/server/open_requests.py
@@ -146,15 +146,15 @@
         slot.request_number = number
         self._requests[number] = request
         arrival = Arrival(
-            number,
-            call.class_index,
-            call.plan_index,
-            call.customer_id,
-            deadline,
-            call.units,
-            call.gateway_spread,
-            call.first_gateway,
-            call.options,
+            request_id=number,
+            class_index=call.class_index,
+            plan_index=call.plan_index,
+            customer_id=call.customer_id,
+            deadline=deadline,
+            units=call.units,
+            gateway_spread=call.gateway_spread,
+            first_gateway=call.first_gateway,
+            options=call.options,
         )
         self._handle(arrival, number)
         if number in self._requests:
--- a/qos_gateway/server/request_attempts.py
+++ b/qos_gateway/server/request_attempts.py
@@ -105,7 +105,15 @@
 
     def _report_not_sent(self, action: Send, index: int, request_finished: bool) -> None:
         event = AttemptEnded(
-            action.request_id, request_finished, 0, action.endpoint, 0, Outcome.NOT_SENT, 0, index, ()
+            request_id=action.request_id,
+            request_finished=request_finished,
+            actual_units=0,
+            endpoint=action.endpoint,
+            quota_usage=0,
+            outcome=Outcome.NOT_SENT,
+            elapsed=0,
+            attempt=index,
+            load_report=(),
         )
         self._loop.call_soon(self._handle, event, action.request_id)
 
@@ -169,15 +177,15 @@
             self._answer_with(request, attempt, outcome, value)
         finished = request.closed or request.streaming_attempt is not None
         event = AttemptEnded(
-            number,
-            finished,
-            0,
-            attempt.backend,
-            _quota_usage(report),
-            outcome,
-            elapsed,
-            attempt.number,
-            load_report,
+            request_id=number,
+            request_finished=finished,
+            actual_units=0,
+            endpoint=attempt.backend,
+            quota_usage=_quota_usage(report),
+            outcome=outcome,
+            elapsed=elapsed,
+            attempt=attempt.number,
+            load_report=load_report,
         )
         self._handle(event, number)
         self._requests.forget_if_over(number, request)
--- a/qos_gateway/simulator/decoder.py
+++ b/qos_gateway/simulator/decoder.py
@@ -97,10 +97,20 @@
         raise ProtocolError(f"unknown list kind {kind} at byte {reader.base + reader.at}")
     raw = reader.take_bytes(count * _ENDPOINT.size, "topology")
     entries = []
-    for endpoint, zone, machine_class, cell, health, weight, started_at in _ENDPOINT.iter_unpack(raw):
+    for endpoint_id, zone, machine_class, cell, health, weight, started_at in _ENDPOINT.iter_unpack(raw):
         if health > max(Health):
             raise ProtocolError(f"unknown health {health} at byte {reader.base + reader.at}")
-        entries.append(Endpoint(endpoint, zone, machine_class, cell, Health(health), weight, started_at))
+        entries.append(
+            Endpoint(
+                id=endpoint_id,
+                zone=zone,
+                machine_class=machine_class,
+                cell=cell,
+                health=Health(health),
+                weight=weight,
+                started_at=started_at,
+            )
+        )
     return Topology(ListKind(kind), version, tuple(entries))
 
 
@@ -108,7 +118,15 @@
     values = reader.take(_ARRIVAL, "inbound")
     request_id, class_index, plan_index, customer_id, deadline, units, spread, first, options = values
     return Arrival(
-        request_id, class_index, plan_index, customer_id, deadline, units, int(spread), int(first), options
+        request_id=request_id,
+        class_index=class_index,
+        plan_index=plan_index,
+        customer_id=customer_id,
+        deadline=deadline,
+        units=units,
+        gateway_spread=int(spread),
+        first_gateway=int(first),
+        options=options,
     )
 
 
@@ -121,7 +139,17 @@
     request_id, finished, units, endpoint, usage, outcome_code, elapsed, attempt, report_size = values
     outcome = reader.outcome(outcome_code)
     report = reader.load_report(report_size)
-    return AttemptEnded(request_id, bool(finished), units, endpoint, usage, outcome, elapsed, attempt, report)
+    return AttemptEnded(
+        request_id=request_id,
+        request_finished=bool(finished),
+        actual_units=units,
+        endpoint=endpoint,
+        quota_usage=usage,
+        outcome=outcome,
+        elapsed=elapsed,
+        attempt=attempt,
+        load_report=report,
+    )
 
 
 def _client_disconnected(reader: _Reader) -> ClientDisconnected:
--- a/qos_gateway/types/events.py
+++ b/qos_gateway/types/events.py
@@ -39,7 +39,7 @@
     DRAINING = 2
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class Endpoint:
     """One entry of the endpoint list."""
 
@@ -61,7 +61,7 @@
     entries: tuple[Endpoint, ...]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class Arrival:
     """A client's request; exactly one final answer is owed before the deadline."""
 
@@ -91,7 +91,7 @@
     endpoint: int
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class AttemptEnded:
     """How one attempt ended."""
 
--- a/qos_gateway/types/settings.py
+++ b/qos_gateway/types/settings.py
@@ -22,7 +22,7 @@
     CELL = "cell"
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class RequestClass:
     """One class of request."""
 
@@ -41,7 +41,7 @@
         return self.idempotence is not Idempotence.NOT_IDEMPOTENT
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class Plan:
     """Quota of each customer of one plan, over all gateways; 0 means no such limit."""
 
@@ -57,7 +57,7 @@
     ceiling_slack: float  # ... and the units by which all gateways together may err
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class Settings:
     """All that decisions depend on and that does not change while the gateway runs."""
 
--- a/tests/decisions/test_late_requests.py
+++ b/tests/decisions/test_late_requests.py
@@ -10,7 +10,6 @@
 from qos_gateway.decisions.statistics.time_constants import TICK_INTERVAL_NS
 from qos_gateway.types import (
     Action,
-    Arrival,
     CancelAttempt,
     Fail,
     Outcome,
@@ -103,6 +102,7 @@
     assert g.load_balancer.endpoints[1].consecutive_failures == 0
     assert g.request_table.in_flight == 0
     sent = g.handle(
-        START + 11 * TICK_INTERVAL_NS, Arrival(9, SAFE, 0, 9, START + 40 * TICK_INTERVAL_NS, 1.0, 1, 0, 0)
+        START + 11 * TICK_INTERVAL_NS,
+        arrival(9, START, customer=9, deadline=START + 40 * TICK_INTERVAL_NS, gateway_spread=1),
     )
     assert [a for a in sent if isinstance(a, Send | Reject)]
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -17,7 +17,6 @@
 from qos_gateway.types import (
     AttemptEnded,
     CancelAttempt,
-    Endpoint,
     Event,
     Health,
     ListKind,
@@ -28,7 +27,7 @@
     TimerFired,
     Topology,
 )
-from tests.support.builders import MS, SECOND, arrival, plan, settings
+from tests.support.builders import MS, SECOND, arrival, backend, ended, plan, settings
 
 START = 100 * SECOND  # when endpoints start; list times of 0 mean a long time ago
 LEAD, WARM_UP, WINDOW = SECOND, 5 * SECOND, 2 * SECOND
@@ -135,7 +134,7 @@
 
     def topology(self, kind: ListKind) -> Topology:
         entries = tuple(
-            Endpoint(i, 0, 0, i % 4, Health.REMOVED if s.failed else Health.READY, 1.0, s.booted)
+            backend(i, Health.REMOVED if s.failed else Health.READY, s.booted, cell=i % 4)
             for i, s in self.endpoints.items()
         )
         return Topology(kind, 1, entries)
@@ -216,8 +215,13 @@
                     self.push(
                         now,
                         position,
-                        AttemptEnded(
-                            request, False, 0, endpoint_id, 0, Outcome.CANCELLED, now - since, attempt, ()
+                        ended(
+                            request,
+                            endpoint_id,
+                            Outcome.CANCELLED,
+                            attempt,
+                            elapsed=now - since,
+                            finished=False,
                         ),
                     )
                 case Send():
@@ -244,7 +248,7 @@
         self.push(
             at,
             position,
-            AttemptEnded(send.request_id, finished, 0, send.endpoint, 0, outcome, at - now, attempt, ()),
+            ended(send.request_id, send.endpoint, outcome, attempt, elapsed=at - now, finished=finished),
         )
 
     def worst_ratio(self) -> float:
--- a/tests/server/test_endpoint_directory.py
+++ b/tests/server/test_endpoint_directory.py
@@ -8,7 +8,8 @@
 from qos_gateway.server.config import Address
 from qos_gateway.server.discovery import EndpointUpdate
 from qos_gateway.server.endpoint_directory import EndpointDirectory
-from qos_gateway.types import Endpoint, Health, ListKind, Topology
+from qos_gateway.types import Health, ListKind, Topology
+from tests.support.builders import backend
 
 HERE: Address = ("127.0.0.1", 1)
 MOVED: Address = ("127.0.0.1", 2)
@@ -25,7 +26,7 @@
 
 
 def update(kind: ListKind, *entries: tuple[int, Health], address: Address = HERE) -> EndpointUpdate:
-    listed = tuple(Endpoint(number, 0, 0, 0, health, 1.0, 0) for number, health in entries)
+    listed = tuple(backend(number, health) for number, health in entries)
     return EndpointUpdate(Topology(kind, 1, listed), {number: address for number, _ in entries})
 
 
--- a/tests/server/test_endpoint_list.py
+++ b/tests/server/test_endpoint_list.py
@@ -28,7 +28,16 @@
     assert update.topology.version == 41
     number = endpoint_id("s-5be2a07c")
     started_at = 1_700_000_000_123_000_000
-    assert update.topology.entries == (Endpoint(number, 0, 1, 3, Health.DRAINING, 1.0, started_at),)
+    expected = Endpoint(
+        id=number,
+        zone=0,
+        machine_class=1,
+        cell=3,
+        health=Health.DRAINING,
+        weight=1.0,
+        started_at=started_at,
+    )
+    assert update.topology.entries == (expected,)
     assert update.addresses == {number: (LOOPBACK, 6379)}
 
 
--- a/tests/server/test_guards.py
+++ b/tests/server/test_guards.py
@@ -11,8 +11,9 @@
 from qos_gateway.server.repeat_guard import RepeatGuard
 from qos_gateway.server.send_guard import SendGuard
 from qos_gateway.server.start_guard import check_start, check_stop
-from qos_gateway.types import Action, Arrival, Endpoint, Health, Outcome, Reject, Send, Topology
+from qos_gateway.types import Action, Arrival, Health, Outcome, Reject, Send, Topology
 from qos_gateway.types.settings import IdempotencyScope, Settings
+from tests.support.builders import backend as listed_backend
 from tests.support.scripted_engine import only_backend, script_engine
 from tests.support.servers import (
     call_command,
@@ -83,7 +84,7 @@
 
 
 ENDPOINTS = {
-    number: Endpoint(number, zone, 0, cell, Health.READY, 1.0, 0)
+    number: listed_backend(number, cell=cell, zone=zone)
     for number, zone, cell in ((1, 0, 1), (2, 0, 2), (3, 1, 1))
 }
 
@@ -203,7 +204,7 @@
             connection, _ = await harness.backend.next_command()
             connection.send(success_reply(b"v"))
             assert await client.next_message() == b"v"
-            entry = Endpoint(backend, 0, 0, 0, Health.DRAINING, 1.0, 0)
+            entry = listed_backend(backend, Health.DRAINING)
             harness.gateway.backends.set_address(backend, None)
             harness.gateway.dispatcher.handle(Topology(0, 2, (entry,)))  # type: ignore[arg-type]
             client.send(call_command(number=2, wait_ms=100))
--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -26,16 +26,48 @@
 
 CLASSES = (
     RequestClass(
-        "read", SECOND, 3 * SECOND, 1.0, 0.0, Idempotence.IDEMPOTENT, IdempotencyScope.ALL, 5 * SECOND
+        name="read",
+        latency_objective=SECOND,
+        deadline=3 * SECOND,
+        priority_weight=1.0,
+        late_priority_weight=0.0,
+        idempotence=Idempotence.IDEMPOTENT,
+        idempotency_scope=IdempotencyScope.ALL,
+        idempotency_window=5 * SECOND,
     ),
     RequestClass(
-        "submit", SECOND, 3 * SECOND, 2.0, 0.0, Idempotence.KEYED, IdempotencyScope.CELL, 2 * SECOND
+        name="submit",
+        latency_objective=SECOND,
+        deadline=3 * SECOND,
+        priority_weight=2.0,
+        late_priority_weight=0.0,
+        idempotence=Idempotence.KEYED,
+        idempotency_scope=IdempotencyScope.CELL,
+        idempotency_window=2 * SECOND,
     ),
     RequestClass(
-        "charge", SECOND, 3 * SECOND, 4.0, 0.0, Idempotence.NOT_IDEMPOTENT, IdempotencyScope.ALL, 5 * SECOND
+        name="charge",
+        latency_objective=SECOND,
+        deadline=3 * SECOND,
+        priority_weight=4.0,
+        late_priority_weight=0.0,
+        idempotence=Idempotence.NOT_IDEMPOTENT,
+        idempotency_scope=IdempotencyScope.ALL,
+        idempotency_window=5 * SECOND,
     ),
 )
-PLAN = Plan("p", 10.0, 20.0, 0, 1.0, 0.0, 1.0, 0.0, 0.0, 0.0)
+PLAN = Plan(
+    name="p",
+    rate=10.0,
+    burst=20.0,
+    max_in_flight=0,
+    weight_factor=1.0,
+    excess_weight=0.0,
+    excess_cost=1.0,
+    ceiling_rate=0.0,
+    ceiling_burst=0.0,
+    ceiling_slack=0.0,
+)
 SETTINGS = Settings(
     classes=CLASSES,
     plans=(PLAN,),
@@ -74,8 +106,12 @@
     return replace(PLAN, **changes)
 
 
-def backend(number: int, health: Health = Health.READY, booted: int = 0, cell: int = 0) -> Endpoint:
-    return Endpoint(number, 0, 0, cell, health, 1.0, booted)
+def backend(
+    number: int, health: Health = Health.READY, booted: int = 0, cell: int = 0, zone: int = 0
+) -> Endpoint:
+    return Endpoint(
+        id=number, zone=zone, machine_class=0, cell=cell, health=health, weight=1.0, started_at=booted
+    )
 
 
 def full_list(*entries: Endpoint, kind: ListKind = ListKind.FULL) -> Topology:
@@ -83,7 +119,17 @@
 
 
 def arrival(request: int, now: int, cls: int = SAFE, customer: int = 1, **changes: Any) -> Arrival:
-    made = Arrival(request, cls, 0, customer, now + 3 * SECOND, 1.0, 2, 0, 0)
+    made = Arrival(
+        request_id=request,
+        class_index=cls,
+        plan_index=0,
+        customer_id=customer,
+        deadline=now + 3 * SECOND,
+        units=1.0,
+        gateway_spread=2,
+        first_gateway=0,
+        options=0,
+    )
     return replace(made, **changes)
 
 
@@ -96,4 +142,14 @@
     finished: bool | None = None,
 ) -> AttemptEnded:
     over = outcome is Outcome.OK if finished is None else finished
-    return AttemptEnded(request, over, 0, server, 0, outcome, elapsed, attempt, ())
+    return AttemptEnded(
+        request_id=request,
+        request_finished=over,
+        actual_units=0,
+        endpoint=server,
+        quota_usage=0,
+        outcome=outcome,
+        elapsed=elapsed,
+        attempt=attempt,
+        load_report=(),
+    )
