--- a/benchmarks/connection_counts.py
+++ b/benchmarks/connection_counts.py
@@ -54,7 +54,7 @@
     engine.handle(START, Topology(ListKind.FULL, 1, entries))
     load_balancer = engine.load_balancer
     by_gateway = []
-    by_endpoint = dict.fromkeys(load_balancer.ring, 0)
+    by_endpoint = dict.fromkeys(load_balancer.registry.ring, 0)
     for position in range(shape.gateways):
         # The ring is the same at every gateway; only the position on it differs.
         load_balancer.settings = replace(load_balancer.settings, position=position)
--- a/qos_gateway/decisions/load_balancing/endpoint_registry.py
+++ b/qos_gateway/decisions/load_balancing/endpoint_registry.py
@@ -2,40 +2,43 @@
 
 from __future__ import annotations
 
+import random
 from bisect import bisect_left
-from collections.abc import Callable
+from collections.abc import Iterable, Mapping
 
 from ...types import Endpoint, Health, ListKind, Topology
+from ..snapshot import EndpointSnapshot
 from .endpoint_state import EndpointState
 
-NewEndpointState = Callable[[int, Endpoint], EndpointState]  # given the time and the entry of the list
-
 
 class EndpointRegistry:
-    """Endpoints by id, and which of them are usable, in slow start, off the list or disabled."""
+    """Endpoints by id, and which of them are usable, unlisted or disabled."""
 
-    def __init__(self, new_state: NewEndpointState) -> None:
-        """Let `new_state` create the state of each endpoint that is new or was restarted."""
-        self._new_state = new_state
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
         self.endpoints: dict[int, EndpointState] = {}
-        self.admin_disabled: dict[int, int] = {}  # since when; operators' settings outlast those of the list
+        self.admin_disabled: dict[int, int] = {}  # by operators, since when; independent of the endpoint list
         self.ring: list[int] = []  # sorted ids of all usable endpoints: the same order at every gateway
-        self.warming_up: set[int] = set()  # ids on the ring whose slow start may not be over
-        self.unlisted: set[int] = set()  # ids known but off the list
+        self.unlisted: set[int] = set()  # ids known but not on the endpoint list
+
+    def _new_state(self, now: int, endpoint: Endpoint) -> EndpointState:
+        # A random part of a token: many gateways that start with a whole one would send at the same time.
+        return EndpointState(endpoint, slow_start_tokens=self._rng.random(), slow_start_tokens_at=now)
 
-    def update_list(self, now: int, event: Topology) -> None:
-        """Apply a whole list or the changes to it."""
+    def update_list(self, now: int, event: Topology) -> set[int]:
+        """Apply a full list or the changes to it; return the ids of endpoints that may have changed."""
         changed = {entry.id for entry in event.entries}
-        is_whole = event.kind in (ListKind.FULL, ListKind.CACHED)
-        if is_whole:
+        is_full = event.kind in (ListKind.FULL, ListKind.CACHED)
+        if is_full:
             self._unlist_all_except(changed)
             changed |= self.endpoints.keys()
         for entry in event.entries:
             self._update_entry(now, entry)
-        if is_whole:  # sorted once: insertion one by one takes quadratic time
-            self.ring = sorted(endpoint_id for endpoint_id in changed if self._is_usable(endpoint_id))
+        if is_full:  # sorted once: insertion one by one takes quadratic time
+            self.ring = sorted(endpoint_id for endpoint_id in changed if self.is_usable(endpoint_id))
         for endpoint_id in changed:
-            self.reindex(endpoint_id)
+            self._reindex(endpoint_id)
+        return changed
 
     def _unlist_all_except(self, listed: set[int]) -> None:
         for endpoint_id, state in self.endpoints.items():
@@ -57,12 +60,12 @@
         )
 
     def set_enabled(self, now: int, endpoint_id: int, enabled: bool) -> None:
-        """Take an endpoint out of use whatever the list reports, or put it back into use with a new state."""
+        """Disable an endpoint whatever the list reports, or enable it with a new state."""
         if enabled:
             self._enable(now, endpoint_id)
         else:
             self.admin_disabled.setdefault(endpoint_id, now)
-        self.reindex(endpoint_id)
+        self._reindex(endpoint_id)
 
     def _enable(self, now: int, endpoint_id: int) -> None:
         disabled_at = self.admin_disabled.pop(endpoint_id, 0)
@@ -72,23 +75,19 @@
             state.continue_after_disabling(previous, now, disabled_at)
             self.endpoints[endpoint_id] = state
 
-    def reindex(self, endpoint_id: int) -> None:
-        """Update the indexes after a change of one endpoint, at a cost independent of their length."""
+    def _reindex(self, endpoint_id: int) -> None:
+        """Update the indexes after a change of one endpoint, without a scan of the other endpoints."""
         state = self.endpoints.get(endpoint_id)
         if state is None:
             return
-        is_usable = self._is_usable(endpoint_id)
-        self._place_on_ring(endpoint_id, is_usable)
-        if is_usable and state.slow_start_at > 0:
-            self.warming_up.add(endpoint_id)
-        else:
-            self.warming_up.discard(endpoint_id)
+        self._place_on_ring(endpoint_id, self.is_usable(endpoint_id))
         if state.listed:
             self.unlisted.discard(endpoint_id)
         else:
             self.unlisted.add(endpoint_id)
 
-    def _is_usable(self, endpoint_id: int) -> bool:
+    def is_usable(self, endpoint_id: int) -> bool:
+        """Return whether a known endpoint is in service and not disabled; it may be ejected."""
         return self.endpoints[endpoint_id].in_service and endpoint_id not in self.admin_disabled
 
     def _place_on_ring(self, endpoint_id: int, is_usable: bool) -> None:
@@ -107,8 +106,31 @@
         )
 
     def forget_unlisted(self) -> None:
-        """Drop unlisted endpoints without attempts in flight, or memory would grow with every new id."""
+        """Drop unlisted endpoints without attempts in flight, which bounds memory."""
         unused = [i for i in self.unlisted if not self.endpoints[i].in_flight]
         for endpoint_id in unused:
             self.unlisted.discard(endpoint_id)
             del self.endpoints[endpoint_id]
+
+    def capture(self) -> tuple[EndpointSnapshot, ...]:
+        """Return the state of all endpoints, whose slow start tokens move to the next process."""
+        snapshots = tuple(state.capture() for state in self.endpoints.values())
+        for state in self.endpoints.values():
+            state.drop_slow_start_tokens()
+        return snapshots
+
+    def restore(
+        self, now: int, snapshots: Iterable[EndpointSnapshot], admin_disabled: Mapping[int, int]
+    ) -> set[int]:
+        """Restore endpoints that were not restarted since; return ids of endpoints that may have changed."""
+        captured = set()
+        for snapshot in snapshots:
+            captured.add(snapshot.endpoint)
+            state = self.endpoints.get(snapshot.endpoint)
+            if state is not None and state.is_same_start(snapshot):
+                state.restore(now, snapshot)
+        self.admin_disabled.update(admin_disabled)
+        changed = self.admin_disabled.keys() | captured
+        for endpoint_id in changed:
+            self._reindex(endpoint_id)
+        return changed
--- a/qos_gateway/decisions/load_balancing/endpoint_state.py
+++ b/qos_gateway/decisions/load_balancing/endpoint_state.py
@@ -4,8 +4,15 @@
 
 from dataclasses import dataclass, field
 
-from ...types import Endpoint
+from ...types import Endpoint, Health
+from ...units import SECOND
+from ..snapshot import EndpointSnapshot, MeanSnapshot
 from ..statistics.decaying_mean import DecayingMean
+from ..statistics.time_constants import LONG_MEMORY_NS, SHORT_MEMORY_NS
+
+BASE_EJECTION_TIME_NS = SECOND // 2  # of the first ejection, doubled by each further one without a success
+MAX_EJECTION_TIME_NS = 8 * SECOND
+OVERLOAD_MEMORY_NS = LONG_MEMORY_NS  # time for which an endpoint counts as overloaded after a rejection
 
 ClassAndPlan = tuple[int, int]  # indexes of a request class and of a customer's plan in the settings
 
@@ -23,10 +30,11 @@
     """One endpoint as this gateway observes it; times are in ns, 0 for never."""
 
     endpoint: Endpoint
-    slowness: DecayingMean  # latency relative to the mean of the request's class
-    ejection_time: int  # length of the next ejection
     slow_start_tokens: float  # attempts that may be sent during slow start
     slow_start_tokens_at: int  # time of the last refill
+    # Latency relative to the mean of the request's class.
+    slowness: DecayingMean = field(default_factory=lambda: DecayingMean(SHORT_MEMORY_NS))
+    ejection_time: int = BASE_EJECTION_TIME_NS  # length of the next ejection
     in_service: bool = True  # reported as ready
     listed: bool = True
     in_flight: int = 0  # attempts of this gateway
@@ -41,14 +49,14 @@
 
     @property
     def slow_start_at(self) -> int:
-        """Start of the slow start window, 0 for long ago."""
+        """Start of the slow start window, 0 if it is over or unknown."""
         reported = self.endpoint.started_at
         assumed = self.assumed_start
         # No call of max(): this is read several times for each endpoint of the subset at each request.
         return reported if reported > assumed else assumed
 
     def update(self, endpoint: Endpoint, *, in_service: bool, listed: bool) -> None:
-        """Take over a new entry of the endpoint list."""
+        """Apply a new entry of the endpoint list."""
         self.endpoint = endpoint
         self.in_service = in_service
         self.listed = listed
@@ -59,16 +67,16 @@
         self.listed = False
 
     def continue_after_restart(self, previous: EndpointState) -> None:
-        """Take over what a restart of the endpoint leaves valid of its state before."""
+        """Copy from the state before a restart of the endpoint what is still valid."""
         self.in_flight = previous.in_flight
         self.disabled_at = previous.disabled_at
         if self.endpoint.started_at < previous.disabled_at:
             self.assumed_start = previous.assumed_start
 
     def continue_after_disabling(self, previous: EndpointState, now: int, disabled_at: int) -> None:
-        """Take over what a disabling since `disabled_at` leaves valid of the state before.
+        """Copy from the state before a disabling since `disabled_at` what is still valid.
 
-        The endpoint may have been restarted meanwhile and the list may be late, so slow start is assumed to
+        The endpoint may have been restarted since and the list may be late, so slow start is assumed to
         begin now unless a start since `disabled_at` is known.
         """
         self.in_service = previous.in_service
@@ -78,23 +86,81 @@
         if self.endpoint.started_at < disabled_at:
             self.assumed_start = now
 
-    def eject(self, now: int, max_ejection_time: int) -> None:
-        """Eject the endpoint, and double the time of the next ejection up to `max_ejection_time`."""
+    def attempt_started(self) -> None:
+        """Count an attempt in flight."""
+        self.in_flight += 1
+
+    def attempt_ended(self) -> None:
+        """Stop counting an attempt in flight."""
+        self.in_flight = max(0, self.in_flight - 1)
+
+    def eject(self, now: int) -> None:
+        """Eject the endpoint, and double the time of its next ejection up to `MAX_EJECTION_TIME_NS`."""
         self.ejected_until = now + self.ejection_time
-        self.ejection_time = min(max_ejection_time, 2 * self.ejection_time)
+        self.ejection_time = min(MAX_EJECTION_TIME_NS, 2 * self.ejection_time)
+
+    def record_failure(self) -> None:
+        """Count a failed attempt."""
+        self.consecutive_failures += 1
 
-    def record_success(self, now: int, sent_at: int, slowness: float, base_ejection_time: int) -> None:
+    def record_success(self, now: int, sent_at: int, slowness: float) -> None:
         """Record a successful attempt; `slowness` is its latency relative to the mean of its class.
 
-        Failures are counted anew, and the next ejection lasts `base_ejection_time`.
+        The count of failures starts again, and the next ejection lasts `BASE_EJECTION_TIME_NS`.
         """
         self.consecutive_failures = 0
-        self.ejection_time = base_ejection_time
+        self.ejection_time = BASE_EJECTION_TIME_NS
         self.last_response_at = now
         self.latest_answered_send = max(self.latest_answered_send, sent_at)
         self.slowness.add(now, slowness)
 
+    def record_class_result(self, now: int, class_index: int, unanswered: float) -> None:
+        """Record whether an attempt of a request class was answered (0.0) or timed out (1.0)."""
+        self.last_result_by_class[class_index] = ClassResult(now, unanswered)
+
+    def record_overload(self, now: int, class_and_plan: ClassAndPlan) -> None:
+        """Record that the endpoint rejected an attempt of a class and plan."""
+        self.overloaded_until[class_and_plan] = now + OVERLOAD_MEMORY_NS
+
     def refill_slow_start_tokens(self, now: int, tokens: float, capacity: float) -> None:
         """Add slow start tokens up to `capacity`."""
         self.slow_start_tokens = min(capacity, self.slow_start_tokens + tokens)
         self.slow_start_tokens_at = now
+
+    def take_slow_start_token(self) -> None:
+        """Remove one slow start token; the number may become negative."""
+        self.slow_start_tokens -= 1.0
+
+    def drop_slow_start_tokens(self) -> None:
+        """Remove all slow start tokens."""
+        self.slow_start_tokens = 0.0
+
+    def capture(self) -> EndpointSnapshot:
+        """Return what the next process needs of this state."""
+        return EndpointSnapshot(
+            endpoint=self.endpoint.id,
+            started_at=self.endpoint.started_at,
+            ejected_until=self.ejected_until,
+            ejection_time=self.ejection_time,
+            consecutive_failures=self.consecutive_failures,
+            slow_start_tokens=self.slow_start_tokens,
+            disabled_at=self.disabled_at,
+            assumed_start=self.assumed_start,
+            slowness=MeanSnapshot.of(self.slowness),
+        )
+
+    def is_same_start(self, snapshot: EndpointSnapshot) -> bool:
+        """Return whether the endpoint is not removed and was not restarted since the snapshot."""
+        listed = self.endpoint
+        return listed.started_at == snapshot.started_at and listed.health is not Health.REMOVED
+
+    def restore(self, now: int, snapshot: EndpointSnapshot) -> None:
+        """Continue the state that the previous process captured."""
+        self.ejected_until = snapshot.ejected_until
+        self.ejection_time = snapshot.ejection_time
+        self.consecutive_failures = snapshot.consecutive_failures
+        self.slow_start_tokens = snapshot.slow_start_tokens
+        self.slow_start_tokens_at = now
+        self.disabled_at = snapshot.disabled_at
+        self.assumed_start = snapshot.assumed_start
+        self.slowness = snapshot.slowness.to_mean()
--- a/qos_gateway/decisions/load_balancing/outlier_ejection.py
+++ b/qos_gateway/decisions/load_balancing/outlier_ejection.py
@@ -2,86 +2,88 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
 from math import ceil, log
 
 from ...types import Outcome
-from ...units import SECOND
-from ..requests.request_state import RequestState
-from .endpoint_observations import EndpointObservations
+from ..statistics.decaying_mean import DecayingMean
+from ..statistics.time_constants import LONG_MEMORY_NS
 from .endpoint_state import EndpointState
-from .zones import UnresponsiveZone
+from .zones import RequestT, UnresponsiveZone, ZoneTable
 
-BASE_EJECTION_TIME_NS = SECOND // 2  # of the first ejection, doubled by each that follows without a success
-MAX_EJECTION_TIME_NS = 8 * SECOND
 FAILURES_TO_EJECT = 2  # consecutive: a single one may be a coincidence
 SIGNIFICANCE_LEVEL = 0.005  # resets in a row less likely than this are no coincidence
-MAX_RESET_RATIO = 0.5  # of all attempts: where more are reset, more in a row tell nothing
-RESET_PRIOR_WEIGHT = 3.0  # attempts without a reset that the mean starts from
-UNRESPONSIVE_AFTER_LATENCIES = 2.0  # mean latencies after which a zone without responses is suspected ...
-UNRESPONSIVE_MIN_ENDPOINTS = 3  # ... and so many endpoints with overdue responses confirm that
-RESPONSES = (Outcome.OK, Outcome.ERROR, Outcome.OVERLOADED)  # that the zone of the endpoint sent
-RESET_SAMPLES = (Outcome.OK, Outcome.ERROR, Outcome.RESET)  # attempts that were not rejected and got an end
+MAX_RESET_RATIO = 0.5  # of all attempts: bounds the number of consecutive resets that eject
+RESET_PRIOR_WEIGHT = 3.0  # attempts without a reset that the ratio starts from
+UNRESPONSIVE_AFTER_LATENCIES = 2.0  # mean latencies after which a response is overdue
+UNRESPONSIVE_MIN_ENDPOINTS = 3  # with overdue responses, for their zone to count as unresponsive
+RESPONSES = (Outcome.OK, Outcome.ERROR, Outcome.OVERLOADED)  # sent by an endpoint of the zone
+RESET_SAMPLES = (Outcome.OK, Outcome.ERROR, Outcome.RESET)  # attempts that were executed or failed
 NOT_FAILED = (Outcome.OK, Outcome.OVERLOADED, Outcome.CANCELLED, Outcome.NOT_SENT)
 
 
-def record_outcome(
-    now: int, observations: EndpointObservations, state: EndpointState, outcome: Outcome
-) -> None:
-    """Record how an attempt at an endpoint ended, and eject it when it has failed too often in a row."""
-    if outcome in RESPONSES:
-        observations.zones.record_response(now, state.endpoint.zone)
-    if outcome in RESET_SAMPLES:
-        observations.reset_ratio.add(now, float(outcome is not Outcome.OK))
-    if outcome not in NOT_FAILED:
-        state.consecutive_failures += 1
-        if state.consecutive_failures >= _failures_to_eject(now, observations, outcome):
-            state.eject(now, MAX_EJECTION_TIME_NS)
+class OutlierEjection:
+    """Ejects endpoints and whole zones by the outcomes of this gateway's attempts."""
 
+    def __init__(self) -> None:
+        self.zones = ZoneTable()
+        self.reset_ratio = DecayingMean(LONG_MEMORY_NS)  # resets and errors among these and successes
 
-def _failures_to_eject(now: int, observations: EndpointObservations, outcome: Outcome) -> int:
-    """Return the number of consecutive failures that eject an endpoint.
+    def record_outcome(self, now: int, state: EndpointState, outcome: Outcome) -> None:
+        """Record how an attempt ended; eject its endpoint after too many consecutive failures."""
+        if outcome in RESPONSES:
+            self.zones.record_response(now, state.endpoint.zone)
+        if outcome in RESET_SAMPLES:
+            self.reset_ratio.add(now, float(outcome is not Outcome.OK))
+        if outcome not in NOT_FAILED:
+            state.record_failure()
+            if state.consecutive_failures >= self._failures_to_eject(now, outcome):
+                state.eject(now)
 
-    Where attempts are reset everywhere, several in a row may be a coincidence, and to eject those endpoints
-    would overload the others.
-    """
-    if outcome is Outcome.CONNECT_FAILED:
-        return 1
-    if outcome is Outcome.TIMEOUT:
-        return FAILURES_TO_EJECT
-    mean = observations.reset_ratio.mean_with_prior(now, 0.0, RESET_PRIOR_WEIGHT)
-    ratio = min(MAX_RESET_RATIO, max(SIGNIFICANCE_LEVEL, mean))
-    return max(FAILURES_TO_EJECT, ceil(log(SIGNIFICANCE_LEVEL) / log(ratio)))
+    def _failures_to_eject(self, now: int, outcome: Outcome) -> int:
+        """Return the number of consecutive failures that eject an endpoint.
 
+        Where attempts at all endpoints are reset, several in a row may be a coincidence, and ejecting those
+        endpoints would overload the others.
+        """
+        if outcome is Outcome.CONNECT_FAILED:
+            return 1
+        if outcome is Outcome.TIMEOUT:
+            return FAILURES_TO_EJECT
+        mean = self.reset_ratio.mean_with_prior(now, 0.0, RESET_PRIOR_WEIGHT)
+        ratio = min(MAX_RESET_RATIO, max(SIGNIFICANCE_LEVEL, mean))
+        return max(FAILURES_TO_EJECT, ceil(log(SIGNIFICANCE_LEVEL) / log(ratio)))
 
-def detect_unresponsive_zones(
-    now: int, observations: EndpointObservations, requests: Iterable[RequestState]
-) -> list[UnresponsiveZone]:
-    """Find zones that stopped responding just now while others respond, and eject their endpoints.
+    def was_lost_with_zone(self, zone: int, sent_at: int) -> bool:
+        """Return whether an attempt was in flight to a zone when that was found unresponsive."""
+        return self.zones.was_unresponsive_after(zone, sent_at)
 
-    A zone that is cut off still accepts writes on open connections: to find its endpoints one by one would
-    cost a request for each such connection.
-    """
-    overdue: dict[int, list[RequestState]] = {}
-    for request in requests:
-        due_after = UNRESPONSIVE_AFTER_LATENCIES * request.expected_latency
-        if now - request.last_attempt_at < due_after or not (request.attempts_in_flight and due_after):
-            continue
-        state = observations.endpoints.get(request.last_endpoint)
-        if state and observations.zones.only_others_responded(state.endpoint.zone, request.last_attempt_at):
-            overdue.setdefault(state.endpoint.zone, []).append(request)
-    return [
-        _eject_zone(now, observations, zone, waiting)
-        for zone, waiting in overdue.items()
-        if len({request.last_endpoint for request in waiting}) >= UNRESPONSIVE_MIN_ENDPOINTS
-    ]
+    def detect_unresponsive_zones(
+        self, now: int, endpoints: Mapping[int, EndpointState], requests: Iterable[RequestT]
+    ) -> list[UnresponsiveZone[RequestT]]:
+        """Find zones that have stopped responding while others respond, and eject their endpoints.
 
+        An unreachable zone still accepts writes on open connections: to detect its endpoints one by one
+        would cost a request for each such connection.
+        """
+        overdue: dict[int, list[RequestT]] = {}
+        for request in requests:
+            due_after = UNRESPONSIVE_AFTER_LATENCIES * request.expected_latency
+            if now - request.last_attempt_at < due_after or not (request.attempts_in_flight and due_after):
+                continue
+            state = endpoints.get(request.last_endpoint)
+            if state and self.zones.only_others_responded(state.endpoint.zone, request.last_attempt_at):
+                overdue.setdefault(state.endpoint.zone, []).append(request)
+        return [
+            UnresponsiveZone(zone, waiting, self._eject_zone(now, endpoints, zone))
+            for zone, waiting in overdue.items()
+            if len({request.last_endpoint for request in waiting}) >= UNRESPONSIVE_MIN_ENDPOINTS
+        ]
 
-def _eject_zone(
-    now: int, observations: EndpointObservations, zone: int, waiting: list[RequestState]
-) -> UnresponsiveZone:
-    observations.zones.record_unresponsive(now, zone)
-    in_zone = [s for s in observations.endpoints.values() if s.endpoint.zone == zone and s.in_service]
-    for state in in_zone:
-        state.eject(now, MAX_EJECTION_TIME_NS)
-    return UnresponsiveZone(zone, waiting, [state.endpoint.id for state in in_zone])
+    def _eject_zone(self, now: int, endpoints: Mapping[int, EndpointState], zone: int) -> list[int]:
+        """Eject all endpoints of a zone that are in service; return their ids."""
+        self.zones.record_unresponsive(now, zone)
+        in_zone = [s for s in endpoints.values() if s.endpoint.zone == zone and s.in_service]
+        for state in in_zone:
+            state.eject(now)
+        return [state.endpoint.id for state in in_zone]
--- a/qos_gateway/decisions/load_balancing/slow_start.py
+++ b/qos_gateway/decisions/load_balancing/slow_start.py
@@ -1,38 +1,107 @@
-"""Slow start: a token bucket limits the attempts at each endpoint that was started a short while ago."""
+"""Slow start: a token bucket limits the attempts at each endpoint that was started recently."""
 
 from __future__ import annotations
 
-from ...types import Settings
+from collections.abc import Mapping
+
+from ...types import Outcome, Settings
 from ...units import SECOND
-from .endpoint_observations import EndpointObservations
+from ..snapshot import MeanSnapshot
+from ..statistics.decaying_mean import DecayingMean
+from ..statistics.time_constants import SHORT_MEMORY_NS
 from .endpoint_state import EndpointState
 
-RATE_MULTIPLE = 1.4  # token rate at full capacity, relative to the completion rate of a warm endpoint ...
-OVERLOAD_FRACTION = 0.7  # ... and at most this fraction of the multiple of its capacity that overloads it
-REFILL_WINDOW_S = 1.0  # s for which tokens accrue while nothing is to be sent there
+RATE_MULTIPLE = 1.4  # token rate at full capacity, relative to the completion rate of a warm endpoint
+OVERLOAD_FRACTION = 0.7  # upper bound of that rate, as a fraction of the rate that overloads an endpoint
+REFILL_WINDOW_S = 1.0  # longest time for which tokens accrue
 MAX_TOKENS = 2.0  # burst at one endpoint: other gateways may burst at the same time
-REENABLED_MIN_RATE_PER_S = 0.4  # least token rate after an administrative disabling: soon in use ...
-REENABLED_TOTAL_MIN_RATE_PER_S = 2.0  # ... and the limit of that over all gateways
+REENABLED_MIN_RATE_PER_S = 0.4  # least token rate of one gateway after an administrative disabling
+REENABLED_TOTAL_MIN_RATE_PER_S = 2.0  # upper bound of these least rates over all gateways
+WORKED_ON = (Outcome.OK, Outcome.CANCELLED)  # attempts that took an endpoint's capacity
+NO_HANDOVER_FRACTION = 1.0  # all tokens belong to this process
+
+
+class SlowStart:
+    """Which endpoints warm up, and how many attempts each of them may be sent."""
+
+    def __init__(self, settings: Settings) -> None:
+        self.settings = settings
+        self.warming_up: set[int] = set()  # ids of usable endpoints whose slow start may not be over
+        # Completions, not attempts sent: under overload far more are sent than endpoints can complete.
+        self.warm_completions = DecayingMean(SHORT_MEMORY_NS)
+        self.warm_endpoints = DecayingMean(SHORT_MEMORY_NS)  # their number, over the same time
+        self.warm_endpoints.updated_at = -SHORT_MEMORY_NS  # gives the first endpoint list full weight
+        self.handover_fraction = NO_HANDOVER_FRACTION  # fraction of the tokens that belongs to this process
+
+    def fraction(self, now: int, state: EndpointState) -> float:
+        """Estimate which fraction of its capacity an endpoint has at least reached, 1 after slow start."""
+        started_at = state.slow_start_at
+        window = self.settings.slow_start_window
+        if not started_at or now - started_at >= window:
+            return 1.0
+        initial = self.settings.initial_capacity_fraction
+        return initial + (1.0 - initial) * max(0, now - started_at) / window
+
+    def track(self, state: EndpointState, is_usable: bool) -> None:
+        """Update the set of endpoints that warm up after a change of one endpoint."""
+        if is_usable and state.slow_start_at > 0:
+            self.warming_up.add(state.endpoint.id)
+        else:
+            self.warming_up.discard(state.endpoint.id)
+
+    def drop_warmed_up(self, now: int, endpoints: Mapping[int, EndpointState]) -> None:
+        """Drop endpoints whose slow start is over from the set of those that warm up."""
+        self.warming_up -= {i for i in self.warming_up if self.fraction(now, endpoints[i]) >= 1.0}
+
+    def record_warm_endpoints(self, now: int, count: float) -> None:
+        """Record the number of warm endpoints, weighted by the time since the last record."""
+        elapsed = (now - self.warm_endpoints.updated_at) / self.warm_endpoints.time_constant
+        self.warm_endpoints.add(now, count, min(1.0, elapsed))
+
+    def attempt_started(self, now: int, state: EndpointState) -> None:
+        """Take a token for an attempt at an endpoint in slow start."""
+        if self.fraction(now, state) < 1.0:
+            state.take_slow_start_token()
+
+    def attempt_ended(self, now: int, state: EndpointState, outcome: Outcome) -> None:
+        """Count an attempt that a warm endpoint completed, or worked on until it was cancelled."""
+        if outcome in WORKED_ON and self.fraction(now, state) >= 1.0:
+            self.warm_completions.add(now, 1.0)
+
+    def has_token(self, now: int, state: EndpointState, fraction: float) -> bool:
+        """Refill the bucket of an endpoint that has reached a fraction of its capacity; check for a token."""
+        rate = max(self._min_rate(state), fraction * self._rate_at_capacity(now))
+        elapsed_s = min(REFILL_WINDOW_S, (now - state.slow_start_tokens_at) / SECOND)
+        state.refill_slow_start_tokens(now, rate * elapsed_s * self.handover_fraction, MAX_TOKENS)
+        return state.slow_start_tokens >= 1.0
 
+    def _rate_at_capacity(self, now: int) -> float:
+        """Return this gateway's share of a warm endpoint's completions, times a multiple below overload.
 
-def has_token(now: int, observations: EndpointObservations, state: EndpointState, fraction: float) -> bool:
-    """Refill the bucket of an endpoint that has reached a fraction of its capacity, and check for a token."""
-    rate = max(_min_rate(observations.settings, state), fraction * _rate_at_capacity(now, observations))
-    elapsed_s = min(REFILL_WINDOW_S, (now - state.slow_start_tokens_at) / SECOND)
-    state.refill_slow_start_tokens(now, rate * elapsed_s * observations.handover_fraction, MAX_TOKENS)
-    return state.slow_start_tokens >= 1.0
+        Warm endpoints never complete more than their capacity, so the sum of all gateways' shares is bounded.
+        """
+        multiple = max(1.0, min(RATE_MULTIPLE, OVERLOAD_FRACTION * self.settings.overload_multiple))
+        return self._completions_per_warm_endpoint(now) * multiple
 
+    def _completions_per_warm_endpoint(self, now: int) -> float:
+        """Return the completions per second of a warm endpoint, by the mean over all."""
+        return self.warm_completions.rate(now) / (self.warm_endpoints.value or 1.0)
 
-def _rate_at_capacity(now: int, observations: EndpointObservations) -> float:
-    """Return this gateway's share of what a warm endpoint completes, times what is well inside overload.
+    def _min_rate(self, state: EndpointState) -> float:
+        if state.disabled_at <= 0:
+            return 0.0
+        return min(REENABLED_MIN_RATE_PER_S, REENABLED_TOTAL_MIN_RATE_PER_S / self.settings.gateway_count)
 
-    Warm endpoints never complete more than their capacity, whatever is sent to them: all shares stay inside.
-    """
-    multiple = max(1.0, min(RATE_MULTIPLE, OVERLOAD_FRACTION * observations.settings.overload_multiple))
-    return observations.completions_per_warm_endpoint(now) * multiple
+    def capture(self, outgoing_fraction: float) -> MeanSnapshot:
+        """Return the completions of warm endpoints; this process keeps a fraction of the token rate."""
+        self.handover_fraction = outgoing_fraction
+        return MeanSnapshot.of(self.warm_completions)
 
+    def restore(self, warm_completions: MeanSnapshot, incoming_fraction: float) -> None:
+        """Continue the completions of the previous process, with a fraction of the token rate."""
+        self.warm_completions = warm_completions.to_mean()
+        self.handover_fraction = incoming_fraction
 
-def _min_rate(settings: Settings, state: EndpointState) -> float:
-    if state.disabled_at <= 0:
-        return 0.0
-    return min(REENABLED_MIN_RATE_PER_S, REENABLED_TOTAL_MIN_RATE_PER_S / settings.gateway_count)
+    def complete_handover(self) -> None:
+        """Use the whole token rate again after the other process has ended."""
+        self.handover_fraction = NO_HANDOVER_FRACTION
--- a/qos_gateway/decisions/load_balancing/zones.py
+++ b/qos_gateway/decisions/load_balancing/zones.py
@@ -4,8 +4,30 @@
 
 from collections import defaultdict
 from dataclasses import dataclass
+from typing import Generic, Protocol, TypeVar
 
-from ..requests.request_state import RequestState
+
+class AttemptedRequest(Protocol):
+    """What the detection of unresponsive zones reads of an open request; times are in ns."""
+
+    @property
+    def attempts_in_flight(self) -> int:
+        """Number of attempts in flight."""
+
+    @property
+    def last_attempt_at(self) -> int:
+        """When the last attempt was sent."""
+
+    @property
+    def last_endpoint(self) -> int:
+        """Id of the endpoint of the last attempt."""
+
+    @property
+    def expected_latency(self) -> int:
+        """Mean latency of the request's class when the last attempt was sent."""
+
+
+RequestT = TypeVar("RequestT", bound=AttemptedRequest)
 
 
 @dataclass(slots=True)
@@ -17,11 +39,11 @@
 
 
 @dataclass(slots=True)
-class UnresponsiveZone:
+class UnresponsiveZone(Generic[RequestT]):
     """A zone that has just been found unresponsive."""
 
     zone: int
-    requests: list[RequestState]  # requests that wait for a response from there
+    requests: list[RequestT]  # requests that wait for a response from this zone
     endpoints: list[int]  # ids of its endpoints in service, all ejected
 
 
@@ -44,9 +66,9 @@
         return sent_at <= self._zones[zone].unresponsive_since
 
     def only_others_responded(self, zone: int, since: int) -> bool:
-        """Return whether another zone responded after `since`, and this one not.
+        """Return whether another zone responded after `since`, and this one did not.
 
-        A zone that was found unresponsive after `since` does not count again.
+        A zone that was found unresponsive at `since` or later does not count again.
         """
         own = self._zones[zone]
         if since <= max(own.last_response_at, own.unresponsive_since):
--- a/qos_gateway/decisions/requests/dispatcher.py
+++ b/qos_gateway/decisions/requests/dispatcher.py
@@ -60,7 +60,7 @@
         if not may_retry or self.model.congested:  # under congestion all are slow, and it would do harm
             return 0
         class_index = request.arrival.class_index
-        unanswered = self.load_balancer.unanswered_ratio[class_index]
+        unanswered = self.load_balancer.responses.unanswered_ratio[class_index]
         if unanswered.mean_with_prior(now, 0.0, UNANSWERED_PRIOR_SAMPLES) < UNANSWERED_RATIO_FOR_TIMEOUT:
             return 0
         return max(cls.latency_objective // 2, int(TIMEOUT_LATENCIES * self.model.latency[class_index].value))
--- a/qos_gateway/decisions/requests/retry_rules.py
+++ b/qos_gateway/decisions/requests/retry_rules.py
@@ -1,12 +1,9 @@
 """What a request's class allows once an attempt may have executed (rule 2 of the protocol page)."""
 
-from collections.abc import Callable
-
-from ...types import Endpoint, Idempotence, IdempotencyScope
+from ...types import Idempotence, IdempotencyScope
+from ..load_balancing.load_balancer import EndpointFilter
 from .request_state import RequestState
 
-EndpointFilter = Callable[[Endpoint], bool] | None  # None: any endpoint
-
 
 def is_retry_harmless(request: RequestState) -> bool:
     """Tell whether the client may send the request again, which can reach any endpoint."""
--- a/qos_gateway/decisions/requests/stalled_requests.py
+++ b/qos_gateway/decisions/requests/stalled_requests.py
@@ -12,11 +12,12 @@
 def outstanding_attempts(now: int, dispatcher: Dispatcher) -> list[OutstandingAttempt]:
     """Return the newest attempts that still wait in the queue: lost responses are no congestion."""
     balancer = dispatcher.load_balancer
+    responses = balancer.responses
     lost_after = [LOST_AFTER_LATENCIES * latency.value for latency in dispatcher.model.latency]
 
     def is_lost(request: RequestState) -> bool:
         sent_at = request.last_attempt_at
-        overtaken = balancer.latest_answered_send - sent_at > lost_after[request.arrival.class_index] > 0.0
+        overtaken = responses.latest_answered_send - sent_at > lost_after[request.arrival.class_index] > 0.0
         return overtaken or balancer.was_lost_with_zone(request.last_endpoint, sent_at)
 
     return [
@@ -74,9 +75,8 @@
         objective = request.request_class.latency_objective
         if not request.attempts_in_flight or now - request.arrived_at < objective:
             continue
-        endpoint = dispatcher.load_balancer.endpoints.get(request.last_endpoint)
         # Not at an endpoint that is silent: the attempt's time-out has to come and tell so.
-        if endpoint is not None and now - endpoint.last_response_at <= objective // 2:
+        if dispatcher.load_balancer.responded_since(request.last_endpoint, now - objective // 2):
             actions += dispatcher.cancel_attempts(request)
             request.may_have_executed = True
             actions.append(dispatcher.end(request))
--- a/qos_gateway/decisions/snapshot.py
+++ b/qos_gateway/decisions/snapshot.py
@@ -79,13 +79,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineSnapshot:
-    """All that the next process must know of the decision engine's state."""
+class LoadBalancerSnapshot:
+    """The endpoints, and the statistics of all endpoints that slow start needs."""
 
-    accounts: tuple[AccountSnapshot, ...]
     endpoints: tuple[EndpointSnapshot, ...]
     admin_disabled: dict[int, int]  # endpoint to the time since which it is disabled
     warm_completions: MeanSnapshot
+
+
+@dataclass(frozen=True, slots=True)
+class EngineSnapshot:
+    """All that the next process must know of the decision engine's state."""
+
+    accounts: tuple[AccountSnapshot, ...]
+    load_balancer: LoadBalancerSnapshot
     latency: tuple[MeanSnapshot, ...]  # by class
     baseline_latency: tuple[float, ...]  # by class
     call_rate: float
@@ -97,9 +104,9 @@
     """Return the JSON form of a snapshot."""
     return {
         "accounts": [_encode_account(account) for account in snapshot.accounts],
-        "servers": [_encode_endpoint(endpoint) for endpoint in snapshot.endpoints],
-        "banned": sorted(snapshot.admin_disabled.items()),
-        "sends": _encode_mean(snapshot.warm_completions),
+        "servers": [_encode_endpoint(endpoint) for endpoint in snapshot.load_balancer.endpoints],
+        "banned": sorted(snapshot.load_balancer.admin_disabled.items()),
+        "sends": _encode_mean(snapshot.load_balancer.warm_completions),
         "latency": [_encode_mean(mean) for mean in snapshot.latency],
         "shortest": list(snapshot.baseline_latency),
         "pace": snapshot.call_rate,
@@ -115,9 +122,11 @@
     try:
         snapshot = EngineSnapshot(
             accounts=tuple(_decode_account(row) for row in raw["accounts"]),
-            endpoints=tuple(_decode_endpoint(row) for row in raw["servers"]),
-            admin_disabled={int(endpoint): int(since) for endpoint, since in raw["banned"]},
-            warm_completions=_decode_mean(raw["sends"]),
+            load_balancer=LoadBalancerSnapshot(
+                endpoints=tuple(_decode_endpoint(row) for row in raw["servers"]),
+                admin_disabled={int(endpoint): int(since) for endpoint, since in raw["banned"]},
+                warm_completions=_decode_mean(raw["sends"]),
+            ),
             latency=tuple(_decode_mean(row) for row in raw["latency"]),
             baseline_latency=tuple(float(latency) for latency in raw["shortest"]),
             call_rate=float(raw["pace"]),
--- a/qos_gateway/server/handover.py
+++ b/qos_gateway/server/handover.py
@@ -83,7 +83,7 @@
             return
         self._clients.limit(self._clients.max_connections - state.client_connections, FRACTIONS.incoming)
         self._backends.limit(self._backends.max_connections - state.backend_connections)
-        self._endpoints.disable_all(engine.load_balancer.admin_disabled)
+        self._endpoints.disable_all(engine.load_balancer.registry.admin_disabled)
         log.info("handover_completed endpoints_disabled=%d", self._endpoints.admin_disabled_count())
 
     def apply_admin_disabled(self, endpoint: int, disabled: bool) -> None:
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -15,9 +15,9 @@
 
 from qos_gateway import __main__ as program
 from qos_gateway.decisions.load_balancing import load_balancer as load_balancer_module
-from qos_gateway.decisions.load_balancing import slow_start
 from qos_gateway.decisions.load_balancing.endpoint_state import EndpointState
 from qos_gateway.decisions.load_balancing.load_balancer import LoadBalancer
+from qos_gateway.decisions.load_balancing.slow_start import SlowStart
 from qos_gateway.decisions.quota.base import Quota
 from qos_gateway.decisions.quota.quota_decision import QuotaDecision
 from qos_gateway.decisions.requests import retry_rules, stalled_requests
@@ -141,7 +141,7 @@
     _patch(RetryBudget, "allows", _yes)
 
     def pick_any(self: LoadBalancer, *_: Any) -> EndpointState:
-        return self.endpoints[self.rng.choice(self.ring)]
+        return self.registry.endpoints[self.rng.choice(self.registry.ring)]
 
     _patch(LoadBalancer, "pick", pick_any)
 
@@ -178,8 +178,7 @@
 
 def skip_slow_start() -> None:
     """Send to cold endpoints first of all."""
-    _patch(slow_start, "has_token", _yes)
-    _patch(load_balancer_module, "has_token", _yes)
+    _patch(SlowStart, "has_token", _yes)
     _patch(load_balancer_module, "SLOW_START_COST_FACTOR", 0.001)
 
 
--- a/tests/decisions/test_disabled_endpoints.py
+++ b/tests/decisions/test_disabled_endpoints.py
@@ -63,7 +63,7 @@
 def test_enabled_endpoint_is_in_slow_start_yet_in_use_within_5_s_whatever_its_history(gateways: int) -> None:
     engine = engine_with(1, 2, 3, gateways=gateways)
     for n in range(1, 9):  # ejected again and again, for long
-        engine.load_balancer.endpoints[1].ejected_until = 0
+        engine.load_balancer.registry.endpoints[1].ejected_until = 0
         engine.load_balancer.attempt_ended(START + n, ended(n, 1, Outcome.CONNECT_FAILED), (0, 0), 1.0)
     assert engine.load_balancer.excluded_count(START + 9) == 1
     engine.handle(START + 9, SetEndpointEnabled(1, False))
@@ -88,24 +88,24 @@
     engine.handle(START + 5 * SECOND, SetEndpointEnabled(1, False))
     engine.handle(START + 10 * SECOND, SetEndpointEnabled(1, True))
     now = START + 11 * SECOND
-    assumed = engine.load_balancer.slow_start_fraction(now, engine.load_balancer.endpoints[1])
+    load_balancer = engine.load_balancer
+    assumed = load_balancer.slow_start.fraction(now, load_balancer.registry.endpoints[1])
     assert 0.2 <= assumed < 0.3
     engine.handle(
         now, full_list(backend(1, booted=START - 30 * SECOND), backend(2))
     )  # a start before it was disabled
-    assert engine.load_balancer.slow_start_fraction(now, engine.load_balancer.endpoints[1]) == assumed
+    assert load_balancer.slow_start.fraction(now, load_balancer.registry.endpoints[1]) == assumed
     engine.handle(
         now, full_list(backend(1, booted=START + SECOND), backend(2))
     )  # reported late, but while it was disabled
-    assert engine.load_balancer.slow_start_fraction(now, engine.load_balancer.endpoints[1]) == pytest.approx(
-        0.6
-    )
+    fraction = load_balancer.slow_start.fraction(now, load_balancer.registry.endpoints[1])
+    assert fraction == pytest.approx(0.6)
 
 
 def test_enabling_an_endpoint_that_was_not_disabled_changes_nothing() -> None:
     engine = engine_with(1, 2)
     engine.handle(START, SetEndpointEnabled(1, True))
-    assert engine.load_balancer.slow_start_fraction(START, engine.load_balancer.endpoints[1]) == 1.0
+    assert engine.load_balancer.slow_start.fraction(START, engine.load_balancer.registry.endpoints[1]) == 1.0
     engine.handle(START, SetEndpointEnabled(9, False))  # not in the list so far
     engine.handle(START, SetEndpointEnabled(9, True))
     assert engine.load_balancer.excluded_count(START) == 0
--- a/tests/decisions/test_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -72,7 +72,7 @@
     assert not sends(
         engine.handle(800 * MS, TimerFired(TICK_TIMER))
     )  # a server that answers nothing may be slow
-    engine.load_balancer.endpoints[first.endpoint].latest_answered_send = 350 * MS
+    engine.load_balancer.registry.endpoints[first.endpoint].latest_answered_send = 350 * MS
     (second,) = sends(engine.handle(800 * MS, TimerFired(TICK_TIMER)))
     assert second.request_id == 1
     assert second.endpoint != first.endpoint
@@ -93,9 +93,9 @@
     engine.handle(200 * MS, arrival(2000, 200 * MS, SAFE))
     engine.handle(200 * MS, arrival(2001, 200 * MS, SAFE))
     engine.dispatcher.retry_budget.tokens = 1.0
-    for server in engine.load_balancer.endpoints.values():
+    for server in engine.load_balancer.registry.endpoints.values():
         server.latest_answered_send = 350 * MS
-    engine.load_balancer.latest_answered_send = 750 * MS
+    engine.load_balancer.responses.latest_answered_send = 750 * MS
     assert [send.request_id for send in sends(engine.handle(850 * MS, TimerFired(TICK_TIMER)))] == [2000]
     assert engine.dispatcher.retry_budget.tokens == 0.0
 
--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -31,6 +31,7 @@
     changes: list[tuple[list[tuple[int, Health, int]], ListKind, int]],
 ) -> None:
     load_balancer = LoadBalancer(settings(), random.Random(1))
+    registry, slow_start = load_balancer.registry, load_balancer.slow_start
     listed: dict[int, Endpoint] = {}
     now = START
     for entries, kind, operators_call in changes:
@@ -40,16 +41,14 @@
         load_balancer.update_list(now, full_list(*reported.values(), kind=kind))
         load_balancer.set_enabled(now, 3, operators_call != 1)
         usable = sorted(
-            i for i, b in listed.items() if b.health is Health.READY and i not in load_balancer.admin_disabled
+            i for i, b in listed.items() if b.health is Health.READY and i not in registry.admin_disabled
         )
-        assert load_balancer.ring == usable
-        assert load_balancer.warming_up == {
-            i for i in usable if load_balancer.slow_start_fraction(now, load_balancer.endpoints[i]) < 1.0
+        assert registry.ring == usable
+        assert slow_start.warming_up == {
+            i for i in usable if slow_start.fraction(now, registry.endpoints[i]) < 1.0
         }
-        assert set(load_balancer.endpoints) == {
-            i for i, b in listed.items() if b.health is not Health.REMOVED
-        }
-        assert load_balancer.unlisted == set()  # without attempts in flight they are forgotten at once
+        assert set(registry.endpoints) == {i for i, b in listed.items() if b.health is not Health.REMOVED}
+        assert registry.unlisted == set()  # without attempts in flight they are forgotten at once
 
 
 def lines_run(size: int) -> int:
--- a/tests/decisions/test_engine.py
+++ b/tests/decisions/test_engine.py
@@ -41,7 +41,11 @@
                 engine.handle(now, ended(number, send.endpoint))
         engine.handle(now, TimerFired(TICK_TIMER))
         sizes.append(
-            (len(engine.quota.accounts), len(engine.load_balancer.endpoints), len(engine.commitments.active))
+            (
+                len(engine.quota.accounts),
+                len(engine.load_balancer.registry.endpoints),
+                len(engine.commitments.active),
+            )
         )
     assert max(sizes[120:]) <= max(sizes[60:120])
     assert sizes[-1][1] <= 6
--- a/tests/decisions/test_late_requests.py
+++ b/tests/decisions/test_late_requests.py
@@ -100,7 +100,7 @@
 def test_calling_off_says_nothing_against_the_server() -> None:
     g, _ = pressed()
     g.handle(START + 10 * TICK_INTERVAL_NS, ended(1, 1, Outcome.CANCELLED, finished=True))
-    assert g.load_balancer.endpoints[1].consecutive_failures == 0
+    assert g.load_balancer.registry.endpoints[1].consecutive_failures == 0
     assert g.request_table.in_flight == 0
     sent = g.handle(
         START + 11 * TICK_INTERVAL_NS, Arrival(9, SAFE, 0, 9, START + 40 * TICK_INTERVAL_NS, 1.0, 1, 0, 0)
--- a/tests/decisions/test_load_balancer.py
+++ b/tests/decisions/test_load_balancer.py
@@ -41,7 +41,7 @@
             bad = backend_id in broken and (i % 6 in (3, 4) or left_out)
             outcome = Outcome.RESET if bad else Outcome.OK
             fleet.attempt_ended(i * 100 * MS, ended(i, backend_id, outcome), (SAFE, 0), 1.0)
-    assert {i for i, server in fleet.endpoints.items() if server.ejected_until > 0} == left_out
+    assert {i for i, server in fleet.registry.endpoints.items() if server.ejected_until > 0} == left_out
 
 
 def test_draining_and_removed_endpoints_get_nothing() -> None:
@@ -72,12 +72,12 @@
     (send,) = sends(engine.handle(MS, arrival(1, MS)))
     used, others = send.endpoint, {1, 2, 3, 4} - {send.endpoint}
     engine.handle(MS, full_list(backend(used, Health.REMOVED), kind=ListKind.DELTA))
-    assert set(engine.load_balancer.endpoints) == {1, 2, 3, 4}
+    assert set(engine.load_balancer.registry.endpoints) == {1, 2, 3, 4}
     engine.handle(MS, full_list(backend(5), backend(min(others), Health.DRAINING)))
-    assert set(engine.load_balancer.endpoints) == {used, 5, min(others)}
+    assert set(engine.load_balancer.registry.endpoints) == {used, 5, min(others)}
     engine.handle(2 * MS, ended(1, used))
     engine.handle(TICK_INTERVAL_NS, TimerFired(TICK_TIMER))
-    assert set(engine.load_balancer.endpoints) == {5, min(others)}
+    assert set(engine.load_balancer.registry.endpoints) == {5, min(others)}
 
 
 def test_endpoint_that_was_slow_is_used_again() -> None:
@@ -126,10 +126,10 @@
 ) -> None:
     engine = DecisionEngine(settings(overload_multiple=multiple), 7, 0)
     engine.handle(0, full_list(backend(1, booted=1), backend(2)))
-    engine.load_balancer.warm_completions.add(SECOND, 3.0, 3.0)
-    cold = engine.load_balancer.endpoints[1]
+    engine.load_balancer.slow_start.warm_completions.add(SECOND, 3.0, 3.0)
+    cold = engine.load_balancer.registry.endpoints[1]
     cold.slow_start_tokens, cold.slow_start_tokens_at = 0.0, 0
     engine.load_balancer.can_accept(SECOND, cold)
     assert cold.slow_start_tokens == pytest.approx(
-        part * 3.0 * engine.load_balancer.slow_start_fraction(SECOND, cold)
+        part * 3.0 * engine.load_balancer.slow_start.fraction(SECOND, cold)
     )
--- a/tests/decisions/test_many_gateways.py
+++ b/tests/decisions/test_many_gateways.py
@@ -50,7 +50,7 @@
         )
         g.handle(0, full_list(*(backend(number) for number in numbers)))
         for at in gone:
-            g.load_balancer.endpoints[numbers[at]].ejected_until = SECOND
+            g.load_balancer.registry.endpoints[numbers[at]].ejected_until = SECOND
         for server in g.load_balancer.subset(0):
             count[server.endpoint.id] += 1
     return count
@@ -65,15 +65,14 @@
 def test_endpoint_in_slow_start_saves_no_tokens_outside_the_subset() -> None:
     g = DecisionEngine(settings(gateway_count=40, may_message=False), 7, 0)
     g.handle(0, full_list(backend(1, booted=1), backend(2)))
+    slow_start = g.load_balancer.slow_start
     for i in range(400):
-        g.load_balancer.warm_completions.add(i * 5 * MS, 1.0)
-    cold = g.load_balancer.endpoints[1]
+        slow_start.warm_completions.add(i * 5 * MS, 1.0)
+    cold = g.load_balancer.registry.endpoints[1]
     cold.slow_start_tokens, cold.slow_start_tokens_at = 0.0, 0
-    g.load_balancer.warm_completions.add(10 * SECOND, 200.0, 200.0)
+    slow_start.warm_completions.add(10 * SECOND, 200.0, 200.0)
     g.load_balancer.can_accept(10 * SECOND, cold)
-    one = g.load_balancer.slow_start_fraction(10 * SECOND, cold) * g.load_balancer.warm_completions.rate(
-        10 * SECOND
-    )
+    one = slow_start.fraction(10 * SECOND, cold) * slow_start.warm_completions.rate(10 * SECOND)
     assert cold.slow_start_tokens <= min(2.0, one)
 
 
--- a/tests/server/test_endpoint_feed.py
+++ b/tests/server/test_endpoint_feed.py
@@ -121,7 +121,9 @@
             )
             await wait_until(
                 lambda: (
-                    harness.gateway.dispatcher.engine.load_balancer.endpoints[endpoint_id("s-1")].in_service
+                    harness.gateway.dispatcher.engine.load_balancer.registry.endpoints[
+                        endpoint_id("s-1")
+                    ].in_service
                 )
             )
             client.send(call_command(number=3))
@@ -130,7 +132,9 @@
             assert await client.next_message() == b"w"
             harness.discovery.send_update(endpoint_list(4, endpoint_entry("s-2", harness.backend.port)))
             await wait_until(lambda: harness.backend.closed_connections == 2)
-            assert endpoint_id("s-1") not in harness.gateway.dispatcher.engine.load_balancer.endpoints
+            assert (
+                endpoint_id("s-1") not in harness.gateway.dispatcher.engine.load_balancer.registry.endpoints
+            )
 
     run_on_loop(test)
 
--- a/tests/server/test_endpoint_list.py
+++ b/tests/server/test_endpoint_list.py
@@ -44,11 +44,11 @@
             now_ms = time.time_ns() // 1_000_000
             entries = endpoint_entry("old", 1, born_ms=0), endpoint_entry("new", 2, born_ms=now_ms)
             harness.discovery.send_update(endpoint_list(2, *entries))
-            servers = harness.gateway.dispatcher.engine.load_balancer.endpoints
+            servers = harness.gateway.dispatcher.engine.load_balancer.registry.endpoints
             await wait_until(lambda: endpoint_id("new") in servers)
             assert servers[endpoint_id("old")].endpoint.started_at == 0
             start = harness.gateway.config.settings.initial_capacity_fraction
-            fraction = harness.gateway.dispatcher.engine.load_balancer.slow_start_fraction(
+            fraction = harness.gateway.dispatcher.engine.load_balancer.slow_start.fraction(
                 harness.gateway.clock(), servers[endpoint_id("new")]
             )
             assert start <= fraction < 1.0
--- a/tests/server/test_requests.py
+++ b/tests/server/test_requests.py
@@ -152,7 +152,7 @@
                 assert (
                     engine.request_table.in_flight
                     == busy
-                    == sum(each.in_flight for each in engine.load_balancer.endpoints.values())
+                    == sum(each.in_flight for each in engine.load_balancer.registry.endpoints.values())
                     == 1
                 )
                 if number == len(endings) - 1:
@@ -176,8 +176,8 @@
                 assert not harness.gateway.requests._requests
                 assert backends.open_connections == backends.idle_count()
                 assert not harness.gateway.requests._open_ids
-                assert all(each.in_flight == 0 for each in engine.load_balancer.endpoints.values())
-                for endpoint in engine.load_balancer.endpoints.values():
+                assert all(each.in_flight == 0 for each in engine.load_balancer.registry.endpoints.values())
+                for endpoint in engine.load_balancer.registry.endpoints.values():
                     endpoint.ejected_until = 0  # the symptoms would have it ejected
             await wait_until(lambda: backends.open_connections == 0)
             assert all(each.in_flight == 0 for each in engine.quota.accounts.values())
--- a/tests/state/test_endpoint.py
+++ b/tests/state/test_endpoint.py
@@ -5,31 +5,30 @@
 import pytest
 
 from qos_gateway.decisions.load_balancing.endpoint_state import EndpointState
-from qos_gateway.decisions.statistics.decaying_mean import DecayingMean
 from tests.support.builders import SECOND, backend
 
 
 def endpoint_state(started_at: int = 0) -> EndpointState:
-    return EndpointState(backend(1, booted=started_at), DecayingMean(SECOND), SECOND, 0.5, 0)
+    return EndpointState(backend(1, booted=started_at), slow_start_tokens=0.5, slow_start_tokens_at=0)
 
 
 def test_ejection_time_doubles_up_to_the_maximum_and_is_reset_by_a_success() -> None:
     state = endpoint_state()
     ends = []
-    for _ in range(4):
-        state.eject(0, 3 * SECOND)
+    for _ in range(6):
+        state.eject(0)
         ends.append(state.ejected_until)
-    assert ends == [SECOND, 2 * SECOND, 3 * SECOND, 3 * SECOND]
+    assert ends == [SECOND // 2, SECOND, 2 * SECOND, 4 * SECOND, 8 * SECOND, 8 * SECOND]
     state.consecutive_failures = 4
-    state.record_success(5 * SECOND, 4 * SECOND, 1.0, SECOND)
-    assert (state.consecutive_failures, state.ejection_time) == (0, SECOND)
+    state.record_success(5 * SECOND, 4 * SECOND, 1.0)
+    assert (state.consecutive_failures, state.ejection_time) == (0, SECOND // 2)
     assert (state.last_response_at, state.latest_answered_send) == (5 * SECOND, 4 * SECOND)
 
 
 def test_a_late_success_of_an_early_attempt_does_not_move_the_latest_answered_send_back() -> None:
     state = endpoint_state()
-    state.record_success(5 * SECOND, 4 * SECOND, 1.0, SECOND)
-    state.record_success(6 * SECOND, 2 * SECOND, 4.0, SECOND)
+    state.record_success(5 * SECOND, 4 * SECOND, 1.0)
+    state.record_success(6 * SECOND, 2 * SECOND, 4.0)
     assert (state.last_response_at, state.latest_answered_send) == (6 * SECOND, 4 * SECOND)
 
 
--- a/tests/state/test_handover_snapshot.py
+++ b/tests/state/test_handover_snapshot.py
@@ -75,18 +75,17 @@
     old = used_engine()
     old.handle(START, SetEndpointEnabled(3, False))
     old.handle(START, SetEndpointEnabled(77, False))  # not listed at the moment
-    old.load_balancer.endpoints[1].ejected_until, old.load_balancer.endpoints[2].slow_start_tokens = (
-        START + SECOND,
-        1.5,
-    )
+    old_registry = old.load_balancer.registry
+    old_registry.endpoints[1].ejected_until = START + SECOND
+    old_registry.endpoints[2].slow_start_tokens = 1.5
     new = handed_over(old)
-    assert new.load_balancer.admin_disabled == {3: START, 77: START}
-    assert new.load_balancer.endpoints[1].ejected_until == START + SECOND
-    assert (
-        old.load_balancer.endpoints[2].slow_start_tokens,
-        new.load_balancer.endpoints[2].slow_start_tokens,
-    ) == (0.0, 1.5)
-    assert old.load_balancer.handover_fraction + new.load_balancer.handover_fraction == 1.0
+    new_registry = new.load_balancer.registry
+    assert new_registry.admin_disabled == {3: START, 77: START}
+    assert new_registry.endpoints[1].ejected_until == START + SECOND
+    assert old_registry.endpoints[2].slow_start_tokens == 0.0
+    assert new_registry.endpoints[2].slow_start_tokens == 1.5
+    both = old.load_balancer.slow_start, new.load_balancer.slow_start
+    assert sum(slow_start.handover_fraction for slow_start in both) == 1.0
     assert new.model.latency[0].value == old.model.latency[0].value > 0.0
     sends = [a for a in new.handle(START, arrival(91, START, customer_id=2)) if isinstance(a, Send)]
     assert [a.endpoint for a in sends] in ([], [2])
@@ -94,11 +93,11 @@
 
 def test_endpoint_restarted_since_takes_over_nothing_of_what_the_old_process_saw() -> None:
     old = used_engine()
-    old.load_balancer.endpoints[1].ejected_until = START + SECOND
+    old.load_balancer.registry.endpoints[1].ejected_until = START + SECOND
     new = new_engine()
     new.handle(START, full_list(backend(1, booted=START)))
     restore_json(new, START, capture_json(old, START), SETTINGS)
-    assert new.load_balancer.endpoints[1].ejected_until == 0
+    assert new.load_balancer.registry.endpoints[1].ejected_until == 0
 
 
 def broken(**changes: Any) -> dict[str, Any]:
@@ -125,5 +124,5 @@
     with pytest.raises(SnapshotFormatError, match=r"^snapshot"):
         restore_json(engine, START, raw, SETTINGS)
     assert not engine.quota.accounts
-    assert not engine.load_balancer.admin_disabled
-    assert engine.quota.handover_fraction == engine.load_balancer.handover_fraction == 1.0
+    assert not engine.load_balancer.registry.admin_disabled
+    assert engine.quota.handover_fraction == engine.load_balancer.slow_start.handover_fraction == 1.0
--- a/tests/test_source_limits.py
+++ b/tests/test_source_limits.py
@@ -87,6 +87,17 @@
     assert {name.split(".")[0] for name in imported - inside} - PURE_MODULES == set()
 
 
+LOAD_BALANCING = DECISIONS / "load_balancing"
+LOAD_BALANCING_RESTS_ON = ("statistics", "snapshot", "load_balancing")
+
+
+@pytest.mark.parametrize("path", sorted(LOAD_BALANCING.rglob("*.py")), ids=lambda path: path.name)
+def test_load_balancing_imports_only_statistics_and_snapshots_of_the_decisions(path: Path) -> None:
+    inside = {name for name in imported_modules(path) if f"{name}.".startswith("qos_gateway.decisions.")}
+    allowed = tuple(f"qos_gateway.decisions.{part}." for part in LOAD_BALANCING_RESTS_ON)
+    assert [name for name in inside if not f"{name}.".startswith(allowed)] == []
+
+
 def numeric_constants(path: Path) -> set[str]:
     """Names that a module or class binds to a number, or to an expression of numbers alone."""
     found = set()
