--- a/qos_gateway/decisions/load_balancing/endpoint_registry.py
+++ b/qos_gateway/decisions/load_balancing/endpoint_registry.py
@@ -8,7 +8,7 @@
 
 from ...types import Endpoint, Health, ListKind, Topology
 from ..snapshot import EndpointSnapshot
-from .endpoint_state import EndpointState
+from .endpoint_state import EndpointState, SlowStartBucket
 
 
 class EndpointRegistry:
@@ -23,7 +23,7 @@
 
     def _new_state(self, now: int, endpoint: Endpoint) -> EndpointState:
         # A random part of a token: many gateways that start with a whole one would send at the same time.
-        return EndpointState(endpoint, slow_start_tokens=self._rng.random(), slow_start_tokens_at=now)
+        return EndpointState(endpoint, SlowStartBucket(self._rng.random(), now))
 
     def update_list(self, now: int, event: Topology) -> set[int]:
         """Apply a full list or the changes to it; return the ids of endpoints that may have changed."""
@@ -43,7 +43,8 @@
     def _unlist_all_except(self, listed: set[int]) -> None:
         for endpoint_id, state in self.endpoints.items():
             if endpoint_id not in listed:
-                state.unlist()
+                state.mark_out_of_service()
+                self.unlisted.add(endpoint_id)
 
     def _update_entry(self, now: int, entry: Endpoint) -> None:
         state = self.endpoints.get(entry.id)
@@ -53,11 +54,11 @@
             if previous is not None:
                 state.continue_after_restart(previous)
             self.endpoints[entry.id] = state
-        state.update(
-            entry,
-            in_service=entry.health is Health.READY,
-            listed=entry.health is not Health.REMOVED,
-        )
+        state.update(entry)
+        if entry.health is Health.REMOVED:
+            self.unlisted.add(entry.id)
+        else:
+            self.unlisted.discard(entry.id)
 
     def set_enabled(self, now: int, endpoint_id: int, enabled: bool) -> None:
         """Disable an endpoint whatever the list reports, or enable it with a new state."""
@@ -76,15 +77,9 @@
             self.endpoints[endpoint_id] = state
 
     def _reindex(self, endpoint_id: int) -> None:
-        """Update the indexes after a change of one endpoint, without a scan of the other endpoints."""
-        state = self.endpoints.get(endpoint_id)
-        if state is None:
-            return
-        self._place_on_ring(endpoint_id, self.is_usable(endpoint_id))
-        if state.listed:
-            self.unlisted.discard(endpoint_id)
-        else:
-            self.unlisted.add(endpoint_id)
+        """Update the ring after a change of one endpoint, without a scan of the other endpoints."""
+        if endpoint_id in self.endpoints:
+            self._place_on_ring(endpoint_id, self.is_usable(endpoint_id))
 
     def is_usable(self, endpoint_id: int) -> bool:
         """Return whether a known endpoint is in service and not disabled; it may be ejected."""
@@ -101,7 +96,8 @@
     def excluded_count(self, now: int) -> int:
         """Count the listed endpoints that are disabled by operators or ejected."""
         return sum(
-            state.listed and (endpoint_id in self.admin_disabled or now < state.ejected_until)
+            endpoint_id not in self.unlisted
+            and (endpoint_id in self.admin_disabled or now < state.ejected_until)
             for endpoint_id, state in self.endpoints.items()
         )
 
@@ -116,7 +112,7 @@
         """Return the state of all endpoints, whose slow start tokens move to the next process."""
         snapshots = tuple(state.capture() for state in self.endpoints.values())
         for state in self.endpoints.values():
-            state.drop_slow_start_tokens()
+            state.slow_start_bucket.empty()
         return snapshots
 
     def restore(
--- a/qos_gateway/decisions/load_balancing/endpoint_state.py
+++ b/qos_gateway/decisions/load_balancing/endpoint_state.py
@@ -25,18 +25,37 @@
     unanswered: float  # 1.0 if the attempt timed out, 0.0 if it was answered
 
 
+@dataclass(slots=True)
+class SlowStartBucket:
+    """The attempts that one endpoint may be sent during slow start."""
+
+    tokens: float
+    refilled_at: int  # ns
+
+    def refill(self, now: int, tokens: float, capacity: float) -> None:
+        """Add tokens up to `capacity`."""
+        self.tokens = min(capacity, self.tokens + tokens)
+        self.refilled_at = now
+
+    def take(self) -> None:
+        """Remove one token; the number may become negative."""
+        self.tokens -= 1.0
+
+    def empty(self) -> None:
+        """Remove all tokens."""
+        self.tokens = 0.0
+
+
 @dataclass(slots=True)
 class EndpointState:
     """One endpoint as this gateway observes it; times are in ns, 0 for never."""
 
     endpoint: Endpoint
-    slow_start_tokens: float  # attempts that may be sent during slow start
-    slow_start_tokens_at: int  # time of the last refill
+    slow_start_bucket: SlowStartBucket
     # Latency relative to the mean of the request's class.
     slowness: DecayingMean = field(default_factory=lambda: DecayingMean(SHORT_MEMORY_NS))
     ejection_time: int = BASE_EJECTION_TIME_NS  # length of the next ejection
     in_service: bool = True  # reported as ready
-    listed: bool = True
     in_flight: int = 0  # attempts of this gateway
     consecutive_failures: int = 0
     ejected_until: int = 0
@@ -49,22 +68,20 @@
 
     @property
     def slow_start_at(self) -> int:
-        """Start of the slow start window, 0 if it is over or unknown."""
+        """Start of the slow start window, 0 for an endpoint without one."""
         reported = self.endpoint.started_at
         assumed = self.assumed_start
         # No call of max(): this is read several times for each endpoint of the subset at each request.
         return reported if reported > assumed else assumed
 
-    def update(self, endpoint: Endpoint, *, in_service: bool, listed: bool) -> None:
+    def update(self, endpoint: Endpoint) -> None:
         """Apply a new entry of the endpoint list."""
         self.endpoint = endpoint
-        self.in_service = in_service
-        self.listed = listed
+        self.in_service = endpoint.health is Health.READY
 
-    def unlist(self) -> None:
-        """Mark the endpoint as missing from the endpoint list."""
+    def mark_out_of_service(self) -> None:
+        """Mark the endpoint as not ready until the next update."""
         self.in_service = False
-        self.listed = False
 
     def continue_after_restart(self, previous: EndpointState) -> None:
         """Copy from the state before a restart of the endpoint what is still valid."""
@@ -80,7 +97,6 @@
         begin now unless a start since `disabled_at` is known.
         """
         self.in_service = previous.in_service
-        self.listed = previous.listed
         self.in_flight = previous.in_flight
         self.disabled_at = disabled_at
         if self.endpoint.started_at < disabled_at:
@@ -122,19 +138,6 @@
         """Record that the endpoint rejected an attempt of a class and plan."""
         self.overloaded_until[class_and_plan] = now + OVERLOAD_MEMORY_NS
 
-    def refill_slow_start_tokens(self, now: int, tokens: float, capacity: float) -> None:
-        """Add slow start tokens up to `capacity`."""
-        self.slow_start_tokens = min(capacity, self.slow_start_tokens + tokens)
-        self.slow_start_tokens_at = now
-
-    def take_slow_start_token(self) -> None:
-        """Remove one slow start token; the number may become negative."""
-        self.slow_start_tokens -= 1.0
-
-    def drop_slow_start_tokens(self) -> None:
-        """Remove all slow start tokens."""
-        self.slow_start_tokens = 0.0
-
     def capture(self) -> EndpointSnapshot:
         """Return what the next process needs of this state."""
         return EndpointSnapshot(
@@ -143,7 +146,7 @@
             ejected_until=self.ejected_until,
             ejection_time=self.ejection_time,
             consecutive_failures=self.consecutive_failures,
-            slow_start_tokens=self.slow_start_tokens,
+            slow_start_tokens=self.slow_start_bucket.tokens,
             disabled_at=self.disabled_at,
             assumed_start=self.assumed_start,
             slowness=MeanSnapshot.of(self.slowness),
@@ -159,8 +162,7 @@
         self.ejected_until = snapshot.ejected_until
         self.ejection_time = snapshot.ejection_time
         self.consecutive_failures = snapshot.consecutive_failures
-        self.slow_start_tokens = snapshot.slow_start_tokens
-        self.slow_start_tokens_at = now
+        self.slow_start_bucket = SlowStartBucket(snapshot.slow_start_tokens, now)
         self.disabled_at = snapshot.disabled_at
         self.assumed_start = snapshot.assumed_start
         self.slowness = snapshot.slowness.to_mean()
--- a/qos_gateway/decisions/load_balancing/slow_start.py
+++ b/qos_gateway/decisions/load_balancing/slow_start.py
@@ -61,7 +61,7 @@
     def attempt_started(self, now: int, state: EndpointState) -> None:
         """Take a token for an attempt at an endpoint in slow start."""
         if self.fraction(now, state) < 1.0:
-            state.take_slow_start_token()
+            state.slow_start_bucket.take()
 
     def attempt_ended(self, now: int, state: EndpointState, outcome: Outcome) -> None:
         """Count an attempt that a warm endpoint completed, or worked on until it was cancelled."""
@@ -71,9 +71,10 @@
     def has_token(self, now: int, state: EndpointState, fraction: float) -> bool:
         """Refill the bucket of an endpoint that has reached a fraction of its capacity; check for a token."""
         rate = max(self._min_rate(state), fraction * self._rate_at_capacity(now))
-        elapsed_s = min(REFILL_WINDOW_S, (now - state.slow_start_tokens_at) / SECOND)
-        state.refill_slow_start_tokens(now, rate * elapsed_s * self.handover_fraction, MAX_TOKENS)
-        return state.slow_start_tokens >= 1.0
+        bucket = state.slow_start_bucket
+        elapsed_s = min(REFILL_WINDOW_S, (now - bucket.refilled_at) / SECOND)
+        bucket.refill(now, rate * elapsed_s * self.handover_fraction, MAX_TOKENS)
+        return bucket.tokens >= 1.0
 
     def _rate_at_capacity(self, now: int) -> float:
         """Return this gateway's share of a warm endpoint's completions, times a multiple below overload.
--- a/tests/decisions/test_load_balancer.py
+++ b/tests/decisions/test_load_balancer.py
@@ -128,8 +128,7 @@
     engine.handle(0, full_list(backend(1, booted=1), backend(2)))
     engine.load_balancer.slow_start.warm_completions.add(SECOND, 3.0, 3.0)
     cold = engine.load_balancer.registry.endpoints[1]
-    cold.slow_start_tokens, cold.slow_start_tokens_at = 0.0, 0
+    bucket = cold.slow_start_bucket
+    bucket.tokens, bucket.refilled_at = 0.0, 0
     engine.load_balancer.can_accept(SECOND, cold)
-    assert cold.slow_start_tokens == pytest.approx(
-        part * 3.0 * engine.load_balancer.slow_start.fraction(SECOND, cold)
-    )
+    assert bucket.tokens == pytest.approx(part * 3.0 * engine.load_balancer.slow_start.fraction(SECOND, cold))
--- a/tests/decisions/test_many_gateways.py
+++ b/tests/decisions/test_many_gateways.py
@@ -69,11 +69,12 @@
     for i in range(400):
         slow_start.warm_completions.add(i * 5 * MS, 1.0)
     cold = g.load_balancer.registry.endpoints[1]
-    cold.slow_start_tokens, cold.slow_start_tokens_at = 0.0, 0
+    bucket = cold.slow_start_bucket
+    bucket.tokens, bucket.refilled_at = 0.0, 0
     slow_start.warm_completions.add(10 * SECOND, 200.0, 200.0)
     g.load_balancer.can_accept(10 * SECOND, cold)
     one = slow_start.fraction(10 * SECOND, cold) * slow_start.warm_completions.rate(10 * SECOND)
-    assert cold.slow_start_tokens <= min(2.0, one)
+    assert bucket.tokens <= min(2.0, one)
 
 
 def engine_with_two_zones(silent: int, cls: int = 0) -> tuple[DecisionEngine, dict[int, int], list[Action]]:
--- a/tests/state/test_endpoint.py
+++ b/tests/state/test_endpoint.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from qos_gateway.decisions.load_balancing.endpoint_state import EndpointState
+from qos_gateway.decisions.load_balancing.endpoint_state import EndpointState, SlowStartBucket
 from tests.support.builders import SECOND, backend
 
 
 def endpoint_state(started_at: int = 0) -> EndpointState:
-    return EndpointState(backend(1, booted=started_at), slow_start_tokens=0.5, slow_start_tokens_at=0)
+    return EndpointState(backend(1, booted=started_at), SlowStartBucket(tokens=0.5, refilled_at=0))
 
 
 def test_ejection_time_doubles_up_to_the_maximum_and_is_reset_by_a_success() -> None:
@@ -33,11 +33,11 @@
 
 
 def test_slow_start_tokens_are_refilled_up_to_the_capacity() -> None:
-    state = endpoint_state()
-    state.refill_slow_start_tokens(SECOND, 0.75, 2.0)
-    assert (state.slow_start_tokens, state.slow_start_tokens_at) == (1.25, SECOND)
-    state.refill_slow_start_tokens(2 * SECOND, 1.0, 2.0)
-    assert (state.slow_start_tokens, state.slow_start_tokens_at) == (2.0, 2 * SECOND)
+    bucket = endpoint_state().slow_start_bucket
+    bucket.refill(SECOND, 0.75, 2.0)
+    assert (bucket.tokens, bucket.refilled_at) == (1.25, SECOND)
+    bucket.refill(2 * SECOND, 1.0, 2.0)
+    assert (bucket.tokens, bucket.refilled_at) == (2.0, 2 * SECOND)
 
 
 @pytest.mark.parametrize(("started_at", "slow_start_at"), [(2, 9), (4, 9), (5, 5), (7, 7)])
--- a/tests/state/test_handover_snapshot.py
+++ b/tests/state/test_handover_snapshot.py
@@ -77,13 +77,13 @@
     old.handle(START, SetEndpointEnabled(77, False))  # not listed at the moment
     old_registry = old.load_balancer.registry
     old_registry.endpoints[1].ejected_until = START + SECOND
-    old_registry.endpoints[2].slow_start_tokens = 1.5
+    old_registry.endpoints[2].slow_start_bucket.tokens = 1.5
     new = handed_over(old)
     new_registry = new.load_balancer.registry
     assert new_registry.admin_disabled == {3: START, 77: START}
     assert new_registry.endpoints[1].ejected_until == START + SECOND
-    assert old_registry.endpoints[2].slow_start_tokens == 0.0
-    assert new_registry.endpoints[2].slow_start_tokens == 1.5
+    assert old_registry.endpoints[2].slow_start_bucket.tokens == 0.0
+    assert new_registry.endpoints[2].slow_start_bucket.tokens == 1.5
     both = old.load_balancer.slow_start, new.load_balancer.slow_start
     assert sum(slow_start.handover_fraction for slow_start in both) == 1.0
     assert new.model.latency[0].value == old.model.latency[0].value > 0.0
