--- a/qos_gateway/decisions/admission/admission_controller.py
+++ b/qos_gateway/decisions/admission/admission_controller.py
@@ -70,7 +70,6 @@
             return decision.actions + self._admit(now, request, decision.report_usage)
         if decision.verdict is Verdict.REJECTED:
             return [*decision.actions, self.dispatcher.reject(arrival, RejectReason.QUOTA)]
-        request.reservation_sent_at = now
         self.awaiting_reservation[decision.reservation] = request
         self.dispatcher.requests.open[arrival.request_id] = request
         return decision.actions
@@ -83,7 +82,7 @@
         self.dispatcher.retry_budget.deposit()
         if not report_usage:
             return [send]
-        request.holds_in_flight_slot = True
+        request.acquire_slot()
         return [send, self.quota.report_consumed(now, request.account, request.arrival.units)]
 
     def on_reply(self, now: int, reply: QuotaReply) -> list[Action]:
@@ -91,7 +90,8 @@
         request = self.awaiting_reservation.pop(reply.reservation, None)
         if request is None:
             return reply.actions
-        request.holds_in_flight_slot = reply.granted is True
+        if reply.granted:
+            request.acquire_slot()
         actions = list(reply.actions)
         if self.dispatcher.requests.open.pop(request.arrival.request_id, None) is not None:
             granted = reply.granted
@@ -106,7 +106,5 @@
     def expire_reservations(self, now: int) -> list[Action]:
         """Decide locally on requests whose reservation was not answered in time."""
         waiting = self.awaiting_reservation
-        expired = [
-            n for n, request in waiting.items() if now - request.reservation_sent_at >= RESERVATION_TIMEOUT_NS
-        ]
+        expired = [n for n, request in waiting.items() if now - request.arrived_at >= RESERVATION_TIMEOUT_NS]
         return [action for number in expired for action in self.on_reply(now, QuotaReply(number))]
--- a/qos_gateway/decisions/engine.py
+++ b/qos_gateway/decisions/engine.py
@@ -88,7 +88,7 @@
         actions += self.quota.resend_releases(now, self.commitments.active.values())
         actions += stalled_requests.leave_unresponsive_zones(now, self.dispatcher)
         outstanding = stalled_requests.outstanding_attempts(now, self.dispatcher)
-        table.presumed_lost = len(table.open) - len(self.admission.awaiting_reservation) - len(outstanding)
+        table.presume_lost(len(self.admission.awaiting_reservation), len(outstanding))
         self.model.fit(now, table.working, outstanding)
         actions += stalled_requests.hedge(now, self.dispatcher)
         actions += stalled_requests.give_up_late(now, self.dispatcher)
--- a/qos_gateway/decisions/requests/dispatcher.py
+++ b/qos_gateway/decisions/requests/dispatcher.py
@@ -47,9 +47,9 @@
             return None
         self.load_balancer.attempt_started(now, picked)
         self.requests.attempt_sent(now, request, picked.endpoint)
-        request.expected_latency = int(self.model.latency[arrival.class_index].value)
+        expected = int(self.model.latency[arrival.class_index].value)
         half_objective = request.request_class.latency_objective // 2
-        request.hedge_after = max(half_objective, HEDGE_AFTER_LATENCIES * request.expected_latency)
+        request.expect_response(expected, max(half_objective, HEDGE_AFTER_LATENCIES * expected))
         timeout = self._attempt_timeout(now, request)
         return Send(arrival.request_id, picked.endpoint.id, timeout, retry_rules.retry_deadline(request))
 
@@ -101,12 +101,12 @@
         latencies = event.elapsed / max(1.0, self.model.latency[class_index].value)
         self.load_balancer.attempt_ended(now, event, request.arrival.kind, latencies)
         if event.outcome not in NOT_EXECUTED:
-            request.may_have_executed = True
+            request.execution.assume_executed()
         return latencies
 
     def _retry_or_end(self, now: int, request: RequestState, cost: float) -> Action:
         """Retry where the class, the time left and the retry budget allow it; else end the request."""
-        allowed = not request.may_have_executed or request.request_class.is_repeatable
+        allowed = not request.execution.may_have_executed or request.request_class.is_repeatable
         if allowed and self.retry_budget.allows(cost) and (send := self.send(now, request)):
             self.retry_budget.withdraw(cost)
             return send
--- a/qos_gateway/decisions/requests/request_table.py
+++ b/qos_gateway/decisions/requests/request_table.py
@@ -33,7 +33,7 @@
         """Stop counting an attempt; None where it is not known."""
         request = self.attempts.pop((request_id, attempt), None)
         if request is not None:
-            request.attempts_in_flight -= 1
+            request.attempt_ended()
             request.account.in_flight -= 1
             self.in_flight -= not request.response_started
         return request
@@ -44,9 +44,16 @@
         if request is None or (request_id, attempt) not in self.attempts:
             return None
         self.in_flight -= request.attempts_in_flight
-        request.response_started = True
+        request.start_response()
         return request
 
+    def presume_lost(self, undecided: int, outstanding: int) -> None:
+        """Presume lost the attempts of all open requests but the undecided and those still outstanding.
+
+        `undecided` requests have no attempt yet; `outstanding` ones wait in a queue.
+        """
+        self.presumed_lost = len(self.open) - undecided - outstanding
+
     def cancellations(self, request: RequestState, except_for: int = -1) -> list[Action]:
         """Return the cancellations of a request's attempts in flight, but for the one of that number."""
         request_id = request.arrival.request_id
--- a/qos_gateway/decisions/requests/retry_rules.py
+++ b/qos_gateway/decisions/requests/retry_rules.py
@@ -11,7 +11,7 @@
 def is_retry_harmless(request: RequestState) -> bool:
     """Tell whether the client may send the request again, which can reach any endpoint."""
     cls = request.request_class
-    if not request.may_have_executed or cls.idempotence is Idempotence.IDEMPOTENT:
+    if not request.execution.may_have_executed or cls.idempotence is Idempotence.IDEMPOTENT:
         return True
     return cls.idempotence is Idempotence.KEYED and cls.idempotency_scope is IdempotencyScope.ALL
 
@@ -19,10 +19,10 @@
 def retry_filter(now: int, request: RequestState) -> EndpointFilter:
     """Return where another attempt may go: with a key, only where it is known, and while it is."""
     cls = request.request_class
-    first = request.first_keyed_endpoint
-    if not request.may_have_executed or cls.idempotence is not Idempotence.KEYED or first is None:
+    first = request.execution.first_keyed_endpoint
+    if not request.execution.may_have_executed or cls.idempotence is not Idempotence.KEYED or first is None:
         return None
-    if now - request.first_keyed_attempt_at >= cls.idempotency_window:
+    if now - request.execution.first_keyed_attempt_at >= cls.idempotency_window:
         return lambda _: False
     if cls.idempotency_scope is IdempotencyScope.ZONE:
         return lambda endpoint: endpoint.zone == first.zone
@@ -34,6 +34,6 @@
 def retry_deadline(request: RequestState) -> int:
     """Return from when on a retry with a key must not be written any more (ns); 0 for no such time."""
     cls = request.request_class
-    if request.may_have_executed and cls.idempotence is Idempotence.KEYED:
-        return request.first_keyed_attempt_at + cls.idempotency_window
+    if request.execution.may_have_executed and cls.idempotence is Idempotence.KEYED:
+        return request.execution.first_keyed_attempt_at + cls.idempotency_window
     return 0
--- a/qos_gateway/decisions/requests/stalled_requests.py
+++ b/qos_gateway/decisions/requests/stalled_requests.py
@@ -57,13 +57,13 @@
 
 
 def _send_hedge(now: int, dispatcher: Dispatcher, request: RequestState) -> Send | None:
-    before = request.may_have_executed
-    request.may_have_executed = True  # the attempt in flight may do so yet
+    before = request.execution.may_have_executed
+    request.execution.assume_executed()  # the attempt in flight still may do so
     send = dispatcher.send(now, request, untried_only=True)
     if send:
         dispatcher.retry_budget.withdraw(HEDGE_COST)
-    else:
-        request.may_have_executed = before
+    elif not before:
+        request.execution.withdraw_assumption()
     return send
 
 
@@ -78,6 +78,6 @@
         # Not at an endpoint that is silent: the attempt's time-out has to come and tell so.
         if endpoint is not None and now - endpoint.last_response_at <= objective // 2:
             actions += dispatcher.cancel_attempts(request)
-            request.may_have_executed = True
+            request.execution.assume_executed()
             actions.append(dispatcher.end(request))
     return actions
