--- a/qos_gateway/decisions/admission/admission_controller.py
+++ b/qos_gateway/decisions/admission/admission_controller.py
@@ -71,14 +71,14 @@
         if decision.verdict is Verdict.REJECTED:
             return [*decision.actions, self.dispatcher.reject(arrival, RejectReason.QUOTA)]
         self.awaiting_reservation[decision.reservation] = request
-        self.dispatcher.requests.open[arrival.request_id] = request
+        self.dispatcher.requests.add(request)
         return decision.actions
 
     def _admit(self, now: int, request: RequestState, report_usage: bool) -> list[Action]:
         send = self.dispatcher.send(now, request)
         if send is None:
             return [self.dispatcher.reject(request.arrival, RejectReason.NO_ENDPOINT)]
-        self.dispatcher.requests.open[request.arrival.request_id] = request
+        self.dispatcher.requests.add(request)
         self.dispatcher.retry_budget.deposit()
         if not report_usage:
             return [send]
@@ -93,7 +93,7 @@
         if reply.granted:
             request.acquire_slot()
         actions = list(reply.actions)
-        if self.dispatcher.requests.open.pop(request.arrival.request_id, None) is not None:
+        if self.dispatcher.requests.close(request.arrival.request_id) is not None:
             granted = reply.granted
             if granted is None:
                 granted = self.quota.decide_locally(now, request.account, request.arrival.units)
--- a/qos_gateway/decisions/engine.py
+++ b/qos_gateway/decisions/engine.py
@@ -65,7 +65,7 @@
             case events.ResponseStarted(request_id, _, attempt):
                 return self.dispatcher.response_started(request_id, attempt)
             case events.ClientDisconnected(request_id):
-                self.request_table.open.pop(request_id, None)
+                self.request_table.close(request_id)
             case events.TimerFired(token):
                 return self._tick(now) if token == TICK_TIMER else [WatchEndpoints(True)]
             case events.PeerMessage():
--- a/qos_gateway/decisions/load_balancing/load_balancer.py
+++ b/qos_gateway/decisions/load_balancing/load_balancer.py
@@ -7,7 +7,7 @@
 
 from ...types import AttemptEnded, Endpoint, Outcome, Settings, Topology
 from ..requests.request_state import RequestState
-from ..requests.retry_rules import EndpointFilter
+from ..requests.retry_policy import EndpointFilter
 from ..statistics.decaying_mean import DecayingMean
 from ..statistics.time_constants import LONG_MEMORY_NS, SHORT_MEMORY_NS
 from .endpoint_observations import EndpointObservations, ObservationMemory
--- /dev/null
+++ b/qos_gateway/decisions/requests/attempt_timeouts.py
@@ -0,0 +1,42 @@
+"""Attempt time-outs, and the age from which an attempt may be hedged."""
+
+from ...types import Settings
+from ..congestion.queue_model import QueueModel
+from ..load_balancing.load_balancer import LoadBalancer
+from .request_state import RequestState
+
+MIN_UNANSWERED_RATIO = 0.05  # of recent attempts, from which attempts get a time-out
+UNANSWERED_PRIOR_SAMPLES = 3.0  # answered attempts that the ratio starts from
+TIMEOUT_LATENCIES = 3  # mean latencies
+HEDGE_AFTER_LATENCIES = 6  # mean latencies
+
+
+class AttemptTimeouts:
+    """Derives the time limits of attempts from the mean latency of their class."""
+
+    def __init__(self, settings: Settings, model: QueueModel, load_balancer: LoadBalancer) -> None:
+        self._settings = settings
+        self._model = model
+        self._load_balancer = load_balancer
+
+    def hedge_after(self, request: RequestState, expected_latency: int) -> int:
+        """Return the age (ns) from which an attempt may be hedged, half the latency objective at least."""
+        half_objective = request.request_class.latency_objective // 2
+        return max(half_objective, HEDGE_AFTER_LATENCIES * expected_latency)
+
+    def timeout(self, now: int, request: RequestState) -> int:
+        """Return the time-out (ns) of an attempt that is sent now; 0 for none.
+
+        It guards against lost responses and hung endpoints. Under congestion all responses are late, and
+        time-outs would add load.
+        """
+        cls = request.request_class
+        may_retry = cls.is_repeatable and request.attempts_sent < self._settings.max_attempts
+        if not may_retry or self._model.congested:
+            return 0
+        class_index = request.arrival.class_index
+        unanswered = self._load_balancer.unanswered_ratio[class_index]
+        if unanswered.mean_with_prior(now, 0.0, UNANSWERED_PRIOR_SAMPLES) < MIN_UNANSWERED_RATIO:
+            return 0
+        latency = self._model.latency[class_index].value
+        return max(cls.latency_objective // 2, int(TIMEOUT_LATENCIES * latency))
--- a/qos_gateway/decisions/requests/dispatcher.py
+++ b/qos_gateway/decisions/requests/dispatcher.py
@@ -1,45 +1,43 @@
-"""Attempts of admitted requests: where each is sent, when it is given up, and what follows its end."""
+"""Dispatch of admitted requests: their attempts, their retries, and their end."""
 
 from ...types.actions import Action, Fail, Reject, RejectReason, Send
 from ...types.events import NOT_EXECUTED, Arrival, AttemptEnded, Outcome
-from ...types.settings import Settings
+from ...types.settings import RequestClass, Settings
 from ...units import SECOND
 from ..congestion.queue_model import QueueModel
 from ..load_balancing.load_balancer import LoadBalancer
 from ..quota.base import Quota
-from . import retry_rules
+from . import retry_policy
+from .attempt_timeouts import AttemptTimeouts
 from .request_state import RequestState
 from .request_table import RequestTable
-from .retry_budget import RetryBudget
+from .retry_budget import RetryBudget, retry_cost
 
-UNANSWERED_RATIO_FOR_TIMEOUT = 0.05  # part of recent attempts unanswered from which they get a time-out
-UNANSWERED_PRIOR_SAMPLES = 3.0  # answered attempts that this part is taken to rest on from the start
-TIMEOUT_LATENCIES = 3  # mean latencies after which an attempt times out; half its objective at least
-HEDGE_AFTER_LATENCIES = 6  # mean latencies after which few responses still come: work varies, too
-RETRY_BUDGET_RATIO = 0.1  # retries for each first attempt: keeps a failing fleet's load from being doubled
-RETRY_BUDGET_BURST = 10.0  # retries that may be saved up
-MIN_RETRY_COST = 0.1  # of a retry after an attempt that broke off at once: it took no endpoint's time
-RETRY_AFTER_NS = SECOND // 5  # told to a rejected client: longer left capacity unused, and floods ignore it
-RETRY_AFTER_OBJECTIVE_DIVISOR = 6  # of its objective at most: that runs from the first attempt on
+MAX_RETRY_AFTER_NS = SECOND // 5  # a longer wait leaves capacity unused
+RETRY_AFTER_OBJECTIVE_DIVISOR = 6  # the latency objective counts from the first attempt
 
 
 class Dispatcher:
-    """Sends attempts, and turns their outcomes into retries or the request's end."""
+    """Sends attempts, and decides at the end of each whether the request is retried or ends."""
 
-    def __init__(self, settings: Settings, model: QueueModel, balancer: LoadBalancer, quota: Quota) -> None:
+    def __init__(
+        self, settings: Settings, model: QueueModel, load_balancer: LoadBalancer, quota: Quota
+    ) -> None:
         self.settings = settings
         self.model = model
-        self.load_balancer = balancer
+        self.load_balancer = load_balancer
         self.quota = quota
         self.requests = RequestTable()
-        self.retry_budget = RetryBudget(RETRY_BUDGET_RATIO, RETRY_BUDGET_BURST)
+        self.retry_budget = RetryBudget()
+        self._timeouts = AttemptTimeouts(settings, model, load_balancer)
+        self._retry_after = [_retry_after(settings, each) for each in settings.classes]
 
     def send(self, now: int, request: RequestState, untried_only: bool = False) -> Send | None:
-        """Send an attempt to the endpoint picked for it, preferably one not tried yet; None if that fails."""
+        """Send an attempt, preferably to an endpoint without one of this request; None if that fails."""
         arrival = request.arrival
         if now >= arrival.deadline or request.attempts_sent >= self.settings.max_attempts:
             return None
-        allowed = retry_rules.retry_filter(now, request)
+        allowed = retry_policy.allowed_endpoints(now, request)
         picked = self.load_balancer.pick(now, arrival.kind, request.attempted_endpoints, allowed)
         if picked is None and not untried_only:
             picked = self.load_balancer.pick(now, arrival.kind, set(), allowed)
@@ -47,50 +45,37 @@
             return None
         self.load_balancer.attempt_started(now, picked)
         self.requests.attempt_sent(now, request, picked.endpoint)
-        expected = int(self.model.latency[arrival.class_index].value)
-        half_objective = request.request_class.latency_objective // 2
-        request.expect_response(expected, max(half_objective, HEDGE_AFTER_LATENCIES * expected))
-        timeout = self._attempt_timeout(now, request)
-        return Send(arrival.request_id, picked.endpoint.id, timeout, retry_rules.retry_deadline(request))
-
-    def _attempt_timeout(self, now: int, request: RequestState) -> int:
-        """Return a time-out (ns), 0 for none: a guard against lost responses and hung endpoints."""
-        cls = request.request_class
-        may_retry = cls.is_repeatable and request.attempts_sent < self.settings.max_attempts
-        if not may_retry or self.model.congested:  # under congestion all are slow, and it would do harm
-            return 0
-        class_index = request.arrival.class_index
-        unanswered = self.load_balancer.unanswered_ratio[class_index]
-        if unanswered.mean_with_prior(now, 0.0, UNANSWERED_PRIOR_SAMPLES) < UNANSWERED_RATIO_FOR_TIMEOUT:
-            return 0
-        return max(cls.latency_objective // 2, int(TIMEOUT_LATENCIES * self.model.latency[class_index].value))
+        expected_latency = int(self.model.latency[arrival.class_index].value)
+        request.expect_response(expected_latency, self._timeouts.hedge_after(request, expected_latency))
+        timeout = self._timeouts.timeout(now, request)
+        return Send(arrival.request_id, picked.endpoint.id, timeout, retry_policy.send_deadline(request))
 
     def response_started(self, request_id: int, attempt: int) -> list[Action]:
-        """Bind the request to this attempt: no other is made, and those in flight are cancelled."""
+        """Bind the request to this attempt: cancel the others, and send no more."""
         request = self.requests.response_started(request_id, attempt)
         return [] if request is None else self.cancel_attempts(request, attempt)
 
     def cancel_attempts(self, request: RequestState, except_for: int = -1) -> list[Action]:
-        """Cancel a request's attempts in flight but for one."""
+        """Cancel a request's attempts in flight but for the one of that number."""
         return self.requests.cancellations(request, except_for) if self.settings.may_cancel else []
 
     def attempt_ended(self, now: int, event: AttemptEnded) -> list[Action]:
-        """Learn from an attempt's outcome; then the request is over, retried, or waits for other attempts."""
+        """Record an attempt's outcome, then end or retry the request where no attempt is in flight."""
         request = self.requests.attempt_ended(event.request_id, event.attempt)
         if request is None:
             return []
-        latencies = self._learn(now, event, request)
+        relative_latency = self._record_outcome(now, event, request)
         actions: list[Action] = []
         if event.request_finished:
-            self.requests.open.pop(event.request_id, None)
+            self.requests.close(event.request_id)
             if not request.response_started:  # else the others were cancelled when it started
                 actions += self.cancel_attempts(request)
         if not request.attempts_in_flight and event.request_id in self.requests.open:
-            actions.append(self._retry_or_end(now, request, max(MIN_RETRY_COST, min(1.0, latencies))))
+            actions.append(self._retry_or_end(now, request, retry_cost(relative_latency)))
         return actions + self.quota.release_slot(now, request)
 
-    def _learn(self, now: int, event: AttemptEnded, request: RequestState) -> float:
-        """Pass on what an outcome tells; return how many mean latencies the attempt took."""
+    def _record_outcome(self, now: int, event: AttemptEnded, request: RequestState) -> float:
+        """Record an outcome at its owners; return the attempt's latency relative to its class's mean."""
         class_index = request.arrival.class_index
         if event.quota_usage:
             self.quota.record_usage(now, request.account, event.quota_usage - 1)
@@ -98,29 +83,33 @@
             self.model.latency[class_index].add(now, event.elapsed)
             if self.settings.settles_actual_units and event.actual_units:
                 request.account.tokens -= event.actual_units - request.arrival.units
-        latencies = event.elapsed / max(1.0, self.model.latency[class_index].value)
-        self.load_balancer.attempt_ended(now, event, request.arrival.kind, latencies)
+        relative_latency = event.elapsed / max(1.0, self.model.latency[class_index].value)
+        self.load_balancer.attempt_ended(now, event, request.arrival.kind, relative_latency)
         if event.outcome not in NOT_EXECUTED:
             request.execution.assume_executed()
-        return latencies
+        return relative_latency
 
     def _retry_or_end(self, now: int, request: RequestState, cost: float) -> Action:
-        """Retry where the class, the time left and the retry budget allow it; else end the request."""
-        allowed = not request.execution.may_have_executed or request.request_class.is_repeatable
-        if allowed and self.retry_budget.allows(cost) and (send := self.send(now, request)):
+        """Retry where the retry policy, the deadline and the retry budget allow it; else end the request."""
+        allowed = retry_policy.may_gateway_retry(request) and self.retry_budget.allows(cost)
+        if allowed and (send := self.send(now, request)):
             self.retry_budget.withdraw(cost)
             return send
         return self.end(request)
 
     def end(self, request: RequestState) -> Reject | Fail:
-        """Give a request up: its final answer is a rejection where a client's retry is harmless."""
-        del self.requests.open[request.arrival.request_id]
-        if retry_rules.is_retry_harmless(request):
+        """Close a request without a response; reject it where the client may retry it, else fail it."""
+        self.requests.close(request.arrival.request_id)
+        if retry_policy.may_client_retry(request):
             return self.reject(request.arrival, RejectReason.NO_RETRY)
         return Fail(request.arrival.request_id)
 
     def reject(self, arrival: Arrival, reason: RejectReason) -> Reject:
-        """Reject a request, with the time after which its client may retry."""
-        objective = self.settings.classes[arrival.class_index].latency_objective
-        wait = min(RETRY_AFTER_NS, objective // RETRY_AFTER_OBJECTIVE_DIVISOR, self.settings.max_retry_after)
-        return Reject(arrival.request_id, wait * self.settings.sends_retry_after, reason)
+        """Reject a request, with the Retry-After of its class."""
+        return Reject(arrival.request_id, self._retry_after[arrival.class_index], reason)
+
+
+def _retry_after(settings: Settings, request_class: RequestClass) -> int:
+    """Return the Retry-After (ns) of a class's rejections; 0 where none is sent."""
+    by_objective = request_class.latency_objective // RETRY_AFTER_OBJECTIVE_DIVISOR
+    return min(MAX_RETRY_AFTER_NS, by_objective, settings.max_retry_after) * settings.sends_retry_after
--- a/qos_gateway/decisions/requests/request_table.py
+++ b/qos_gateway/decisions/requests/request_table.py
@@ -9,28 +9,36 @@
 
 
 class RequestTable:
-    """Open requests by id, attempts in flight by key, and how many attempts occupy an endpoint."""
+    """Open requests by id, attempts in flight by key, and the number that occupies endpoints."""
 
     def __init__(self) -> None:
-        self.open: dict[int, RequestState] = {}  # those that still owe their final answer
+        self.open: dict[int, RequestState] = {}  # requests without a final response
         self.attempts: dict[AttemptKey, RequestState] = {}  # these may outlive the request
         self.in_flight = 0  # attempts whose response has not started
         self.presumed_lost = 0  # of these, attempts whose response was probably lost
 
     @property
     def working(self) -> int:
-        """Return how many attempts an endpoint is probably working on."""
+        """Return the number of attempts that an endpoint is probably working on."""
         return self.in_flight - self.presumed_lost
 
+    def add(self, request: RequestState) -> None:
+        """Add an open request."""
+        self.open[request.arrival.request_id] = request
+
+    def close(self, request_id: int) -> RequestState | None:
+        """Close a request and return it; None where it is not open. Its attempts stay in the table."""
+        return self.open.pop(request_id, None)
+
     def attempt_sent(self, now: int, request: RequestState, endpoint: Endpoint) -> None:
-        """Count an attempt that is sent now."""
+        """Count an attempt that is sent now (ns)."""
         self.attempts[request.arrival.request_id, request.attempts_sent] = request
         request.attempt_sent(now, endpoint)
         request.account.in_flight += 1
         self.in_flight += 1
 
     def attempt_ended(self, request_id: int, attempt: int) -> RequestState | None:
-        """Stop counting an attempt; None where it is not known."""
+        """Remove an attempt and return its request; None where the attempt is unknown."""
         request = self.attempts.pop((request_id, attempt), None)
         if request is not None:
             request.attempt_ended()
@@ -39,8 +47,8 @@
         return request
 
     def response_started(self, request_id: int, attempt: int) -> RequestState | None:
-        """Close the request, whose response flows from now on; None where either is not known."""
-        request = self.open.pop(request_id, None)
+        """Close the request whose response has started; None where it or the attempt is unknown."""
+        request = self.close(request_id)
         if request is None or (request_id, attempt) not in self.attempts:
             return None
         self.in_flight -= request.attempts_in_flight
@@ -48,14 +56,14 @@
         return request
 
     def presume_lost(self, undecided: int, outstanding: int) -> None:
-        """Presume lost the attempts of all open requests but the undecided and those still outstanding.
+        """Presume lost the last attempts of all open requests but the undecided and the outstanding ones.
 
-        `undecided` requests have no attempt yet; `outstanding` ones wait in a queue.
+        `undecided` requests have no attempt yet; the responses to `outstanding` ones are still expected.
         """
         self.presumed_lost = len(self.open) - undecided - outstanding
 
     def cancellations(self, request: RequestState, except_for: int = -1) -> list[Action]:
-        """Return the cancellations of a request's attempts in flight, but for the one of that number."""
+        """Return the cancellations of a request's attempts in flight but for the one of that number."""
         request_id = request.arrival.request_id
         numbers = (n for n in range(request.attempts_sent) if (request_id, n) in self.attempts)
         return [CancelAttempt(request_id, n) for n in numbers if n != except_for]
--- a/qos_gateway/decisions/requests/retry_budget.py
+++ b/qos_gateway/decisions/requests/retry_budget.py
@@ -1,27 +1,35 @@
-"""A budget that bounds retries by a share of first attempts."""
+"""Retry budget: a token bucket that bounds retries and hedges by a fraction of first attempts."""
 
 from __future__ import annotations
 
+TOKENS_PER_FIRST_ATTEMPT = 0.1  # keeps retries from doubling the load of a failing fleet
+MAX_TOKENS = 10.0
+MIN_RETRY_COST = 0.1  # tokens, after an attempt that took no endpoint's time
+MAX_RETRY_COST = 1.0  # tokens
+
 
 class RetryBudget:
-    """Token bucket that each first attempt fills a little and each retry or hedge empties."""
+    """Token bucket that each first attempt fills and each retry or hedge empties."""
 
-    __slots__ = ("burst", "ratio", "tokens")
+    __slots__ = ("tokens",)
 
-    def __init__(self, ratio: float, burst: float) -> None:
-        """Start full: `ratio` is the tokens per first attempt, `burst` the most that is saved up."""
-        self.ratio = ratio
-        self.burst = burst
-        self.tokens = burst
+    def __init__(self) -> None:
+        """Start with a full bucket."""
+        self.tokens = MAX_TOKENS
 
     def deposit(self) -> None:
         """Credit one first attempt."""
-        self.tokens = min(self.burst, self.tokens + self.ratio)
+        self.tokens = min(MAX_TOKENS, self.tokens + TOKENS_PER_FIRST_ATTEMPT)
 
     def allows(self, cost: float) -> bool:
-        """Tell whether an attempt of this cost is within the budget."""
+        """Return whether an attempt of this cost (tokens) is within the budget."""
         return self.tokens >= cost
 
     def withdraw(self, cost: float) -> None:
         """Charge an attempt that was sent."""
         self.tokens -= cost
+
+
+def retry_cost(relative_latency: float) -> float:
+    """Return the cost (tokens) of a retry after an attempt that took that many mean latencies."""
+    return max(MIN_RETRY_COST, min(MAX_RETRY_COST, relative_latency))
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -20,7 +20,7 @@
 from qos_gateway.decisions.load_balancing.load_balancer import LoadBalancer
 from qos_gateway.decisions.quota.base import Quota
 from qos_gateway.decisions.quota.quota_decision import QuotaDecision
-from qos_gateway.decisions.requests import retry_rules, stalled_requests
+from qos_gateway.decisions.requests import retry_policy, stalled_requests
 from qos_gateway.decisions.requests.dispatcher import Dispatcher
 from qos_gateway.decisions.requests.retry_budget import RetryBudget
 from qos_gateway.server import client_timeouts, endpoint_list
@@ -124,14 +124,14 @@
 def repeat_everything() -> None:
     """Send again what may not be repeated."""
     _patch(RequestClass, "is_repeatable", property(_yes))
-    _patch(retry_rules, "retry_filter", _nothing)
+    _patch(retry_policy, "allowed_endpoints", _nothing)
     _patch(RetryBudget, "allows", _yes)
     _disable_guards()
 
 
 def invite_every_repeat() -> None:
     """Tell clients that a repeat is harmless, whatever has run."""
-    _patch(retry_rules, "is_retry_harmless", _yes)
+    _patch(retry_policy, "may_client_retry", _yes)
     _disable_guards()
 
 
