--- a/qos_gateway/decisions/engine.py
+++ b/qos_gateway/decisions/engine.py
@@ -17,8 +17,9 @@
 from .congestion.queue_model import QueueModel
 from .load_balancing.load_balancer import LoadBalancer
 from .quota import create_quota
-from .requests import stalled_requests
 from .requests.dispatcher import Dispatcher
+from .requests.hedging import Hedging
+from .requests.stalled_requests import StalledRequestMonitor
 from .statistics.time_constants import LONG_MEMORY_NS, TICK_INTERVAL_NS
 
 TICK_TIMER = 1  # token of the timer for the next tick ...
@@ -40,6 +41,8 @@
         self.load_balancer = LoadBalancer(settings, rng)
         self.dispatcher = Dispatcher(settings, self.model, self.load_balancer, self.quota)
         self.request_table = self.dispatcher.requests
+        self.hedging = Hedging(self.dispatcher, self.model, self.load_balancer)
+        self.stalled_requests = StalledRequestMonitor(self.dispatcher, self.model, self.load_balancer)
         self.commitments = CommitmentTable(self.model, self.quota)
         self.admission = AdmissionController(self.dispatcher, self.commitments)
         self.started = False
@@ -86,12 +89,12 @@
         actions: list[Action] = [SetTimer(TICK_INTERVAL_NS, TICK_TIMER)]
         actions += self.admission.expire_reservations(now)
         actions += self.quota.resend_releases(now, self.commitments.active.values())
-        actions += stalled_requests.leave_unresponsive_zones(now, self.dispatcher)
-        outstanding = stalled_requests.outstanding_attempts(now, self.dispatcher)
+        actions += self.stalled_requests.cancel_in_unresponsive_zones(now)
+        outstanding = self.stalled_requests.outstanding_attempts(now)
         table.presume_lost(len(self.admission.awaiting_reservation), len(outstanding))
         self.model.fit(now, table.working, outstanding)
-        actions += stalled_requests.hedge(now, self.dispatcher)
-        actions += stalled_requests.give_up_late(now, self.dispatcher)
+        actions += self.hedging.send_hedges(now)
+        actions += self.stalled_requests.end_late_requests(now)
         self.load_balancer.refresh(now)
         self.commitments.evaluate_due(now)
         if now - self.pruned_at >= COMMITMENT_IDLE_TIME_NS:
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -20,8 +20,8 @@
 from qos_gateway.decisions.load_balancing.load_balancer import LoadBalancer
 from qos_gateway.decisions.quota.base import Quota
 from qos_gateway.decisions.quota.quota_decision import QuotaDecision
-from qos_gateway.decisions.requests import retry_policy, stalled_requests
-from qos_gateway.decisions.requests.dispatcher import Dispatcher
+from qos_gateway.decisions.requests import retry_policy
+from qos_gateway.decisions.requests.hedging import Hedging
 from qos_gateway.decisions.requests.retry_budget import RetryBudget
 from qos_gateway.server import client_timeouts, endpoint_list
 from qos_gateway.server import gateway as gateway_module
@@ -150,12 +150,13 @@
     """Make second attempts where they are not allowed."""
     _change_settings(hedging=True)
 
-    def hedge(now: int, dispatcher: Dispatcher) -> list[Any]:
+    def send_hedges(self: Hedging, now: int) -> list[Any]:
+        dispatcher = self._dispatcher
         waiting = [r for r in dispatcher.requests.open.values() if r.attempts_in_flight == 1]
         late = [r for r in waiting if now - r.last_attempt_at >= HEDGE_AFTER_NS]
         return [send for r in late if (send := dispatcher.send(now, r, untried_only=True)) is not None]
 
-    _patch(stalled_requests, "hedge", hedge)
+    _patch(Hedging, "send_hedges", send_hedges)
 
 
 def _change_settings(**changes: Any) -> None:
--- a/tests/decisions/test_late_requests.py
+++ b/tests/decisions/test_late_requests.py
@@ -6,7 +6,6 @@
 
 from qos_gateway.decisions.congestion.outstanding_attempt import OutstandingAttempt
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
-from qos_gateway.decisions.requests.stalled_requests import give_up_late, hedge
 from qos_gateway.decisions.statistics.time_constants import TICK_INTERVAL_NS
 from qos_gateway.types import (
     Action,
@@ -89,7 +88,9 @@
     off = ended(1, second.endpoint, Outcome.CANCELLED, attempt=1, finished=True)
     assert g.handle(START + 3 * MS, off) == []
     g.model.congested = True
-    late = give_up_late(START + 3 * SECOND, g.dispatcher) + hedge(START + 3 * SECOND, g.dispatcher)
+    late = g.stalled_requests.end_late_requests(START + 3 * SECOND) + g.hedging.send_hedges(
+        START + 3 * SECOND
+    )
     assert late == []
     assert g.handle(START + 4 * SECOND, ended(1, first.endpoint, elapsed=2 * MS)) == []
     assert g.request_table.in_flight == 0
