--- a/qos_gateway/decisions/congestion/class_latency.py
+++ b/qos_gateway/decisions/congestion/class_latency.py
@@ -1,4 +1,4 @@
-"""The latency of one class of requests, and what it is without congestion."""
+"""The latency of one class of requests, and its baseline without congestion."""
 
 from __future__ import annotations
 
@@ -9,40 +9,47 @@
 
 @dataclass(slots=True)
 class LatencySamples:
-    """A number of latencies (ns), of which only the sum matters."""
+    """A decayed number of latencies, and their sum (ns)."""
 
     weight: float
     total: float
 
 
-class ClassLatency(DecayingMean):
-    """A class's mean latency, beside it what came of late, and its baseline. Times are in ns."""
+class ClassLatency:
+    """Two means of a class's latency, which differ in their time constants, and its baseline.
 
-    __slots__ = ("baseline", "recent")
+    Times are in ns.
+    """
+
+    __slots__ = ("baseline", "mean", "recent")
 
     def __init__(self, time_constant: int) -> None:
-        """Start both means with the same time constant; each may be changed."""
-        super().__init__(time_constant)
-        self.recent = DecayingMean(time_constant)
-        self.baseline = 0.0  # latency without congestion; 0 while unknown
+        """Start both means with the same time constant."""
+        self.mean = DecayingMean(time_constant)  # by the class's own rate of responses
+        self.recent = DecayingMean(time_constant)  # by the rate of all classes
+        self.baseline = 0.0  # 0 while unknown
+
+    def add(self, now: int, latency: float, weight: float = 1.0) -> None:
+        """Add a response's latency to both means."""
+        self.mean.add(now, latency, weight)
+        self.recent.add(now, latency, weight)
 
-    def add(self, now: int, value: float, weight: float = 1.0) -> None:
-        """Add a response's latency."""
-        super().add(now, value, weight)
-        self.recent.add(now, value, weight)
+    def set_time_constants(self, mean: int, recent: int) -> None:
+        """Set the time constant of each mean."""
+        self.mean.time_constant = mean
+        self.recent.time_constant = recent
 
     def samples_with(self, now: int, ages: list[int]) -> LatencySamples:
-        """Return the recent latencies, decayed, together with the ages of attempts without a response."""
-        decay = decay_factor(now - self.recent.updated_at, self.recent.time_constant)
-        return LatencySamples(
-            self.recent.weight * decay + len(ages), self.recent.weighted_sum * decay + sum(ages)
-        )
+        """Return the recent latencies together with the ages of attempts without a response."""
+        recent = self.recent
+        decay = decay_factor(now - recent.updated_at, recent.time_constant)
+        return LatencySamples(recent.weight * decay + len(ages), recent.weighted_sum * decay + sum(ages))
 
     def move_baseline(self, growth: float) -> None:
         """Move the baseline down to the mean, or up by a factor where the mean is above it."""
         grown = self.baseline * growth
-        self.baseline = min(grown, self.value) if grown else self.value
+        self.baseline = min(grown, self.mean.value) if grown else self.mean.value
 
     def baseline_or_mean(self) -> float:
-        """Return the baseline, the mean where that is unknown, 0 without any response."""
-        return self.baseline or self.value
+        """Return the baseline, or the mean while that is unknown; 0 without any response."""
+        return self.baseline or self.mean.value
--- a/qos_gateway/decisions/congestion/mean_value_analysis.py
+++ b/qos_gateway/decisions/congestion/mean_value_analysis.py
@@ -17,7 +17,7 @@
 
 
 def fit_demand(delay: float, in_flight: int, response_time: float, steps: int) -> float:
-    """Return, by bisection, the demand with which so many in flight take `response_time`, from above."""
+    """Return an upper bound, by bisection, of the demand for which `in_flight` take `response_time`."""
     low, high = 0.0, response_time
     for _ in range(steps):
         demand = (low + high) / 2
@@ -30,21 +30,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ClosedNetwork:
-    """A network whose response times are known by the number in flight, from 0 on."""
+    """A network with its response times by the number in flight, from 0 on."""
 
     delay: float = 0.0
     times: tuple[float, ...] = (0.0,)
 
     @classmethod
     def fitted(cls, delay: float, in_flight: int, response_time: float, steps: int) -> ClosedNetwork:
-        """Fit the demand to one response time; later ones are known for several times as many in flight."""
+        """Fit the demand to one response time; response times are computed up to four times `in_flight`."""
         demand = fit_demand(delay, in_flight, response_time, steps)
         return cls(delay, tuple(response_times(demand, delay, 4 * in_flight + 20)))
 
     def wait(self, in_flight: float) -> float:
-        """Return the predicted time in the queue; beyond what is known, the last that is."""
+        """Return the predicted time in the queue; beyond the computed numbers, that of the last one."""
         return self.times[min(max(0, round(in_flight)), len(self.times) - 1)] - self.delay
 
     def in_flight_within(self, wait: float) -> int:
-        """Return how many may be in flight with at most that time in the queue; -1 for none."""
+        """Return the largest number in flight with at most that time in the queue; -1 for none."""
         return sum(time - self.delay <= wait for time in self.times) - 1
--- a/qos_gateway/decisions/congestion/outstanding_attempt.py
+++ b/qos_gateway/decisions/congestion/outstanding_attempt.py
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class OutstandingAttempt:
-    """An attempt without a response: its age (ns) tells of congestion before the response does."""
+    """An attempt without a response: its age (ns) shows congestion before the response arrives."""
 
     class_index: int
     age: int
--- a/qos_gateway/decisions/handover.py
+++ b/qos_gateway/decisions/handover.py
@@ -46,8 +46,8 @@
         endpoints=endpoints,
         admin_disabled=dict(load_balancer.admin_disabled),
         warm_completions=MeanSnapshot.of(load_balancer.warm_completions),
-        latency=tuple(MeanSnapshot.of(mean) for mean in engine.model.latency),
-        baseline_latency=tuple(latency.baseline for latency in engine.model.latency),
+        latency=tuple(MeanSnapshot.of(latency.mean) for latency in engine.model.class_latency),
+        baseline_latency=tuple(latency.baseline for latency in engine.model.class_latency),
         call_rate=quota.call_rate,
         retry_tokens=engine.dispatcher.retry_budget.tokens * fractions.incoming,
         lease_fractions={
@@ -107,9 +107,9 @@
     """Take over a snapshot, decoded for the settings of this engine, and go on with its fraction."""
     _restore_accounts(engine.quota, now, snapshot)
     _restore_endpoints(engine.load_balancer, now, snapshot)
-    latencies = zip(engine.model.latency, snapshot.latency, snapshot.baseline_latency, strict=True)
+    latencies = zip(engine.model.class_latency, snapshot.latency, snapshot.baseline_latency, strict=True)
     for latency, captured, baseline in latencies:
-        captured.copy_to(latency)
+        captured.copy_to(latency.mean)
         latency.baseline = baseline
     engine.dispatcher.retry_budget.tokens = snapshot.retry_tokens
     engine.quota.call_rate = min(1.0, max(0.0, snapshot.call_rate))
--- a/qos_gateway/decisions/requests/attempt_timeouts.py
+++ b/qos_gateway/decisions/requests/attempt_timeouts.py
@@ -38,5 +38,5 @@
         unanswered = self._load_balancer.unanswered_ratio[class_index]
         if unanswered.mean_with_prior(now, 0.0, UNANSWERED_PRIOR_SAMPLES) < MIN_UNANSWERED_RATIO:
             return 0
-        latency = self._model.latency[class_index].value
+        latency = self._model.class_latency[class_index].mean.value
         return max(cls.latency_objective // 2, int(TIMEOUT_LATENCIES * latency))
--- a/qos_gateway/decisions/requests/dispatcher.py
+++ b/qos_gateway/decisions/requests/dispatcher.py
@@ -45,7 +45,7 @@
             return None
         self.load_balancer.attempt_started(now, picked)
         self.requests.attempt_sent(now, request, picked.endpoint)
-        expected_latency = int(self.model.latency[arrival.class_index].value)
+        expected_latency = int(self.model.class_latency[arrival.class_index].mean.value)
         request.expect_response(expected_latency, self._timeouts.hedge_after(request, expected_latency))
         timeout = self._timeouts.timeout(now, request)
         return Send(arrival.request_id, picked.endpoint.id, timeout, retry_policy.send_deadline(request))
@@ -79,11 +79,12 @@
         class_index = request.arrival.class_index
         if event.quota_usage:
             self.quota.record_usage(now, request.account, event.quota_usage - 1)
+        class_latency = self.model.class_latency[class_index]
         if event.outcome is Outcome.OK:
-            self.model.latency[class_index].add(now, event.elapsed)
+            class_latency.add(now, event.elapsed)
             if self.settings.settles_actual_units and event.actual_units:
                 request.account.tokens -= event.actual_units - request.arrival.units
-        relative_latency = event.elapsed / max(1.0, self.model.latency[class_index].value)
+        relative_latency = event.elapsed / max(1.0, class_latency.mean.value)
         self.load_balancer.attempt_ended(now, event, request.arrival.kind, relative_latency)
         if event.outcome not in NOT_EXECUTED:
             request.execution.assume_executed()
--- a/qos_gateway/decisions/statistics/decaying_mean.py
+++ b/qos_gateway/decisions/statistics/decaying_mean.py
@@ -6,19 +6,21 @@
 
 from ...units import SECOND
 
+MIN_WEIGHT = 1e-9  # samples, below which a mean is taken to have none
+
 
 def decay_factor(age: int, time_constant: int) -> float:
-    """Return the weight that is left of a sample of that age (both in ns)."""
+    """Return the weight of a sample of that age (both in ns), relative to a new one."""
     return exp(-age / time_constant)
 
 
 class DecayingMean:
-    """A mean whose samples lose weight exponentially with age."""
+    """A mean whose samples lose weight exponentially with age. Times are in ns."""
 
     __slots__ = ("time_constant", "updated_at", "weight", "weighted_sum")
 
     def __init__(self, time_constant: int) -> None:
-        """`time_constant` (ns): the age at which a sample has lost 1 - 1/e of its weight."""
+        """Start without samples; `time_constant` is the age at which a sample weighs 1/e."""
         self.time_constant = time_constant
         self.updated_at = 0
         self.weighted_sum = 0.0
@@ -26,9 +28,9 @@
 
     def add(self, now: int, value: float, weight: float = 1.0) -> None:
         """Add a sample."""
-        left = exp((self.updated_at - now) / self.time_constant)
-        self.weighted_sum = self.weighted_sum * left + value * weight
-        self.weight = self.weight * left + weight
+        decay = exp((self.updated_at - now) / self.time_constant)
+        self.weighted_sum = self.weighted_sum * decay + value * weight
+        self.weight = self.weight * decay + weight
         self.updated_at = now
 
     def rate(self, now: int) -> float:
@@ -36,11 +38,11 @@
         return self.weight * exp((self.updated_at - now) / self.time_constant) * SECOND / self.time_constant
 
     def mean_with_prior(self, now: int, prior: float, strength: float) -> float:
-        """Return the mean with `strength` samples of `prior` mixed in, to which it returns with age."""
-        left = exp((self.updated_at - now) / self.time_constant)
-        return (self.weighted_sum * left + prior * strength) / (self.weight * left + strength)
+        """Return the mean with `strength` samples of `prior` added, which do not decay."""
+        decay = exp((self.updated_at - now) / self.time_constant)
+        return (self.weighted_sum * decay + prior * strength) / (self.weight * decay + strength)
 
     @property
     def value(self) -> float:
         """Return the mean; 0 without samples."""
-        return self.weighted_sum / self.weight if self.weight > 1e-9 else 0.0
+        return self.weighted_sum / self.weight if self.weight > MIN_WEIGHT else 0.0
--- a/qos_gateway/decisions/statistics/time_constants.py
+++ b/qos_gateway/decisions/statistics/time_constants.py
@@ -1,7 +1,7 @@
-"""Time constants of the means on which decisions rest."""
+"""Time constants that decisions share, in ns."""
 
 from ...units import SECOND
 
-SHORT_MEMORY_NS = 1 * SECOND  # a few dozen responses at usual rates
-LONG_MEMORY_NS = 10 * SECOND  # for what happens seldom
+SHORT_MEMORY_NS = 1 * SECOND  # for frequent samples
+LONG_MEMORY_NS = 10 * SECOND  # for rare samples
 TICK_INTERVAL_NS = SECOND // 10  # between refits, gossip and checks of open requests
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -90,7 +90,7 @@
     g = engine_among_many()
     g.quota.call_rate = 0.0
     for i in range(30):
-        g.model.latency[UNSAFE].add(i * 50 * MS, 150 * MS)
+        g.model.class_latency[UNSAFE].add(i * 50 * MS, 150 * MS)
     g.model.fit(2 * SECOND, 1, [])
     for customer in range(20):
         cls = UNSAFE if customer % 2 else 0
--- a/tests/decisions/test_many_gateways.py
+++ b/tests/decisions/test_many_gateways.py
@@ -81,8 +81,8 @@
     """Answers come from zone 0, none from zone 1; where each went, and what the next beat does."""
     g = DecisionEngine(settings(gateway_count=2, plans=(plan(rate=1e3, burst=1e3),)), 7, 0)
     g.handle(0, full_list(*(replace(backend(i), zone=i % 2) for i in range(1, 13))))
-    for mean in g.model.latency:
-        mean.add(0, 100 * MS, 20.0)
+    for latency in g.model.class_latency:
+        latency.add(0, 100 * MS, 20.0)
     sent = {}
     for i in range(12):
         (send,) = [a for a in g.handle(MS, arrival(i, MS, cls, customer_id=i)) if isinstance(a, Send)]
--- a/tests/decisions/test_queue_model.py
+++ b/tests/decisions/test_queue_model.py
@@ -25,10 +25,10 @@
 def loaded_model(mean: int, out: int) -> QueueModel:
     model = QueueModel(settings())
     for i in range(40):
-        model.latency[0].add(i * 20 * MS, 100 * MS)
+        model.class_latency[0].add(i * 20 * MS, 100 * MS)
     model.fit(SECOND, 1, [])
     for i in range(200):
-        model.latency[0].add(3 * SECOND + i * 10 * MS, mean)
+        model.class_latency[0].add(3 * SECOND + i * 10 * MS, mean)
         if i % 10 == 0:
             model.fit(3 * SECOND + i * 10 * MS, out, [])
     return model
@@ -57,7 +57,7 @@
 def test_outstanding_attempts_show_a_jam_before_its_answers_come() -> None:
     model = QueueModel(settings())
     for i in range(40):
-        model.latency[0].add(i * 20 * MS, 100 * MS)
+        model.class_latency[0].add(i * 20 * MS, 100 * MS)
     model.fit(SECOND, 5, [])
     model.fit(SECOND, 60, [OutstandingAttempt(0, 2 * SECOND)] * 50)
     assert model.congested
@@ -96,7 +96,7 @@
     model = QueueModel(settings())
     for i in range(120):
         now = i * 500 * MS
-        model.latency[0].add(now, (100 if i < 60 else 700) * MS)
+        model.class_latency[0].add(now, (100 if i < 60 else 700) * MS)
         for tick in range(5):
             model.fit(now + tick * TICK_INTERVAL_NS, 2, [])
     assert model.congested
@@ -110,7 +110,7 @@
     for i in range(180):
         now = i * SECOND // 3
         jam = 20 * SECOND <= now < 30 * SECOND
-        model.latency[i % 3].add(now, (900 if jam else 100) * MS)
+        model.class_latency[i % 3].add(now, (900 if jam else 100) * MS)
         for tick in range(3):
             model.fit(now + tick * TICK_INTERVAL_NS, 3, [])
         risen.append(model.congested)
@@ -129,7 +129,7 @@
     model = QueueModel(settings())
     assert 0.0 < model.uncongested_latency(0) < model.objectives[0]
     for i in range(40):
-        model.latency[0].add(i * 20 * MS, 100 * MS)
+        model.class_latency[0].add(i * 20 * MS, 100 * MS)
     model.fit(SECOND, 1, [])
     assert model.uncongested_latency(0) == pytest.approx(100 * MS)
     assert model.uncongested_latency(1) > MS
--- a/tests/state/test_handover_snapshot.py
+++ b/tests/state/test_handover_snapshot.py
@@ -87,7 +87,7 @@
         new.load_balancer.endpoints[2].slow_start_tokens,
     ) == (0.0, 1.5)
     assert old.load_balancer.handover_fraction + new.load_balancer.handover_fraction == 1.0
-    assert new.model.latency[0].value == old.model.latency[0].value > 0.0
+    assert new.model.class_latency[0].mean.value == old.model.class_latency[0].mean.value > 0.0
     sends = [a for a in new.handle(START, arrival(91, START, customer_id=2)) if isinstance(a, Send)]
     assert [a.endpoint for a in sends] in ([], [2])
 
