--- a/qos_gateway/decisions/congestion/class_latency.py
+++ b/qos_gateway/decisions/congestion/class_latency.py
@@ -34,6 +34,11 @@
         self.mean.add(now, latency, weight)
         self.recent.add(now, latency, weight)
 
+    def restore(self, mean: DecayingMean, baseline: float) -> None:
+        """Continue with the mean and the baseline of another process."""
+        self.mean = mean
+        self.baseline = baseline
+
     def set_time_constants(self, mean: int, recent: int) -> None:
         """Set the time constant of each mean."""
         self.mean.time_constant = mean
--- a/qos_gateway/decisions/congestion/queue_model.py
+++ b/qos_gateway/decisions/congestion/queue_model.py
@@ -10,7 +10,7 @@
 from .mean_value_analysis import ClosedNetwork
 from .outstanding_attempt import OutstandingAttempt
 
-LATENCY_SAMPLES = 8.0  # responses that a mean rests on: a lower rate has a longer time constant
+LATENCY_SAMPLES = 8.0  # responses in a mean: a lower rate has a longer time constant
 MIN_RESPONSES_PER_S = 1e-3  # keeps the time constant finite
 MIN_LATENCY_SAMPLES = 0.5  # from which a class's latency is used
 MIN_BASELINE_SAMPLES = 4.0  # from which a class's baseline is moved
--- a/qos_gateway/decisions/handover.py
+++ b/qos_gateway/decisions/handover.py
@@ -109,8 +109,7 @@
     _restore_endpoints(engine.load_balancer, now, snapshot)
     latencies = zip(engine.model.class_latency, snapshot.latency, snapshot.baseline_latency, strict=True)
     for latency, captured, baseline in latencies:
-        captured.copy_to(latency.mean)
-        latency.baseline = baseline
+        latency.restore(captured.to_mean(), baseline)
     engine.dispatcher.retry_budget.tokens = snapshot.retry_tokens
     engine.quota.call_rate = min(1.0, max(0.0, snapshot.call_rate))
     engine.quota.handover_fraction = incoming_fraction
--- a/qos_gateway/decisions/requests/execution_record.py
+++ b/qos_gateway/decisions/requests/execution_record.py
@@ -26,5 +26,5 @@
         self.may_have_executed = True
 
     def withdraw_assumption(self) -> None:
-        """Record that no attempt sent so far depends on the assumption that the request was executed."""
+        """Undo `assume_executed` where it was called ahead of an attempt that was not sent."""
         self.may_have_executed = False
