--- a/qos_gateway/decisions/handover.py
+++ b/qos_gateway/decisions/handover.py
@@ -34,8 +34,8 @@
     return EngineSnapshot(
         accounts=accounts,
         load_balancer=engine.load_balancer.capture(fractions.outgoing),
-        latency=tuple(MeanSnapshot.of(mean) for mean in engine.model.latency),
-        baseline_latency=tuple(latency.baseline for latency in engine.model.latency),
+        latency=tuple(MeanSnapshot.of(latency.mean) for latency in engine.model.class_latency),
+        baseline_latency=tuple(latency.baseline for latency in engine.model.class_latency),
         call_rate=quota.call_rate,
         retry_tokens=engine.dispatcher.retry_budget.tokens * fractions.incoming,
         lease_fractions={
@@ -81,10 +81,9 @@
     """Take over a snapshot, decoded for the settings of this engine, and go on with its fraction."""
     _restore_accounts(engine.quota, now, snapshot)
     engine.load_balancer.restore(now, snapshot.load_balancer, incoming_fraction)
-    latencies = zip(engine.model.latency, snapshot.latency, snapshot.baseline_latency, strict=True)
+    latencies = zip(engine.model.class_latency, snapshot.latency, snapshot.baseline_latency, strict=True)
     for latency, captured, baseline in latencies:
-        captured.copy_to(latency)
-        latency.baseline = baseline
+        latency.restore(captured.to_mean(), baseline)
     engine.dispatcher.retry_budget.tokens = snapshot.retry_tokens
     engine.quota.call_rate = min(1.0, max(0.0, snapshot.call_rate))
     engine.quota.handover_fraction = incoming_fraction
