--- a/qos_gateway/decisions/admission/admission_controller.py
+++ b/qos_gateway/decisions/admission/admission_controller.py
@@ -2,7 +2,7 @@
 
 from ...types import Action, Arrival, RejectReason
 from ..congestion.queue_model import TARGET_WAIT_FRACTION
-from ..quota.account import CustomerAccount
+from ..quota.account.customer_account import CustomerAccount
 from ..quota.quota_decision import QuotaReply, Verdict
 from ..requests.dispatcher import Dispatcher
 from ..requests.request_state import RequestState
@@ -101,7 +101,7 @@
                 actions += self._admit(now, request, False)
             else:
                 actions.append(self.dispatcher.reject(request.arrival, RejectReason.QUOTA))
-        return actions + self.quota.release_slot(now, request)
+        return actions + self.dispatcher.release_slot(now, request)
 
     def expire_reservations(self, now: int) -> list[Action]:
         """Decide locally on requests whose reservation was not answered in time."""
--- a/qos_gateway/decisions/admission/commitments.py
+++ b/qos_gateway/decisions/admission/commitments.py
@@ -5,8 +5,8 @@
 
 from ...units import SECOND
 from ..congestion.queue_model import QueueModel
-from ..quota.account import CustomerAccount, Demand
-from ..quota.base import Quota
+from ..quota.account.customer_account import CustomerAccount, Demand
+from ..quota.quota import Quota
 
 COMMITMENT_IDLE_TIME_NS = 10 * SECOND  # without requests until one ends: outlasts a steady customer's lulls
 EVALUATION_INTERVAL_NS = 2 * SECOND  # long enough for a fit, short for a burst
--- a/qos_gateway/decisions/handover.py
+++ b/qos_gateway/decisions/handover.py
@@ -9,15 +9,11 @@
 from dataclasses import dataclass
 
 from ..types import Health
-from ..units import SECOND
 from .engine import DecisionEngine
 from .load_balancing.endpoint_state import EndpointState
 from .load_balancing.load_balancer import LoadBalancer
-from .quota.account import CustomerAccount
-from .quota.base import Quota
-from .snapshot import AccountSnapshot, EndpointSnapshot, EngineSnapshot, MeanSnapshot
+from .snapshot import EndpointSnapshot, EngineSnapshot, MeanSnapshot
 
-IN_FLIGHT_REPORT_VALID_NS = SECOND  # a process before that reported attempts in flight is long gone by then
 WHOLE = 1.0  # the fraction of a process that shares with no other
 
 
@@ -33,13 +29,12 @@
     """Return what the next process must know; from here on this one keeps its fraction alone."""
     quota = engine.quota
     load_balancer = engine.load_balancer
-    accounts = tuple(_capture_account(quota, account, now, fractions) for account in quota.accounts.values())
+    accounts = quota.capture_accounts(now, fractions.incoming, fractions.outgoing)
     endpoints = tuple(
         _capture_endpoint(endpoint_id, state) for endpoint_id, state in load_balancer.endpoints.items()
     )
     for endpoint in load_balancer.endpoints.values():
         endpoint.slow_start_tokens = 0.0
-    quota.handover_fraction = fractions.outgoing
     load_balancer.handover_fraction = fractions.outgoing
     return EngineSnapshot(
         accounts=accounts,
@@ -48,47 +43,12 @@
         warm_completions=MeanSnapshot.of(load_balancer.warm_completions),
         latency=tuple(MeanSnapshot.of(mean) for mean in engine.model.latency),
         baseline_latency=tuple(latency.baseline for latency in engine.model.latency),
-        call_rate=quota.call_rate,
+        call_rate=quota.counter.call_rate,
         retry_tokens=engine.dispatcher.retry_budget.tokens * fractions.incoming,
-        lease_fractions={
-            customer: dict(account.lease_fractions)
-            for customer, account in quota.accounts.items()
-            if account.lease_fractions
-        },
+        lease_fractions=quota.accounts.capture_leases(),
     )
 
 
-def _capture_account(
-    quota: Quota, account: CustomerAccount, now: int, fractions: HandoverFractions
-) -> AccountSnapshot:
-    """Split a customer's buckets between this process and the next."""
-    quota.refill(now, account)
-    in_flight = account.in_flight
-    if now - account.in_flight_elsewhere_at < IN_FLIGHT_REPORT_VALID_NS:
-        in_flight += account.in_flight_elsewhere
-    tokens = account.tokens
-    if quota.uses_gossip:
-        tokens = account.tokens * fractions.incoming
-        account.tokens *= fractions.outgoing
-    # Without gossip the tokens are what the owner or the counter reported: one number for all processes.
-    snapshot = AccountSnapshot(
-        customer_id=account.customer_id,
-        plan_index=account.plan_index,
-        slice_count=account.slice_count,
-        peers=account.peers,
-        in_flight=in_flight,
-        tokens=tokens,
-        local_tokens=account.local_tokens * fractions.incoming,
-        ceiling_tokens=account.ceiling_tokens * fractions.incoming,
-        reported_at=account.reported_at,
-        long_demand=MeanSnapshot.of(account.long_demand),
-        grant_ratio=MeanSnapshot.of(account.grant_ratio),
-    )
-    account.local_tokens *= fractions.outgoing
-    account.ceiling_tokens *= fractions.outgoing
-    return snapshot
-
-
 def _capture_endpoint(endpoint_id: int, state: EndpointState) -> EndpointSnapshot:
     return EndpointSnapshot(
         endpoint=endpoint_id,
@@ -105,36 +65,16 @@
 
 def restore(engine: DecisionEngine, now: int, snapshot: EngineSnapshot, incoming_fraction: float) -> None:
     """Take over a snapshot, decoded for the settings of this engine, and go on with its fraction."""
-    _restore_accounts(engine.quota, now, snapshot)
+    engine.quota.restore(now, snapshot, incoming_fraction)
     _restore_endpoints(engine.load_balancer, now, snapshot)
     latencies = zip(engine.model.latency, snapshot.latency, snapshot.baseline_latency, strict=True)
     for latency, captured, baseline in latencies:
         captured.copy_to(latency)
         latency.baseline = baseline
     engine.dispatcher.retry_budget.tokens = snapshot.retry_tokens
-    engine.quota.call_rate = min(1.0, max(0.0, snapshot.call_rate))
-    engine.quota.handover_fraction = incoming_fraction
     engine.load_balancer.handover_fraction = incoming_fraction
 
 
-def _restore_accounts(quota: Quota, now: int, snapshot: EngineSnapshot) -> None:
-    for captured in snapshot.accounts:
-        account = quota.account(now, captured.customer_id, captured.plan_index)
-        account.slice_count = captured.slice_count
-        account.peers = captured.peers
-        account.tokens = captured.tokens
-        account.local_tokens = captured.local_tokens
-        account.ceiling_tokens = captured.ceiling_tokens
-        account.reported_at = captured.reported_at
-        account.long_demand = captured.long_demand.to_mean()
-        account.grant_ratio = captured.grant_ratio.to_mean()
-        account.in_flight_elsewhere_at = now
-        account.in_flight_elsewhere = captured.in_flight
-    for customer, lease_fractions in snapshot.lease_fractions.items():  # held by both processes
-        if customer in quota.accounts:
-            quota.accounts[customer].lease_fractions = dict(lease_fractions)
-
-
 def _restore_endpoints(load_balancer: LoadBalancer, now: int, snapshot: EngineSnapshot) -> None:
     for captured in snapshot.endpoints:
         state = load_balancer.endpoints.get(captured.endpoint)
@@ -167,5 +107,5 @@
 
 def complete(engine: DecisionEngine) -> None:
     """Take the whole of what was shared: the other process is gone."""
-    engine.quota.handover_fraction = WHOLE
+    engine.quota.complete_handover()
     engine.load_balancer.handover_fraction = WHOLE
--- /dev/null
+++ b/qos_gateway/decisions/quota/account/account_table.py
@@ -0,0 +1,33 @@
+"""The accounts of all customers that this gateway knows."""
+
+from __future__ import annotations
+
+from .customer_account import CustomerAccount
+
+
+class AccountTable(dict[int, CustomerAccount]):
+    """Accounts by customer id, in the order of their creation."""
+
+    def prune(self, now: int) -> None:
+        """Remove the accounts of inactive customers, so that memory is bounded."""
+        kept = {
+            customer: account
+            for customer, account in self.items()
+            if account.in_flight or now - account.last_request_at <= account.retention()
+        }
+        self.clear()
+        self.update(kept)
+
+    def capture_leases(self) -> dict[int, dict[int, float]]:
+        """Return the leased fractions by customer and term; at a handover both processes hold them."""
+        return {
+            customer: dict(account.lease.fractions)
+            for customer, account in self.items()
+            if account.lease.fractions
+        }
+
+    def restore_leases(self, fractions: dict[int, dict[int, float]]) -> None:
+        """Continue with the leases of the process before, for the customers that have an account."""
+        for customer, lease_fractions in fractions.items():
+            if customer in self:
+                self[customer].lease.restore(lease_fractions)
--- /dev/null
+++ b/qos_gateway/decisions/quota/account/customer_account.py
@@ -0,0 +1,194 @@
+"""What this gateway knows of one customer."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from ....types import Plan
+from ....units import SECOND
+from ...snapshot import AccountSnapshot, MeanSnapshot
+from ...statistics.decaying_mean import DecayingMean
+from ...statistics.time_constants import LONG_MEMORY_NS, SHORT_MEMORY_NS
+from .bucket_reports import NEVER, BucketReports
+from .counter_calls import CounterCalls
+from .customer_buckets import CustomerBuckets
+from .customer_demand import CustomerDemand
+from .customer_lease import CustomerLease
+from .metered_usage import MeteredUsage
+from .peer_totals import PeerTotals
+
+RETENTION_NS = 120 * SECOND  # without requests, until an account is removed
+RARE_RETENTION_NS = 20 * SECOND  # the same, if the customer spent little: most of them never come again
+RARE_QUARTER_UNITS = 8  # spent at most by a customer that counts as rare
+IN_FLIGHT_REPORT_VALID_NS = SECOND  # age up to which a handover includes the requests in flight elsewhere
+
+
+@dataclass(slots=True)
+class CustomerAccount:
+    """A customer's commitment, and its parts by concern. Times are in ns, amounts in units."""
+
+    customer_id: int
+    plan: Plan
+    plan_index: int
+    last_request_at: int
+    mean_in_flight: DecayingMean
+    buckets: CustomerBuckets
+    evaluated_at: int = NEVER
+    in_flight_cap: int = 0
+    in_flight: int = 0
+    priority_weight: float = 0.0
+    headroom: float = 0.0
+    latency_objective: int = 0
+    demand: CustomerDemand = field(default_factory=CustomerDemand)
+    usage: MeteredUsage = field(default_factory=MeteredUsage)
+    reports: BucketReports = field(default_factory=BucketReports)
+    peer_totals: PeerTotals = field(default_factory=PeerTotals)
+    counter_calls: CounterCalls = field(default_factory=CounterCalls)
+    lease: CustomerLease = field(default_factory=CustomerLease)
+
+    @classmethod
+    def create(
+        cls, customer_id: int, plan: Plan, plan_index: int, now: int, refilled_at: int
+    ) -> CustomerAccount:
+        """Return the account of a new customer, with a full bucket as of `refilled_at`."""
+        return cls(
+            customer_id=customer_id,
+            plan=plan,
+            plan_index=plan_index,
+            last_request_at=now,
+            mean_in_flight=DecayingMean(SHORT_MEMORY_NS),
+            buckets=CustomerBuckets(plan, tokens=plan.burst, refilled_at=refilled_at),
+        )
+
+    @property
+    def expected_in_flight(self) -> float:
+        """Requests in flight to expect: their mean, one at most where that is the cap."""
+        mean = self.mean_in_flight.value
+        return mean if self.in_flight_cap > 1 else min(1.0, mean)
+
+    def observe(self, now: int, units: float) -> None:
+        """Count a request that arrives here."""
+        self.last_request_at = now
+        self.demand.add(now, units)
+
+    def requested_by_peer(self, now: int) -> None:
+        """Record that another gateway requested units, so that the account is kept."""
+        self.last_request_at = now
+
+    @property
+    def excess_pays(self) -> bool:
+        """Whether a request beyond the quota earns more than it costs, by the plan."""
+        return self.plan.excess_weight > self.plan.excess_cost
+
+    def retention(self) -> int:
+        """Return the ns without requests for which the account is kept: its buckets are full by then."""
+        if self.peer_totals.spent_quarter_units > RARE_QUARTER_UNITS or self.peer_totals.totals:
+            return RETENTION_NS
+        bucket_full_s = 2 * self.plan.burst / max(self.plan.rate, 1e-9)
+        ceiling_full_s = self.plan.ceiling_burst / max(self.plan.ceiling_rate, 1e-9)
+        return min(RETENTION_NS, max(RARE_RETENTION_NS, int(SECOND * max(bucket_full_s, ceiling_full_s))))
+
+    def take(self, units: float, may_exceed: bool) -> bool:
+        """Take units from bucket and ceiling, from the ceiling alone if allowed; return whether it did."""
+        within = self.plan.rate and self.buckets.tokens >= units
+        if not self.buckets.take(units, may_exceed):
+            return False
+        if within:
+            self.peer_totals.announce_spent(units)
+        return True
+
+    def take_from_slice(self, units: float, has_slot: bool, may_exceed: bool) -> bool:
+        """Take units from the local slices, from the ceiling's alone if allowed; return whether it did."""
+        if not self.buckets.take_from_slice(units, has_slot, may_exceed):
+            return False
+        self.peer_totals.record_spent(units)
+        return True
+
+    def spend_unreported(self, units: float) -> None:
+        """Spend units of bucket and slices that the next call to the counter reports."""
+        self.buckets.spend_unreported(units)
+        self.counter_calls.add_unreported(units)
+
+    def record_report(self, now: int, tokens: float, granted: bool) -> None:
+        """Set the bucket's tokens to what its owner or the counter reported."""
+        self.buckets.set_tokens(tokens)
+        self.reports.record(now, tokens, granted)
+
+    def record_in_flight(self, now: int, everywhere: float) -> None:
+        """Record the requests in flight at all gateways."""
+        self.reports.record_in_flight(now, max(0, int(everywhere) - self.in_flight))
+
+    def apply_peer_total(self, peer: int, total: int, continues: bool, is_past: bool) -> None:
+        """Take off what a peer spent since its last total.
+
+        A total that cannot be compared counts as a whole, up to one burst; not at all if `is_past`.
+        """
+        spent = self.peer_totals.spent_by(peer, total, continues)
+        if spent is None:
+            spent = 0.0 if is_past else min(total / 4, self.plan.burst)
+        self.buckets.spend_elsewhere(spent)
+
+    def usage_estimate(self, now: int, prior: float, prior_units: float) -> float:
+        """Return the fraction of the quota in use: the metered or the requested one, the larger of both.
+
+        `prior` is the fraction assumed, with the weight of `prior_units`. One such request does not raise
+        the estimate. Requests at this gateway are compared with its slice of the quota.
+        """
+        metered = self.usage.mean.mean_with_prior(now, prior, prior_units)
+        requested = max(0.0, self.demand.requested_rate(now) * LONG_MEMORY_NS / SECOND - prior_units)
+        slice_units = self.plan.rate * LONG_MEMORY_NS / SECOND / self.buckets.slices
+        return max(metered, (prior * prior_units + requested) / (prior_units + slice_units))
+
+    def fraction_within_slice(self, now: int, units: float) -> float:
+        """Return the fraction of the requests at this gateway that its slice can serve, 0 to 1.
+
+        The request being decided, of `units`, does not count towards the rate.
+        """
+        one = units * SECOND / LONG_MEMORY_NS
+        slice_rate = self.plan.rate / self.buckets.slices
+        return min(1.0, (slice_rate + 2 * one) / (self.demand.requested_rate(now) + one))
+
+    def capture(
+        self, now: int, incoming_fraction: float, outgoing_fraction: float, scales_bucket: bool
+    ) -> AccountSnapshot:
+        """Return the state for the next process; keep the outgoing fraction of the tokens here.
+
+        The quota's bucket is divided only if `scales_bucket`.
+        """
+        in_flight = self.in_flight
+        if now - self.reports.in_flight_elsewhere_at < IN_FLIGHT_REPORT_VALID_NS:
+            in_flight += self.reports.in_flight_elsewhere
+        buckets = self.buckets
+        snapshot = AccountSnapshot(
+            customer_id=self.customer_id,
+            plan_index=self.plan_index,
+            slice_count=buckets.slice_count,
+            peers=self.peer_totals.peers,
+            in_flight=in_flight,
+            tokens=buckets.tokens * incoming_fraction if scales_bucket else buckets.tokens,
+            local_tokens=buckets.local_tokens * incoming_fraction,
+            ceiling_tokens=buckets.ceiling_tokens * incoming_fraction,
+            reported_at=self.reports.reported_at,
+            long_demand=MeanSnapshot.of(self.demand.long_term),
+            grant_ratio=MeanSnapshot.of(self.reports.grant_ratio),
+        )
+        buckets.scale(outgoing_fraction, scales_bucket)
+        return snapshot
+
+    def restore(self, now: int, captured: AccountSnapshot) -> None:
+        """Continue with the state that the process before captured."""
+        self.buckets.restore(
+            captured.slice_count, captured.tokens, captured.local_tokens, captured.ceiling_tokens
+        )
+        self.peer_totals.set_peers(captured.peers)
+        self.demand.restore(captured.long_demand.to_mean())
+        self.reports.restore(captured.reported_at, captured.grant_ratio.to_mean())
+        self.reports.record_in_flight(now, captured.in_flight)
+
+
+@dataclass(slots=True)
+class Demand:
+    """What a customer's commitment asks for: the paper's Nreq, and its XMIN in requests per second."""
+
+    concurrency: int
+    throughput: float
--- /dev/null
+++ b/qos_gateway/decisions/quota/account/customer_buckets.py
@@ -0,0 +1,119 @@
+"""The tokens that this gateway keeps of a customer's quota and ceiling."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from ....types import Plan
+from ....units import SECOND
+from .token_bucket import TokenBucket
+
+
+@dataclass(slots=True)
+class CustomerBuckets:
+    """Tokens of the quota's bucket, of its local slice and of the ceiling's slice, all in units."""
+
+    plan: Plan
+    tokens: float  # of the quota's bucket, as known here; negative if too much was spent
+    refilled_at: int  # in ns
+    ceiling_tokens: float = 0.0  # of the local slice of the ceiling
+    local_tokens: float = 0.0  # of the local slice of the quota
+    rank: int = 0  # of this gateway among those that serve the customer
+    slice_count: int = 0  # gateways that share the quota; 0 until a request of the customer arrives
+
+    @property
+    def slices(self) -> int:
+        """Gateways among which the quota is sliced, one at least."""
+        return max(1, self.slice_count)
+
+    def set_slice(self, rank: int, gateway_count: int) -> None:
+        """Set this gateway's rank among the gateways that serve the customer, and their number."""
+        self.rank = rank
+        self.slice_count = gateway_count + (rank >= gateway_count)
+
+    def start_slices(self, local_tokens: float, ceiling_tokens: float) -> None:
+        """Set the tokens of the quota's slice, and add those of the ceiling's slice."""
+        self.local_tokens = local_tokens
+        self.ceiling_tokens += ceiling_tokens
+
+    def set_tokens(self, tokens: float) -> None:
+        """Set the tokens of the quota's bucket."""
+        self.tokens = tokens
+
+    def limit_tokens(self, most: float) -> None:
+        """Reduce the tokens of the quota's bucket to `most`."""
+        self.tokens = min(self.tokens, most)
+
+    def set_ceiling_tokens(self, tokens: float) -> None:
+        """Set the tokens of the ceiling's slice."""
+        self.ceiling_tokens = tokens
+
+    def refill(self, now: int, bucket: TokenBucket | None, local: TokenBucket, ceiling: TokenBucket) -> None:
+        """Refill all tokens up to `now`; without `bucket` those of the quota's bucket stay."""
+        elapsed_s = (now - self.refilled_at) / SECOND
+        self.refilled_at = now
+        if bucket is not None:
+            self.tokens = bucket.refilled(self.tokens, elapsed_s)
+        self.local_tokens = local.refilled(self.local_tokens, elapsed_s)
+        self.ceiling_tokens = ceiling.refilled(self.ceiling_tokens, elapsed_s)
+
+    def below_ceiling(self, units: float) -> bool:
+        """Return whether the ceiling's slice holds the units; it does where the plan has no ceiling."""
+        return not self.plan.ceiling_rate or self.ceiling_tokens >= units
+
+    def take(self, units: float, may_exceed: bool) -> bool:
+        """Take units from bucket and ceiling, from the ceiling alone if allowed; return whether it did."""
+        rate = self.plan.rate
+        within = not rate or self.tokens >= units
+        if not ((within or may_exceed) and self.below_ceiling(units)):
+            return False
+        self.ceiling_tokens -= units
+        if within and rate:
+            self.tokens -= units
+        return True
+
+    def take_from_slice(self, units: float, has_slot: bool, may_exceed: bool) -> bool:
+        """Take units from the local slices, from the ceiling's alone if allowed; return whether it did."""
+        within = has_slot and self.local_tokens >= units
+        if not ((within or may_exceed) and self.below_ceiling(units)):
+            return False
+        self.ceiling_tokens -= units
+        self.local_tokens -= units * within
+        return True
+
+    def spend_locally(self, units: float, from_slice: bool) -> None:
+        """Spend units of the ceiling's slice, and of the quota's slice if they come from it."""
+        self.local_tokens -= units * from_slice
+        self.ceiling_tokens -= units
+
+    def spend_unreported(self, units: float) -> None:
+        """Spend units of the bucket and of both slices."""
+        self.local_tokens = max(0.0, self.local_tokens - units)
+        self.ceiling_tokens -= units
+        self.tokens -= units
+
+    def spend_elsewhere(self, units: float) -> None:
+        """Take off units that another gateway spent.
+
+        The tokens become negative, or two gateways would both spend the same refill; the limit is minus one
+        burst.
+        """
+        self.tokens = min(self.tokens, max(-self.plan.burst, self.tokens - units))
+
+    def settle(self, units: float) -> None:
+        """Take off the units by which a request's actual cost exceeds its estimate; may be negative."""
+        self.tokens -= units
+
+    def scale(self, fraction: float, scales_bucket: bool) -> None:
+        """Keep a fraction of the slices' tokens, and of the bucket's tokens if `scales_bucket`."""
+        if scales_bucket:
+            self.tokens *= fraction
+        self.local_tokens *= fraction
+        self.ceiling_tokens *= fraction
+
+    def restore(self, slice_count: int, tokens: float, local_tokens: float, ceiling_tokens: float) -> None:
+        """Continue with the tokens of the process before."""
+        self.slice_count = slice_count
+        self.tokens = tokens
+        self.local_tokens = local_tokens
+        self.ceiling_tokens = ceiling_tokens
--- a/qos_gateway/decisions/quota/token_bucket.py
+++ b/qos_gateway/decisions/quota/account/token_bucket.py
@@ -4,14 +4,14 @@
 
 from dataclasses import dataclass
 
-from ...types import Plan
+from ....types import Plan
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Refill rate and capacity of a bucket or of a slice of one; the customer's account keeps its tokens."""
+    """Refill rate and capacity of a bucket or of a slice of one; `CustomerBuckets` keeps the tokens."""
 
-    rate: float  # units a second
+    rate: float  # units per second
     capacity: float  # units
 
     def scaled(self, fraction: float) -> TokenBucket:
@@ -24,22 +24,23 @@
 
 
 def ceiling_beyond_quota(plan: Plan) -> TokenBucket:
-    """Return what a plan's ceiling has beyond its quota."""
+    """Return the part of a plan's ceiling that exceeds its quota."""
     return TokenBucket(max(0.0, plan.ceiling_rate - plan.rate), max(0.0, plan.ceiling_burst - plan.burst))
 
 
 def whole_slice(
-    bucket: TokenBucket, even: float, total: float, largest: float, rank: int, slices: int
+    bucket: TokenBucket, *, even: float, total: float, largest: float, rank: int, slices: int
 ) -> TokenBucket:
-    """Return the slice of the `rank`-th of so many gateways, `even` of the bucket if that can hold a request.
+    """Return the slice of the gateway of that rank among `slices` gateways.
 
-    Else as many whole slices as can share `total` of the bucket, with the first gateways.
+    It is the fraction `even` of the bucket if each slice can hold the largest request. Otherwise the first
+    gateways share the fraction `total` in slices that can, and the others have none.
     """
     whole = int(bucket.capacity / largest)
     return bucket.scaled(even if whole >= slices else total * (rank < whole) / max(1, whole))
 
 
 def leased_ceiling(plan: Plan, share: float, even: float) -> TokenBucket:
-    """Return a slice of the ceiling: `share` of the quota, and `even` of what the ceiling has beyond it."""
+    """Return a slice of the ceiling: `share` of the quota, and `even` of what exceeds the quota."""
     rate = plan.rate * share + (plan.ceiling_rate - plan.rate) * even
     return TokenBucket(rate, plan.burst * share + (plan.ceiling_burst - plan.burst) * even)
--- /dev/null
+++ b/qos_gateway/decisions/quota/counter/counter_client.py
@@ -0,0 +1,61 @@
+"""The client of the shared counter: the calls without a reply, and how often calls are made."""
+
+from __future__ import annotations
+
+from ....types import Action, AddToCounter, Outcome, Plan
+from ..account.counter_calls import CounterCall
+from ..account.customer_account import CustomerAccount
+from .counter_total import COUNTER_KEY_LIFETIME_NS, IN_FLIGHT_UNIT, counter_key
+from .pending_calls import PendingCalls
+
+CALL_RATE_INCREASE = 0.01  # of the call rate with each reply, slow so that an overloaded counter recovers
+CALL_RATE_FACTOR = 0.7  # for the call rate with each call that fails
+MIN_CALL_RATE = 0.05  # at which the recovery of the counter is still noticed
+
+
+class CounterClient:
+    """Calls to the counter; a quota without a counter makes none."""
+
+    def __init__(self, is_used: bool) -> None:
+        self.is_used = is_used
+        self.call_rate = 1.0  # fraction of the calls that are made, 0 to 1
+        self.pending_calls: PendingCalls[CounterCall] = PendingCalls()
+
+    def in_flight_slot(self, plan: Plan) -> float:
+        """Return what a request in flight adds to the shared count; 0 where none is kept."""
+        return IN_FLIGHT_UNIT * (self.is_used and plan.max_in_flight > 0)
+
+    def call(
+        self,
+        now: int,
+        account: CustomerAccount,
+        amount: float,
+        reservation: int = 0,
+        is_correction: bool = False,
+    ) -> Action:
+        """Return a call that adds an amount, and what is unreported, to the customer's counter."""
+        key = counter_key(account.customer_id, now // COUNTER_KEY_LIFETIME_NS)
+        call = account.counter_calls.take_unsent(amount, reservation, is_correction)
+        self.pending_calls.push(key, call)
+        return AddToCounter(key, COUNTER_KEY_LIFETIME_NS, call.total)
+
+    def call_failed(self, account: CustomerAccount, call: CounterCall, outcome: Outcome) -> None:
+        """Account for a call that failed."""
+        if outcome in (Outcome.TIMEOUT, Outcome.RESET):
+            account.counter_calls.record_unknown(call, self.in_flight_slot(account.plan))
+        else:
+            account.counter_calls.restore_unsent(call)
+
+    def adapt_call_rate(self, outcome: Outcome) -> None:
+        """Reduce the call rate when a call fails, and raise it with each reply.
+
+        A reset does not count: it is no sign of overload.
+        """
+        if outcome is Outcome.OK:
+            self.call_rate = min(1.0, self.call_rate + CALL_RATE_INCREASE)
+        elif outcome is not Outcome.RESET:
+            self.call_rate = max(MIN_CALL_RATE, self.call_rate * CALL_RATE_FACTOR)
+
+    def restore(self, call_rate: float) -> None:
+        """Continue with the call rate of the process before."""
+        self.call_rate = min(1.0, max(0.0, call_rate))
--- a/qos_gateway/decisions/quota/counter_total.py
+++ b/qos_gateway/decisions/quota/counter/counter_total.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass
 
-from ...units import SECOND
+from ....units import SECOND
 
-COUNTER_KEY_LIFETIME_NS = 60 * SECOND  # the longest that may be asked for; then a new key follows
+COUNTER_KEY_LIFETIME_NS = 60 * SECOND  # the longest that the counter allows; then a new key follows
 IN_FLIGHT_UNIT = 10_000.0  # one request in flight, in a total: above all units of a lifetime
 
 
@@ -22,18 +22,18 @@
 
 @dataclass(slots=True)
 class CounterTotal:
-    """A counter's total taken apart."""
+    """A counter's total, decoded."""
 
     in_flight: float  # requests in flight over all gateways; 0 where they are not counted
     spent_units: float  # since the key's lifetime began, less the corrections
 
 
 def decode_total(total: float, counts_in_flight: bool) -> CounterTotal:
-    """Take a total apart; units may be negative, by up to half of an in-flight unit."""
+    """Decode a total; its units may be negative, by up to half of an in-flight unit."""
     in_flight = (total + IN_FLIGHT_UNIT / 2) // IN_FLIGHT_UNIT if counts_in_flight else 0.0
     return CounterTotal(in_flight, total - in_flight * IN_FLIGHT_UNIT)
 
 
 def refilled_units(rate: float, sent_at: int) -> float:
-    """Return the units that a bucket of that rate (units a second) was refilled with under its key."""
+    """Return the units by which a bucket of that rate (units per second) was refilled under its key."""
     return rate * (sent_at % COUNTER_KEY_LIFETIME_NS) / SECOND
--- /dev/null
+++ b/qos_gateway/decisions/quota/counter_quota.py
@@ -0,0 +1,166 @@
+"""Quotas held by a counter that all gateways share."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from ...types import Action, CounterReplied, Outcome
+from ...units import SECOND
+from .account.bucket_reports import CURRENT_REPORT_NS, REPORT_EXPIRES_AFTER_NS, REPORT_FRESH_FOR_NS
+from .account.customer_account import CustomerAccount
+from .account.token_bucket import TokenBucket, ceiling_beyond_quota, whole_slice
+from .counter.counter_reading import CounterReading, read_counter
+from .counter.counter_total import IN_FLIGHT_UNIT, customer_of
+from .quota import Quota
+from .quota_decision import Charge, QuotaDecision, QuotaReply
+
+LIGHT_USAGE = 0.75  # of a quota, as reported and as requested here, up to which the bucket has tokens
+TYPICAL_USAGE = 0.4  # of a quota, assumed of a customer with few requests
+UNCERTAIN_USAGE = 0.75  # of a quota, estimated, from which on the bucket may be empty
+COUNTER_LAG_FRACTION = 0.125  # of a burst by which the counter may differ from the bucket uncorrected
+
+
+class CounterQuota(Quota):
+    """The counter adds up what all gateways spend; the refill since its key's lifetime began is the limit."""
+
+    uses_counter = True
+
+    def _refill_unreported(self, now: int, account: CustomerAccount, elapsed_s: float) -> None:
+        if self._probably_has_tokens(now, account):
+            account.counter_calls.forget_refilled(account.plan.rate * elapsed_s)
+
+    def _ceiling_bucket(self, now: int, account: CustomerAccount, even: float) -> TokenBucket:
+        """Return a slice of the part of the ceiling that exceeds the quota: the counter grants the rest."""
+        buckets = account.buckets
+        if buckets.slice_count <= 1:
+            return super()._ceiling_bucket(now, account, even)
+        return whole_slice(
+            ceiling_beyond_quota(account.plan),
+            even=even,
+            total=self.handover_fraction,
+            largest=self.settings.largest_request_units,
+            rank=buckets.rank,
+            slices=buckets.slice_count,
+        )
+
+    def _decide(self, now: int, charge: Charge) -> QuotaDecision:
+        account, plan = charge.account, charge.account.plan
+        buckets = account.buckets
+        if not self._is_owner(account) and (charge.may_exceed or not plan.max_in_flight):
+            unlimited = charge.may_exceed and not plan.ceiling_rate
+            if self._spend_from_slice(now, account, charge.units) or unlimited:
+                return QuotaDecision.immediate(True)
+            if buckets.tokens < charge.units:
+                return QuotaDecision.immediate(False)  # the most that the bucket can hold by now
+        # A current report decides at once, unless this slice of the ceiling is the only obstacle.
+        is_current = now - account.reports.reported_at < CURRENT_REPORT_NS
+        is_current = is_current and (buckets.tokens < charge.units or buckets.below_ceiling(charge.units))
+        if is_current or self._is_owner(account):
+            return QuotaDecision.immediate(self._take_from_bucket(now, charge), reports=is_current)
+        # An overloaded counter is called for uncertain customers first.
+        may_skip = self.counter.call_rate < 1.0 and self._may_spend_unreported(now, account, charge.units)
+        if self.rng.random() < self._call_probability(may_skip):
+            return self._reserve(now, charge)
+        return QuotaDecision.immediate(self.decide_locally(now, account, charge.units))
+
+    def _call_probability(self, may_skip: bool) -> float:
+        return min(1.0, max(0.0, 2.0 * self.counter.call_rate - may_skip))
+
+    def _largest_unreported(self, account: CustomerAccount) -> float:
+        return max(self.settings.largest_request_units, COUNTER_LAG_FRACTION * account.plan.burst)
+
+    def _spend_from_slice(self, now: int, account: CustomerAccount, units: float) -> bool:
+        """Spend a few units of the even slice without a call, while the customer surely has tokens."""
+        unreported = account.counter_calls.unreported_units + units
+        few = unreported <= self._largest_unreported(account) <= account.buckets.local_tokens
+        reported = now - account.usage.reported_at < REPORT_EXPIRES_AFTER_NS
+        light = reported and account.usage.fraction < LIGHT_USAGE
+        slice_rate = LIGHT_USAGE * account.plan.rate / account.buckets.slices
+        light = light and account.demand.requested_rate(now) < slice_rate
+        if not (few and light and self._permits(now, account, units)):
+            return False
+        account.spend_unreported(units)
+        return True
+
+    def _probably_has_tokens(self, now: int, account: CustomerAccount) -> bool:
+        """Return whether the bucket likely has tokens, where reports are too rare to be certain."""
+        largest = self.settings.largest_request_units
+        return account.usage_estimate(now, TYPICAL_USAGE, largest) < UNCERTAIN_USAGE
+
+    def _may_spend_unreported(self, now: int, account: CustomerAccount, units: float) -> bool:
+        """Return whether a few units may be spent without a call, as the bucket likely has tokens."""
+        few = account.counter_calls.unreported_units + units <= self._largest_unreported(account)
+        permitted = few and account.buckets.tokens >= units and self._permits(now, account, units)
+        return permitted and self._probably_has_tokens(now, account)
+
+    def decide_locally(self, now: int, account: CustomerAccount, units: float) -> bool:
+        """Spend a few units of a bucket that likely has tokens, else decide as without a counter."""
+        if not self._may_spend_unreported(now, account, units):
+            return super().decide_locally(now, account, units)
+        account.spend_unreported(units)
+        return True
+
+    def _request_units(self, now: int, account: CustomerAccount, units: float, reservation: int) -> Action:
+        """Count units and a slot; if not all requests are counted, each also counts for the others."""
+        counted = self._call_probability(False)
+        if counted < 1.0 and not self._may_spend_unreported(now, account, units):
+            units /= counted
+        slot = self.counter.in_flight_slot(account.plan)
+        return self.counter.call(now, account, units + slot, reservation)
+
+    def release_slot(self, now: int, account: CustomerAccount) -> list[Action]:
+        """Release the in-flight slot of a request without attempts in flight."""
+        slot = self.counter.in_flight_slot(account.plan)
+        return [self.counter.call(now, account, -slot)] if slot else []
+
+    def resend_releases(self, now: int, accounts: Iterable[CustomerAccount]) -> list[Action]:
+        """Release slots that are still counted though no request holds them, as they reduce the limit."""
+        late = [a for a in accounts if a.counter_calls.pending_release <= -IN_FLIGHT_UNIT / 2]
+        return [
+            self.counter.call(now, account, 0.0)
+            for account in late
+            if self.rng.random() < self.counter.call_rate
+        ]
+
+    def on_counter_reply(self, now: int, event: CounterReplied) -> QuotaReply:
+        """Record the bucket's state, or account for a call that failed."""
+        account = self.accounts.get(customer_of(event.key))
+        call = self.counter.pending_calls.pop_oldest(event.key) if account else None
+        if account is None or call is None:
+            return QuotaReply()
+        self.counter.adapt_call_rate(event.outcome)
+        if event.outcome is Outcome.OK:
+            self.refill(now, account)
+            slot = self.counter.in_flight_slot(account.plan)
+            return self._on_reading(now, read_counter(now, account, call, event, slot))
+        self.counter.call_failed(account, call, event.outcome)
+        return QuotaReply(call.reservation)
+
+    def _on_reading(self, now: int, reading: CounterReading) -> QuotaReply:
+        """Undo a correction that another gateway made first, or grant what the bucket holds."""
+        account, call, plan = reading.account, reading.call, reading.account.plan
+        if call.is_correction or call.amount < 0:
+            doubled = call.is_correction and reading.surplus < call.amount / 2  # another gateway was first
+            return QuotaReply(actions=[self.counter.call(now, account, -call.amount)] if doubled else [])
+        has_tokens = not plan.rate or reading.tokens >= min(reading.units, plan.burst / 2)
+        granted = has_tokens and (not plan.max_in_flight or reading.in_flight < plan.max_in_flight)
+        account.record_in_flight(now, reading.in_flight)
+        actions = self._corrections(now, reading, granted)
+        # A total that is wrong for a moment rejects no longer than reports are fresh.
+        floor = -plan.rate * REPORT_FRESH_FOR_NS / (4 * SECOND)
+        tokens = reading.tokens - reading.units * granted - account.counter_calls.unreported_units
+        self._record_report(now, account, max(floor, tokens), granted)
+        return QuotaReply(call.reservation, granted, actions)
+
+    def _corrections(self, now: int, reading: CounterReading, granted: bool) -> list[Action]:
+        account, call = reading.account, reading.call
+        actions: list[Action] = []
+        unconfirmed = account.counter_calls.take_unconfirmed_correction()
+        # If the total is far below an empty bucket, another gateway made the same correction.
+        if unconfirmed and reading.surplus < -account.plan.burst - unconfirmed / 2:
+            actions.append(self.counter.call(now, account, -unconfirmed))
+        if call.amount and not granted and (call.reservation or account.excess_pays):
+            actions.append(self.counter.call(now, account, -call.amount))
+        elif reading.surplus * self.counter.call_rate > account.plan.burst * COUNTER_LAG_FRACTION:
+            actions.append(self.counter.call(now, account, reading.surplus, is_correction=True))
+        return actions
--- /dev/null
+++ b/qos_gateway/decisions/quota/gossip_quota.py
@@ -0,0 +1,71 @@
+"""Quotas of which each gateway keeps the whole bucket, and gossips what it spends."""
+
+from __future__ import annotations
+
+import random
+
+from ...types import Action, PeerMessage, Settings
+from ...units import SECOND
+from ..statistics.time_constants import TICK_INTERVAL_NS
+from .account.bucket_reports import REPORT_FRESH_FOR_NS, fresh_share
+from .account.customer_account import CustomerAccount
+from .account.token_bucket import TokenBucket
+from .peers.gossip import Gossip
+from .peers.peer_messages import decode_totals
+from .quota import Quota
+from .quota_decision import QuotaReply
+
+
+def message_interval(settings: Settings) -> float:
+    """Return the ns between two messages to all peers that use half of the messages allowed."""
+    return 2 * (settings.gateway_count - 1) * SECOND / max(1.0, settings.messages_per_s)
+
+
+class GossipQuota(Quota):
+    """Each gateway keeps the whole bucket, and takes off what the others report."""
+
+    divides_bucket = True
+
+    def __init__(self, settings: Settings, seed: int, now: int, rng: random.Random) -> None:
+        super().__init__(settings, seed, now, rng)
+        # Half a tick less, so that the tick that is nearest sends the message.
+        interval = message_interval(settings) - TICK_INTERVAL_NS // 2
+        self.peer_gossip = Gossip(self.incarnation, interval, self.age)
+
+    def _is_owner(self, account: CustomerAccount) -> bool:  # noqa: ARG002
+        return True
+
+    def _slice(self, account: CustomerAccount, count: int, first: int) -> None:
+        super()._slice(account, count, first)
+        members = [(first + i) % self.settings.gateway_count for i in range(count)]
+        account.peer_totals.set_peers(tuple(member for member in members if member != self.settings.position))
+        if self.age.restarted:
+            account.buckets.set_tokens(self._restart_tokens(account))
+
+    def quota_share(self, now: int, account: CustomerAccount) -> float:
+        """Return the fraction of the quota that counts as this gateway's: silent peers keep their slices."""
+        never = self.age.started_at - REPORT_FRESH_FOR_NS
+        peers = self.peer_gossip.peers
+        reports = [peers[p].received_at if p in peers else never for p in account.peer_totals.peers]
+        return fresh_share(now, account.buckets.slices, reports or [account.reports.reported_at])
+
+    def _bucket(self, now: int, account: CustomerAccount) -> TokenBucket:
+        share = self.quota_share(now, account) * self.handover_fraction
+        return TokenBucket(account.plan.rate * share, account.plan.burst * share)
+
+    def gossip(self, now: int) -> list[Action]:
+        """Return the message to all peers, if one is due."""
+        return [self.peer_gossip.message(now, self.accounts.values())] if self.peer_gossip.is_due(now) else []
+
+    def on_peer_message(self, now: int, event: PeerMessage) -> QuotaReply:
+        """Take off what a peer spent since its last message."""
+        message = decode_totals(event.data)
+        if message is None or self.peer_gossip.is_overtaken(event.sender, message):
+            return QuotaReply()
+        continues = self.peer_gossip.note_message(now, event.sender, message, self.accounts.values())
+        older = self._note_peer_age(now, message.sender_age)
+        for total in message.totals:
+            if account := self.accounts.get(total.customer_id):
+                self.refill(now, account)
+                account.apply_peer_total(event.sender, total.spent_quarter_units, continues, older)
+        return QuotaReply()
--- /dev/null
+++ b/qos_gateway/decisions/quota/leased_quota.py
@@ -0,0 +1,66 @@
+"""Quotas of which gateways lease parts at the counter for a term."""
+
+from __future__ import annotations
+
+import random
+from math import ceil
+
+from ...types import CounterReplied, Settings
+from .account.customer_account import CustomerAccount
+from .account.token_bucket import TokenBucket, leased_ceiling
+from .counter.counter_total import customer_of
+from .counter_quota import CounterQuota
+from .leases.lease_terms import LeaseTerms
+from .leases.leases import EVEN_FRACTION, MAX_SAVED_FRACTION, Leases
+from .quota_decision import Charge, QuotaDecision, QuotaReply
+
+
+class LeasedQuota(CounterQuota):
+    """Parts of the quota are leased where all gateways of a customer can; other requests are counted."""
+
+    leases: Leases
+
+    def __init__(self, settings: Settings, seed: int, now: int, rng: random.Random) -> None:
+        super().__init__(settings, seed, now, rng)
+        self.leases = Leases(LeaseTerms(settings.lease_term, self.incarnation), rng)
+
+    def is_leased(self, account: CustomerAccount) -> bool:
+        """Return whether all gateways lease the quota; none does where a slice can't hold a request."""
+        plan, slices = account.plan, account.buckets.slice_count
+        if slices < 2 or not plan.rate:
+            return False
+        floor = leased_ceiling(plan, EVEN_FRACTION / slices, 1.0 / slices)
+        return not plan.ceiling_rate or floor.capacity >= self.settings.largest_request_units
+
+    def _share(self, now: int, account: CustomerAccount) -> float:
+        return self.leases.quota_share(now, account) * self.handover_fraction
+
+    def _local_bucket(self, now: int, account: CustomerAccount, even: float) -> TokenBucket:
+        if not self.is_leased(account):
+            return super()._local_bucket(now, account, even)
+        share = self._share(now, account)
+        return self._slice_bucket(account.plan, share, min(1.0, MAX_SAVED_FRACTION * share))
+
+    def _ceiling_bucket(self, now: int, account: CustomerAccount, even: float) -> TokenBucket:
+        if not self.is_leased(account):
+            return super()._ceiling_bucket(now, account, even)
+        return leased_ceiling(account.plan, self._share(now, account), even)
+
+    def _decide(self, now: int, charge: Charge) -> QuotaDecision:
+        """Decide by the local slice alone, so that no request waits for a reply."""
+        account, limit = charge.account, charge.account.plan.max_in_flight
+        if not self.is_leased(account):
+            return super()._decide(now, charge)
+        largest = self.settings.largest_request_units
+        claims = self.leases.claim(now, account, largest, self.counter.call_rate)
+        has_slot = not limit or account.in_flight < ceil(limit / account.buckets.slice_count)
+        admitted = account.take_from_slice(charge.units, has_slot, charge.may_exceed)
+        return QuotaDecision.immediate(admitted, claims)
+
+    def on_counter_reply(self, now: int, event: CounterReplied) -> QuotaReply:
+        """Process a reply to a claim, or to a counted request."""
+        if event.key not in self.leases.pending_claims:
+            return super().on_counter_reply(now, event)
+        self.counter.adapt_call_rate(event.outcome)
+        self.leases.on_counter_reply(now, event, self.accounts.get(customer_of(event.key)))
+        return QuotaReply()
--- /dev/null
+++ b/qos_gateway/decisions/quota/owner_quota.py
@@ -0,0 +1,35 @@
+"""Quotas of which one gateway owns a customer's bucket, and the others reserve units at it."""
+
+from __future__ import annotations
+
+from .account.customer_account import CustomerAccount
+from .account.token_bucket import TokenBucket
+from .quota import Quota
+from .quota_decision import Charge, QuotaDecision
+
+OWNER_CEILING_FRACTION = 0.75  # of a ceiling, granted by the owner; slices hold the rest, if it is silent
+
+
+class OwnerQuota(Quota):
+    """One gateway owns a customer's bucket, and the others reserve units at it."""
+
+    sliced_ceiling_fraction = 1.0 - OWNER_CEILING_FRACTION
+
+    def _is_owner(self, account: CustomerAccount) -> bool:
+        return self.reservations.owner(account) == self.settings.position
+
+    def _restart_tokens(self, account: CustomerAccount) -> float:
+        return account.plan.burst / 2  # the error is the same whether the bucket was full or empty
+
+    def _prepare(self, account: CustomerAccount) -> None:
+        if self.age.restarted:
+            account.buckets.set_tokens(self._restart_tokens(account))
+        owned = account.plan.ceiling_slack * OWNER_CEILING_FRACTION * self._is_owner(account)
+        account.buckets.set_ceiling_tokens(owned)
+
+    def _ceiling_bucket(self, now: int, account: CustomerAccount, even: float) -> TokenBucket:
+        owned = OWNER_CEILING_FRACTION * self.handover_fraction * self._is_owner(account)
+        return super()._ceiling_bucket(now, account, self.sliced_ceiling_fraction * even + owned)
+
+    def _decide(self, now: int, charge: Charge) -> QuotaDecision:
+        return super()._decide(now, charge) if self._is_owner(charge.account) else self._reserve(now, charge)
--- a/qos_gateway/decisions/quota/peer_messages.py
+++ b/qos_gateway/decisions/quota/peers/peer_messages.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-MAX_MESSAGE_BYTES = 256  # bytes that a peer message may hold
+MAX_MESSAGE_BYTES = 256  # of a datagram between gateways
 _HEADER = struct.Struct("<HH")
 _TOTAL = struct.Struct("<QHB")
 _RESERVATION = struct.Struct("<BQBHIH")
@@ -15,22 +15,22 @@
 
 
 class ReservationKind(IntEnum):
-    """What a message between a gateway and the owner of a customer's bucket says."""
+    """Kind of a message between a gateway and the owner of a customer's bucket."""
 
-    RESERVE = 1  # asks for units
-    CONSUME = 2  # reports units that were used; no reply is wanted
+    RESERVE = 1  # requests units
+    CONSUME = 2  # reports units that were used; it has no reply
     GRANTED = 3  # grants a RESERVE; the units are what the bucket holds
-    DENIED = 4  # denies it; likewise
+    DENIED = 4  # denies a RESERVE; the units are what the bucket holds
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, kw_only=True)
 class Reservation:
     """One message between a gateway and the owner of a customer's bucket."""
 
     kind: int
     customer_id: int
     plan_index: int
-    units: float  # 0 to 16,383.75, in quarters
+    units: float  # 0 to 16,383.75, rounded to quarters
     tag: int  # number of the reservation, repeated in the reply
     sender_age: int  # tenths of a second that the sender has been running
 
@@ -58,7 +58,7 @@
 
 
 def encode_reservation(message: Reservation) -> bytes:
-    """Return the message's bytes; units are rounded to quarters, and held at the bounds of the field."""
+    """Return the message's bytes; units are rounded to quarters and limited to the field's range."""
     return _RESERVATION.pack(
         message.kind,
         message.customer_id,
@@ -70,13 +70,20 @@
 
 
 def decode_reservation(data: bytes) -> Reservation | None:
-    """Return the message, or None for bytes that are none."""
+    """Return the message; None if the bytes have another form."""
     if len(data) != _RESERVATION.size:
         return None
     kind, customer_id, plan_index, quarter_units, tag, sender_age = _RESERVATION.unpack(data)
     if kind not in tuple(ReservationKind):
         return None
-    return Reservation(kind, customer_id, plan_index, quarter_units / 4, tag, sender_age)
+    return Reservation(
+        kind=kind,
+        customer_id=customer_id,
+        plan_index=plan_index,
+        units=quarter_units / 4,
+        tag=tag,
+        sender_age=sender_age,
+    )
 
 
 def encode_totals(incarnation: int, sender_age: int, totals: Iterable[CustomerTotal]) -> bytes:
@@ -90,7 +97,7 @@
 
 
 def decode_totals(data: bytes) -> GossipMessage | None:
-    """Return the message, or None for bytes that are none."""
+    """Return the message; None if the bytes have another form."""
     if len(data) < _HEADER.size or (len(data) - _HEADER.size) % _TOTAL.size:
         return None
     incarnation, sender_age = _HEADER.unpack_from(data)
--- a/qos_gateway/decisions/quota/quota_decision.py
+++ b/qos_gateway/decisions/quota/quota_decision.py
@@ -1,4 +1,4 @@
-"""What the engine asks of the quota, and what it is told: types only."""
+"""The quota's decisions and replies: types only."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from enum import Enum
 
 from ...types import Action
-from .account import CustomerAccount
+from .account.customer_account import CustomerAccount
 
 
 class Verdict(Enum):
-    """What becomes of a request by its customer's quota."""
+    """The outcome of a quota decision."""
 
     ADMITTED = "admitted"
     REJECTED = "rejected"
@@ -19,17 +19,17 @@
 
 @dataclass(slots=True)
 class Charge:
-    """A request as far as the quota is concerned."""
+    """What a request charges to its customer's quota."""
 
     account: CustomerAccount
     units: float
     deadline: int  # in ns
-    may_exceed: bool  # whether serving it beyond the quota is worth more than that costs, at present
+    may_exceed: bool  # whether serving it beyond the quota earns more than it costs, at present
 
 
 @dataclass(slots=True)
 class QuotaDecision:
-    """The verdict on one request, and what has to be done for it."""
+    """The verdict on one request, and the actions that it needs."""
 
     verdict: Verdict
     actions: list[Action] = field(default_factory=list)  # to be carried out before the request's own
@@ -40,7 +40,7 @@
     def immediate(
         cls, admitted: bool, actions: list[Action] | None = None, reports: bool = False
     ) -> QuotaDecision:
-        """Return a decision for which nobody waits."""
+        """Return a decision that waits for no reply."""
         verdict = Verdict.ADMITTED if admitted else Verdict.REJECTED
         return cls(verdict, actions or [], admitted and reports)
 
@@ -50,5 +50,5 @@
     """What the reply of a peer or of the counter means for the request that waits for it."""
 
     reservation: int = 0  # number of the reservation that is answered; 0 where no request waits
-    granted: bool | None = None  # None where the call failed: the gateway has to decide on its own
+    granted: bool | None = None  # None if the call failed: the gateway decides locally
     actions: list[Action] = field(default_factory=list)
--- a/qos_gateway/decisions/requests/dispatcher.py
+++ b/qos_gateway/decisions/requests/dispatcher.py
@@ -6,7 +6,7 @@
 from ...units import SECOND
 from ..congestion.queue_model import QueueModel
 from ..load_balancing.load_balancer import LoadBalancer
-from ..quota.base import Quota
+from ..quota.quota import Quota
 from . import retry_rules
 from .request_state import RequestState
 from .request_table import RequestTable
@@ -87,7 +87,14 @@
                 actions += self.cancel_attempts(request)
         if not request.attempts_in_flight and event.request_id in self.requests.open:
             actions.append(self._retry_or_end(now, request, max(MIN_RETRY_COST, min(1.0, latencies))))
-        return actions + self.quota.release_slot(now, request)
+        return actions + self.release_slot(now, request)
+
+    def release_slot(self, now: int, request: RequestState) -> list[Action]:
+        """Release the in-flight slot that a request holds, once it has no attempt in flight."""
+        if request.attempts_in_flight or not request.holds_in_flight_slot:
+            return []
+        request.holds_in_flight_slot = False
+        return self.quota.release_slot(now, request.account)
 
     def _learn(self, now: int, event: AttemptEnded, request: RequestState) -> float:
         """Pass on what an outcome tells; return how many mean latencies the attempt took."""
@@ -97,7 +104,7 @@
         if event.outcome is Outcome.OK:
             self.model.latency[class_index].add(now, event.elapsed)
             if self.settings.settles_actual_units and event.actual_units:
-                request.account.tokens -= event.actual_units - request.arrival.units
+                request.account.buckets.settle(event.actual_units - request.arrival.units)
         latencies = event.elapsed / max(1.0, self.model.latency[class_index].value)
         self.load_balancer.attempt_ended(now, event, request.arrival.kind, latencies)
         if event.outcome not in NOT_EXECUTED:
--- a/qos_gateway/decisions/requests/request_state.py
+++ b/qos_gateway/decisions/requests/request_state.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from ...types import Arrival, Endpoint, RequestClass
-from ..quota.account import CustomerAccount
+from ..quota.account.customer_account import CustomerAccount
 
 
 @dataclass(slots=True)
--- a/qos_gateway/server/peers.py
+++ b/qos_gateway/server/peers.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from ..decisions.quota.peer_messages import MAX_MESSAGE_BYTES
+from ..decisions.quota.peers.peer_messages import MAX_MESSAGE_BYTES
 from ..types import PeerMessage
 from .config import Address
 
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -18,7 +18,7 @@
 from qos_gateway.decisions.load_balancing import slow_start
 from qos_gateway.decisions.load_balancing.endpoint_state import EndpointState
 from qos_gateway.decisions.load_balancing.load_balancer import LoadBalancer
-from qos_gateway.decisions.quota.base import Quota
+from qos_gateway.decisions.quota.quota import Quota
 from qos_gateway.decisions.quota.quota_decision import QuotaDecision
 from qos_gateway.decisions.requests import retry_rules, stalled_requests
 from qos_gateway.decisions.requests.dispatcher import Dispatcher
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -70,7 +70,7 @@
     engine.handle(0, arrival(1, 0))
     engine.handle(MS, ended(1, 1))
     account = engine.quota.accounts[1]
-    account.in_flight_elsewhere, account.in_flight_elsewhere_at = 2, MS
+    account.reports.in_flight_elsewhere, account.reports.in_flight_elsewhere_at = 2, MS
     assert rejections(engine.handle(2 * MS, arrival(2, 2 * MS)))
     assert sends(engine.handle(SECOND, arrival(3, SECOND)))
 
@@ -88,7 +88,7 @@
 def test_restarted_gateway_sheds_low_priority_first_without_any_response() -> None:
     """A class never answered here ranked as if it took no time: stock checks before payments."""
     g = engine_among_many()
-    g.quota.call_rate = 0.0
+    g.quota.counter.call_rate = 0.0
     for i in range(30):
         g.model.latency[UNSAFE].add(i * 50 * MS, 150 * MS)
     g.model.fit(2 * SECOND, 1, [])
--- a/tests/decisions/test_engine.py
+++ b/tests/decisions/test_engine.py
@@ -9,7 +9,8 @@
 from hypothesis import settings as hypothesis_settings
 
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
-from qos_gateway.decisions.quota.peer_messages import Reservation, ReservationKind, encode_reservation
+from qos_gateway.decisions.quota.owner_quota import OwnerQuota
+from qos_gateway.decisions.quota.peers.peer_messages import Reservation, ReservationKind, encode_reservation
 from qos_gateway.types import (
     CounterReplied,
     Event,
@@ -75,12 +76,17 @@
             if answer:
                 word = encode_reservation(
                     Reservation(
-                        ReservationKind.GRANTED if answer == 1 else ReservationKind.DENIED, 1, 0, 5.0, held, 0
+                        kind=ReservationKind.GRANTED if answer == 1 else ReservationKind.DENIED,
+                        customer_id=1,
+                        plan_index=0,
+                        units=5.0,
+                        tag=held,
+                        sender_age=0,
                     )
                 )
                 super().feed(now, PeerMessage(1, word))
-        if not self.gateway.quota.uses_owners:
-            for name, calls in list(self.gateway.quota.pending_calls.items()):
+        if not isinstance(self.gateway.quota, OwnerQuota):
+            for name, calls in list(self.gateway.quota.counter.pending_calls.items()):
                 if calls:
                     super().feed(now, CounterReplied(MS, Outcome(1 + len(self.log) % 3), name, 2.0))
 
--- a/tests/decisions/test_gossip.py
+++ b/tests/decisions/test_gossip.py
@@ -5,8 +5,9 @@
 import pytest
 
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
-from qos_gateway.decisions.quota.peer_messages import CustomerTotal, encode_totals
-from qos_gateway.decisions.quota.peer_totals import PeerStatus
+from qos_gateway.decisions.quota.gossip_quota import GossipQuota
+from qos_gateway.decisions.quota.peers.gossip import PeerStatus
+from qos_gateway.decisions.quota.peers.peer_messages import CustomerTotal, encode_totals
 from qos_gateway.decisions.statistics.time_constants import TICK_INTERVAL_NS
 from qos_gateway.types import (
     PeerMessage,
@@ -59,18 +60,18 @@
         a for a in there.handle(TICK_INTERVAL_NS, TimerFired(TICK_TIMER)) if isinstance(a, SendPeerMessage)
     ]
     here.handle(TICK_INTERVAL_NS, PeerMessage(1, told[0].data))
-    assert here.quota.accounts[1].tokens < 5.0
+    assert here.quota.accounts[1].buckets.tokens < 5.0
 
 
 def test_reordered_gossip_is_ignored() -> None:
     engine = engine_alone()
     engine.handle(0, arrival(1, 0))
     engine.handle(MS, gossip(400, 10))
-    level = engine.quota.accounts[1].tokens
+    level = engine.quota.accounts[1].buckets.tokens
     engine.handle(MS, gossip(380, 8))
-    assert engine.quota.accounts[1].tokens == level
+    assert engine.quota.accounts[1].buckets.tokens == level
     engine.handle(MS, gossip(408, 12))
-    assert engine.quota.accounts[1].tokens == pytest.approx(max(-20.0, level - 2.0))
+    assert engine.quota.accounts[1].buckets.tokens == pytest.approx(max(-20.0, level - 2.0))
 
 
 def test_total_that_a_peer_restarted_counts_from_zero() -> None:
@@ -79,9 +80,9 @@
     engine.handle(MS, gossip(400, 10))
     now = 4 * SECOND
     engine.handle(now, gossip(400, 40))
-    level = engine.quota.accounts[1].tokens
+    level = engine.quota.accounts[1].buckets.tokens
     engine.handle(now, gossip(8, 41))  # the peer forgot the customer, who then came back
-    assert engine.quota.accounts[1].tokens == pytest.approx(level - 2.0)
+    assert engine.quota.accounts[1].buckets.tokens == pytest.approx(level - 2.0)
 
 
 def test_totals_of_a_restarted_peer_count_from_zero_even_when_they_come_late() -> None:
@@ -92,18 +93,18 @@
     engine.handle(
         now, PeerMessage(1, encode_totals(10, 0, []))
     )  # restarted, and nothing of this customer yet
-    level = engine.quota.accounts[1].tokens
+    level = engine.quota.accounts[1].buckets.tokens
     engine.handle(now, gossip(12, 1, incarnation=10))
-    assert engine.quota.accounts[1].tokens == pytest.approx(level - 3.0)
+    assert engine.quota.accounts[1].buckets.tokens == pytest.approx(level - 3.0)
 
 
 def test_gossip_with_an_implausible_age_does_not_block_later_gossip() -> None:
     engine = engine_alone()
     engine.handle(0, arrival(1, 0))
     engine.handle(MS, gossip(4, 0xFFFF))
-    level = engine.quota.accounts[1].tokens
+    level = engine.quota.accounts[1].buckets.tokens
     engine.handle(MS, gossip(8, 10))
-    assert engine.quota.accounts[1].tokens == pytest.approx(level - 1.0)
+    assert engine.quota.accounts[1].buckets.tokens == pytest.approx(level - 1.0)
 
 
 def test_malformed_peer_messages_are_ignored() -> None:
@@ -116,7 +117,8 @@
     engine = engine_alone()
     engine.handle(0, arrival(1, 0))
     account = engine.quota.accounts[1]
-    engine.quota.peers[1] = PeerStatus(0, 0, 0)
+    assert isinstance(engine.quota, GossipQuota)
+    engine.quota.peer_gossip.peers[1] = PeerStatus(0, 0, 0)
     assert engine.quota.quota_share(0, account) == 1.0
     assert engine.quota.quota_share(10 * SECOND, account) == 0.5
 
@@ -126,6 +128,6 @@
     old.handle(0, full_list(backend(1)))
     told = [a for a in old.handle(9 * SECOND, TimerFired(TICK_TIMER)) if isinstance(a, SendPeerMessage)]
     young.handle(MS, arrival(1, MS))
-    assert young.quota.accounts[1].tokens == 19.0
+    assert young.quota.accounts[1].buckets.tokens == 19.0
     young.handle(MS, PeerMessage(1, told[0].data))
-    assert young.quota.accounts[1].tokens == 10.0
+    assert young.quota.accounts[1].buckets.tokens == 10.0
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -15,8 +15,8 @@
 from benchmarks.quota_counter import Fault, FaultWindow, partition_half
 from benchmarks.scenario import FleetSize, Restart, Scenario
 from qos_gateway.decisions.engine import DecisionEngine
-from qos_gateway.decisions.quota.counter import LeasedQuota
-from qos_gateway.decisions.quota.leases import (
+from qos_gateway.decisions.quota.leased_quota import LeasedQuota
+from qos_gateway.decisions.quota.leases.leases import (
     EVEN_FRACTION,
     LEASED_FRACTION,
     MAX_SAVED_FRACTION,
@@ -155,15 +155,15 @@
     customer.press(0.0, 30.0, 9, rng, 2)
     leases = customer.gateways[0].quota.leases
     assert leases is not None
-    current = leases.term(30 * SECOND, customer.gateways[0].quota.accounts[1])
+    current = leases.terms.at(30 * SECOND, 1)
     term = current.number
     change = (30 * SECOND + current.remaining) / SECOND
     customer.press(30.0, change - 30.0, 9, rng, 2)
     now = int(change * SECOND)
     accounts = [made.quota.accounts[1] for made in customer.gateways if 1 in made.quota.accounts]
-    ahead = [a for a in accounts if a.lease_fractions.get(term, 0.0) > 0.0]
+    ahead = [a for a in accounts if a.lease.fractions.get(term, 0.0) > 0.0]
     assert len(ahead) >= 2
-    assert sum(term + 1 in a.lease_fractions for a in ahead) >= 0.5 * len(ahead)
+    assert sum(term + 1 in a.lease.fractions for a in ahead) >= 0.5 * len(ahead)
     before, after = customer.shares(now - 1), customer.shares(now + 1)
     assert sum(after) >= 0.75 * sum(before)
     assert customer.press(change, 10.0, 9, rng, 2) >= 0.85 * 90
@@ -175,7 +175,7 @@
     made = customer.gateways[0]
     leases, account = made.quota.leases, made.quota.accounts[1]
     assert leases is not None
-    account.next_claim_at, account.local_tokens = 0, 0.0
+    account.lease.next_claim_at, account.buckets.local_tokens = 0, 0.0
     actions = leases.claim(6 * SECOND, account, 1.0, 1.0)
     for a in actions:
         assert isinstance(a, AddToCounter)
@@ -201,10 +201,10 @@
     customer = CustomerGateways()
     customer.press(0.0, 10.0, 9, random.Random(1), 2)
     old, new = customer.gateways[0], gateway(0, 10 * SECOND, 99)
-    before = old.quota.accounts[1].lease_fractions
+    before = old.quota.accounts[1].lease.fractions
     restore_json(new, 10 * SECOND, capture_json(old, 10 * SECOND), old.settings)
     assert before
-    assert new.quota.accounts[1].lease_fractions == before
+    assert new.quota.accounts[1].lease.fractions == before
     assert old.quota.handover_fraction + new.quota.handover_fraction == 1.0
     of_older = capture_json(old, 10 * SECOND)
     del of_older["leases"]
@@ -231,7 +231,7 @@
     customer.press(0.0, 10.0, 50, rng)
     customer.ways = ["empty"]
     for made in customer.gateways:
-        made.quota.accounts[1].next_claim_at = 0  # as if all had run short anew
+        made.quota.accounts[1].lease.next_claim_at = 0  # as if all had run short anew
     customer.press(10.0, 10.0, 50, rng)
     assert sum(customer.shares(20 * SECOND)) <= EVEN_FRACTION + 2 * LEASED_FRACTION + 1e-6
     customer.press(20.0, 2 * TERM / SECOND, 50, rng)
--- a/tests/decisions/test_quota_by_counter.py
+++ b/tests/decisions/test_quota_by_counter.py
@@ -8,7 +8,7 @@
 import pytest
 
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
-from qos_gateway.decisions.quota.counter_total import IN_FLIGHT_UNIT
+from qos_gateway.decisions.quota.counter.counter_total import IN_FLIGHT_UNIT
 from qos_gateway.decisions.statistics.time_constants import TICK_INTERVAL_NS
 from qos_gateway.types import (
     Action,
@@ -61,7 +61,7 @@
     fleet.counter_ok = False
     fleet.flood(20.0, 100)
     assert 0 < len(fleet.sent) <= 1.5 * 220
-    assert max(g.quota.call_rate for g in fleet.gateways) < 1.0
+    assert max(g.quota.counter.call_rate for g in fleet.gateways) < 1.0
 
 
 @pytest.mark.parametrize(
@@ -74,7 +74,7 @@
     g.handle(0, full_list(backend(1)))
     (call,) = [a for a in g.handle(MS, arrival(1, MS, gateway_spread=MANY)) if isinstance(a, AddToCounter)]
     g.handle(80 * MS, CounterReplied(79 * MS, outcome, call.key, 0.0))
-    assert (g.quota.call_rate < 1.0) is slower
+    assert (g.quota.counter.call_rate < 1.0) is slower
 
 
 @pytest.mark.parametrize(("used", "asked"), [(0, 1), (1, 0), (60, 0), (110, 1)])
@@ -94,7 +94,7 @@
     account = g.quota.account(0, 1, 0, 2, 0)
     for i in range(30):
         now = i * SECOND // 10
-        account.usage_reported_at, account.unreported_units = now, 0.0
+        account.usage.reported_at, account.counter_calls.unreported_units = now, 0.0
         last = calls(g.handle(now, arrival(i, now)))
         assert i > 0 or not last
     assert last
@@ -102,7 +102,7 @@
 
 def test_what_a_light_customer_uses_in_a_burst_is_counted_and_reported() -> None:
     g = counting(rate=10.0, burst=40.0)
-    g.quota.account(0, 1, 0, 2, 0).usage_reported_at = 0
+    g.quota.account(0, 1, 0, 2, 0).usage.reported_at = 0
     told = [calls(g.handle(MS, arrival(i, MS))) for i in range(6)]
     assert [len(each) for each in told] == [0] * 5 + [1]
     assert told[5][0].amount == 6.0
@@ -197,4 +197,4 @@
     for each in made:
         total += each.amount
         g.handle(start + SECOND + 2 * MS, CounterReplied(MS, Outcome.OK, each.key, total))
-    assert g.quota.pending_calls == {}
+    assert g.quota.counter.pending_calls == {}
--- a/tests/decisions/test_quota_by_owner.py
+++ b/tests/decisions/test_quota_by_owner.py
@@ -8,7 +8,7 @@
 
 from qos_gateway.decisions.admission.admission_controller import RESERVATION_TIMEOUT_NS
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
-from qos_gateway.decisions.quota.peer_messages import (
+from qos_gateway.decisions.quota.peers.peer_messages import (
     Reservation,
     ReservationKind,
     decode_reservation,
@@ -86,9 +86,21 @@
 
 def malformed_messages() -> Iterator[bytes]:
     yield from (b"", b"x", b"\xff" * 18, b"\x00" * 18, b"\x01" * 64)
-    yield encode_reservation(Reservation(ReservationKind.RESERVE, 1, 99, 1.0, 1, 0))
-    yield encode_reservation(Reservation(ReservationKind.GRANTED, 77, 0, 1.0, 12345, 0))
-    yield encode_reservation(Reservation(ReservationKind.DENIED, 1, 0, -5.0, 1, 10**9))
+    yield encode_reservation(
+        Reservation(
+            kind=ReservationKind.RESERVE, customer_id=1, plan_index=99, units=1.0, tag=1, sender_age=0
+        )
+    )
+    yield encode_reservation(
+        Reservation(
+            kind=ReservationKind.GRANTED, customer_id=77, plan_index=0, units=1.0, tag=12345, sender_age=0
+        )
+    )
+    yield encode_reservation(
+        Reservation(
+            kind=ReservationKind.DENIED, customer_id=1, plan_index=0, units=-5.0, tag=1, sender_age=10**9
+        )
+    )
 
 
 def test_malformed_messages_to_an_owner_are_ignored() -> None:
@@ -99,7 +111,14 @@
 
 
 def test_reservations_are_decoded_as_they_were_encoded() -> None:
-    draw = Reservation(ReservationKind.RESERVE, 2**33 - 1, 3, 2.5, 2**32 - 1, 17)
+    draw = Reservation(
+        kind=ReservationKind.RESERVE,
+        customer_id=2**33 - 1,
+        plan_index=3,
+        units=2.5,
+        tag=2**32 - 1,
+        sender_age=17,
+    )
     assert decode_reservation(encode_reservation(draw)) == draw
 
 
--- a/tests/decisions/test_quota_slices.py
+++ b/tests/decisions/test_quota_slices.py
@@ -37,9 +37,9 @@
         for customer in range(200):
             account = g.quota.account(0, customer, 0, MANY, 0)
             g.quota.plan_grant_ratio[0].add(0, 1.0)
-            account.local_tokens = 0.0
+            account.buckets.local_tokens = 0.0
             for _ in range(asked):
-                account.long_demand.add(0, 1.0)
+                account.demand.long_term.add(0, 1.0)
             taken += g.quota.decide_locally(0, account, 1.0)
         passed.append(taken)
     assert passed[1] < 0.5 * passed[0]
@@ -48,9 +48,9 @@
 def test_each_counted_request_stands_for_those_not_counted() -> None:
     g = DecisionEngine(settings(gateway_count=MANY, may_message=False, has_counter=True), 7, 0)
     g.handle(0, full_list(backend(1)))
-    g.quota.call_rate = 0.25
+    g.quota.counter.call_rate = 0.25
     for i in range(20):
-        g.quota.account(0, i, 0, MANY, 0).long_demand.add(0, 1.0, 5.0)  # seen often: in doubt
+        g.quota.account(0, i, 0, MANY, 0).demand.long_term.add(0, 1.0, 5.0)  # seen often: in doubt
     calls = [a for i in range(20) for a in g.handle(MS, arrival(i, MS, customer_id=i, gateway_spread=MANY))]
     amounts = {a.amount for a in calls if isinstance(a, AddToCounter)}
     assert amounts == {2.0}
@@ -59,7 +59,7 @@
 def test_overloaded_counter_is_not_called_for_single_requests_of_typical_customers() -> None:
     """Of 25 gateways' slices none holds a request: what comes once is trusted, more is not."""
     g = engine_among_many()
-    g.quota.call_rate = 0.5
+    g.quota.counter.call_rate = 0.5
     first = [a for i in range(50) for a in g.handle(MS, arrival(i, MS, customer_id=i, gateway_spread=25))]
     assert len([a for a in first if isinstance(a, Send)]) == 50
     assert not calls(first)
@@ -76,7 +76,7 @@
     used: int, asked: int
 ) -> None:
     g = engine_among_many()
-    g.quota.call_rate = 0.5
+    g.quota.counter.call_rate = 0.5
     (sent,) = [a for a in g.handle(MS, arrival(1, MS, gateway_spread=25)) if isinstance(a, Send)]
     g.handle(400 * MS, replace(ended(1, sent.endpoint), quota_usage=used))
     later = 15 * SECOND
@@ -89,7 +89,7 @@
     for position in range(40):
         g = engine_among_many(position, CEILING)
         g.quota.plan_grant_ratio[0].add(now, 1.0, 100.0)
-        g.quota.call_rate = 0.0
+        g.quota.counter.call_rate = 0.0
         for i in range(5):
             passed += sum(
                 isinstance(a, Send)
--- a/tests/state/test_earlier_versions.py
+++ b/tests/state/test_earlier_versions.py
@@ -9,7 +9,7 @@
 import pytest
 
 from qos_gateway.decisions.engine import DecisionEngine
-from qos_gateway.decisions.quota.peer_messages import (
+from qos_gateway.decisions.quota.peers.peer_messages import (
     CustomerTotal,
     GossipMessage,
     Reservation,
--- a/tests/state/test_handover_snapshot.py
+++ b/tests/state/test_handover_snapshot.py
@@ -48,27 +48,31 @@
 def test_both_together_hold_the_buckets_of_one_then_and_later() -> None:
     old = used_engine()
     before = old.quota.accounts[1]
-    part, ceiling = before.local_tokens, before.ceiling_tokens
+    part, ceiling = before.buckets.local_tokens, before.buckets.ceiling_tokens
     new = handed_over(old)
     both = old.quota.accounts[1], new.quota.accounts[1]
-    assert sum(a.local_tokens for a in both) == pytest.approx(part)
-    assert sum(a.ceiling_tokens for a in both) == pytest.approx(ceiling)
+    assert sum(a.buckets.local_tokens for a in both) == pytest.approx(part)
+    assert sum(a.buckets.ceiling_tokens for a in both) == pytest.approx(ceiling)
     single = used_engine().quota
     for quota in (old.quota, new.quota, single):
         quota.refill(START + 60 * SECOND, quota.accounts[1])
-    assert sum(a.ceiling_tokens for a in both) == pytest.approx(single.accounts[1].ceiling_tokens)
+    assert sum(a.buckets.ceiling_tokens for a in both) == pytest.approx(
+        single.accounts[1].buckets.ceiling_tokens
+    )
     complete(new)
     new.quota.refill(START + 120 * SECOND, new.quota.accounts[1])
-    assert new.quota.accounts[1].ceiling_tokens == pytest.approx(single.accounts[1].ceiling_tokens)
+    assert new.quota.accounts[1].buckets.ceiling_tokens == pytest.approx(
+        single.accounts[1].buckets.ceiling_tokens
+    )
 
 
 def test_first_request_adds_no_second_slack_and_open_attempts_count_on() -> None:
     old = used_engine()
     new = handed_over(old)
-    ceiling = new.quota.accounts[1].ceiling_tokens
+    ceiling = new.quota.accounts[1].buckets.ceiling_tokens
     new.handle(START, arrival(90, START))
-    assert new.quota.accounts[1].ceiling_tokens <= ceiling
-    assert new.quota.accounts[1].in_flight_elsewhere == old.quota.accounts[1].in_flight == 4
+    assert new.quota.accounts[1].buckets.ceiling_tokens <= ceiling
+    assert new.quota.accounts[1].reports.in_flight_elsewhere == old.quota.accounts[1].in_flight == 4
 
 
 def test_disabling_ejections_and_latency_go_over_and_slow_start_tokens_are_not_doubled() -> None:
--- a/tests/state/test_quota_arithmetic.py
+++ b/tests/state/test_quota_arithmetic.py
@@ -4,21 +4,22 @@
 
 import pytest
 
-from qos_gateway.decisions.quota.counter_total import (
+from qos_gateway.decisions.quota.account.counter_calls import CounterCall
+from qos_gateway.decisions.quota.account.peer_totals import spent_since
+from qos_gateway.decisions.quota.account.token_bucket import (
+    TokenBucket,
+    ceiling_beyond_quota,
+    leased_ceiling,
+    whole_slice,
+)
+from qos_gateway.decisions.quota.counter.counter_total import (
     IN_FLIGHT_UNIT,
     counter_key,
     customer_of,
     decode_total,
     refilled_units,
 )
-from qos_gateway.decisions.quota.peer_totals import spent_since
-from qos_gateway.decisions.quota.pending_calls import CounterCall, PendingCalls
-from qos_gateway.decisions.quota.token_bucket import (
-    TokenBucket,
-    ceiling_beyond_quota,
-    leased_ceiling,
-    whole_slice,
-)
+from qos_gateway.decisions.quota.counter.pending_calls import PendingCalls
 from tests.support.builders import SECOND, plan
 
 
@@ -38,8 +39,11 @@
 
 def test_slices_too_small_for_a_request_become_fewer_whole_ones() -> None:
     bucket = TokenBucket(4.0, 8.0)
-    assert whole_slice(bucket, 0.25, 1.0, 2.0, rank=3, slices=4) == TokenBucket(1.0, 2.0)
-    of_eight = [whole_slice(bucket, 0.125, 1.0, 2.0, rank, 8).capacity for rank in range(8)]
+    assert whole_slice(bucket, even=0.25, total=1.0, largest=2.0, rank=3, slices=4) == TokenBucket(1.0, 2.0)
+    of_eight = [
+        whole_slice(bucket, even=0.125, total=1.0, largest=2.0, rank=rank, slices=8).capacity
+        for rank in range(8)
+    ]
     assert of_eight == [2.0] * 4 + [0.0] * 4
 
 
