--- a/qos_gateway/decisions/requests/dispatcher.py
+++ b/qos_gateway/decisions/requests/dispatcher.py
@@ -6,7 +6,7 @@
 from ...units import SECOND
 from ..congestion.queue_model import QueueModel
 from ..load_balancing.load_balancer import LoadBalancer
-from ..quota.base import Quota
+from ..quota.quota import Quota
 from . import retry_policy
 from .attempt_timeouts import AttemptTimeouts
 from .request_state import RequestState
@@ -72,7 +72,14 @@
                 actions += self.cancel_attempts(request)
         if not request.attempts_in_flight and event.request_id in self.requests.open:
             actions.append(self._retry_or_end(now, request, retry_cost(relative_latency)))
-        return actions + self.quota.release_slot(now, request)
+        return actions + self.release_slot(now, request)
+
+    def release_slot(self, now: int, request: RequestState) -> list[Action]:
+        """Release the in-flight slot that a request holds, once it has no attempt in flight."""
+        if request.attempts_in_flight or not request.holds_in_flight_slot:
+            return []
+        request.release_slot()
+        return self.quota.release_slot(now, request.account)
 
     def _record_outcome(self, now: int, event: AttemptEnded, request: RequestState) -> float:
         """Record an outcome at its owners; return the attempt's latency relative to its class's mean."""
@@ -83,7 +90,7 @@
         if event.outcome is Outcome.OK:
             class_latency.add(now, event.elapsed)
             if self.settings.settles_actual_units and event.actual_units:
-                request.account.tokens -= event.actual_units - request.arrival.units
+                request.account.buckets.settle(event.actual_units - request.arrival.units)
         relative_latency = event.elapsed / max(1.0, class_latency.mean.value)
         self.load_balancer.attempt_ended(now, event, request.arrival.kind, relative_latency)
         if event.outcome not in NOT_EXECUTED:
