--- a/qos_gateway/decisions/admission/admission_controller.py
+++ b/qos_gateway/decisions/admission/admission_controller.py
@@ -1,112 +1,111 @@
-"""Admission: the customer's cap, the limit on all in flight, and the quota, in this order."""
+"""Admission control: the customer's cap, the limit on all in flight, and the quota, in this order."""
 
-from ...types import Action, Arrival, RejectReason
-from ..congestion.queue_model import TARGET_WAIT_FRACTION
-from ..quota.account import CustomerAccount
+from ...types import Action, Arrival, RejectReason, Settings
+from ..congestion.queue_model import TARGET_WAIT_FRACTION, QueueModel
+from ..quota.base import Quota
 from ..quota.quota_decision import QuotaReply, Verdict
 from ..requests.dispatcher import Dispatcher
 from ..requests.request_state import RequestState
-from ..statistics.time_constants import LONG_MEMORY_NS, TICK_INTERVAL_NS
-from .commitments import CommitmentTable
+from ..statistics.time_constants import LONG_MEMORY_NS
+from .commitment import Commitment
+from .commitment_table import CommitmentTable
+from .held_reservations import HeldReservations
+from .load_shedding import LoadShedding
 from .priority_demand import PriorityDemand
 
-LOWEST_PRIORITY_FRACTION = 0.7  # part of the limit on all in flight that the lowest priority may fill
-PRIORITY_SMOOTHING = 0.2  # weight of the newest request in a customer's mean priority
-HEADROOM_GROWTH = 1.01  # per request, by which a customer's headroom recovers towards its classes'
-RESERVATION_TIMEOUT_NS = TICK_INTERVAL_NS // 2  # over a round trip between gateways, far below an objective
-
 
 class AdmissionController:
-    """Decides on arrival whether a request is admitted, rejected, or held until its quota's owner answers."""
+    """Decides on arrival whether a request is admitted, rejected, or held until its reservation's reply."""
 
-    def __init__(self, dispatcher: Dispatcher, commitments: CommitmentTable) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        model: QueueModel,
+        quota: Quota,
+        dispatcher: Dispatcher,
+        commitments: CommitmentTable,
+    ) -> None:
+        self.request_classes = settings.classes
+        self.model = model
+        self.quota = quota
         self.dispatcher = dispatcher
-        self.quota = dispatcher.quota
+        self.requests = dispatcher.requests
+        self.retry_budget = dispatcher.retry_budget
         self.commitments = commitments
         self.priority_demand = PriorityDemand(LONG_MEMORY_NS)
-        self.awaiting_reservation: dict[int, RequestState] = {}  # by the reservation's number
+        self.load_shedding = LoadShedding(model, self.requests, self.priority_demand)
+        self.awaiting_reservation = HeldReservations()
 
     def on_arrival(self, now: int, arrival: Arrival) -> list[Action]:
         """Admit, reject or hold a request."""
         account = self.quota.account_for(now, arrival)
-        priority = self._observe(now, account, arrival)
-        if not account.in_flight_cap:
-            self.commitments.evaluate(now, account, {})
+        account.observe(now, arrival.units)
+        commitment = self.commitments.by_customer.get(account.customer_id) or self.commitments.add(account)
+        priority = self._observe(now, commitment, arrival)
+        if not commitment.in_flight_cap:
+            self.commitments.evaluate(now, commitment, {})
         self.quota.refill(now, account)
-        if account.in_flight >= account.in_flight_cap:
+        if account.in_flight >= commitment.in_flight_cap:
             return [self.dispatcher.reject(arrival, RejectReason.CUSTOMER_CAP)]
-        if self._is_shed(now, priority):
+        if self.load_shedding.sheds(now, priority):
             return [self.dispatcher.reject(arrival, RejectReason.LOAD_LIMIT)]
-        request_class = self.dispatcher.settings.classes[arrival.class_index]
+        request_class = self.request_classes[arrival.class_index]
         return self._charge(now, RequestState(arrival, request_class, account, arrived_at=now))
 
-    def _observe(self, now: int, account: CustomerAccount, arrival: Arrival) -> float:
-        """Update what the customer asks for; return the request's priority, by the time it takes."""
-        cls = self.dispatcher.settings.classes[arrival.class_index]
-        account.observe(now, arrival.units)
-        service_time = max(1.0, self.dispatcher.model.uncongested_latency(arrival.class_index))
-        priority = cls.priority_weight * account.plan.weight_factor * arrival.units / service_time
-        account.priority_weight += PRIORITY_SMOOTHING * (priority - account.priority_weight)
+    def _observe(self, now: int, commitment: Commitment, arrival: Arrival) -> float:
+        """Update the demand by an arrival; return the request's priority: its weight over its latency."""
+        request_class = self.request_classes[arrival.class_index]
+        service_time = max(1.0, self.model.uncongested_latency(arrival.class_index))
+        weight = request_class.priority_weight * commitment.account.plan.weight_factor
+        priority = weight * arrival.units / service_time
         self.priority_demand.add(now, arrival.kind, priority)
-        headroom = TARGET_WAIT_FRACTION * self.dispatcher.model.headroom(arrival.class_index)
-        account.headroom = min(account.headroom, headroom) * HEADROOM_GROWTH if account.headroom else headroom
-        account.latency_objective = max(account.latency_objective, cls.latency_objective)
+        headroom = TARGET_WAIT_FRACTION * self.model.headroom(arrival.class_index)
+        commitment.observe(priority, headroom, request_class.latency_objective)
         return priority
 
-    def _is_shed(self, now: int, priority: float) -> bool:
-        """Tell whether the limit on all in flight sheds a request: the lowest priority meets it first."""
-        limit = self.dispatcher.model.concurrency_limit
-        in_flight = self.dispatcher.requests.working
-        if limit is None or in_flight < LOWEST_PRIORITY_FRACTION * limit:
-            return False
-        below = self.priority_demand.fraction_below(now, priority)
-        return in_flight >= limit * (LOWEST_PRIORITY_FRACTION + (1.0 - LOWEST_PRIORITY_FRACTION) * below)
-
     def _charge(self, now: int, request: RequestState) -> list[Action]:
-        """Charge the customer's quota, or hold the request until whoever keeps it has answered."""
-        arrival = request.arrival
-        decision = self.quota.decide(now, request.account, arrival, self.dispatcher.model.congested)
+        """Charge the customer's quota; hold the request while a reservation is open."""
+        decision = self.quota.decide(now, request.account, request.arrival, self.model.congested)
         if decision.verdict is Verdict.ADMITTED:
             return decision.actions + self._admit(now, request, decision.report_usage)
         if decision.verdict is Verdict.REJECTED:
-            return [*decision.actions, self.dispatcher.reject(arrival, RejectReason.QUOTA)]
-        request.reservation_sent_at = now
-        self.awaiting_reservation[decision.reservation] = request
-        self.dispatcher.requests.open[arrival.request_id] = request
+            return [*decision.actions, self.dispatcher.reject(request.arrival, RejectReason.QUOTA)]
+        self.awaiting_reservation.hold(now, decision.reservation, request)
+        self.requests.open[request.arrival.request_id] = request
         return decision.actions
 
     def _admit(self, now: int, request: RequestState, report_usage: bool) -> list[Action]:
+        """Send the first attempt; reject the request where no endpoint can take it."""
         send = self.dispatcher.send(now, request)
         if send is None:
             return [self.dispatcher.reject(request.arrival, RejectReason.NO_ENDPOINT)]
-        self.dispatcher.requests.open[request.arrival.request_id] = request
-        self.dispatcher.retry_budget.deposit()
+        self.requests.open[request.arrival.request_id] = request
+        self.retry_budget.deposit()
         if not report_usage:
             return [send]
         request.holds_in_flight_slot = True
         return [send, self.quota.report_consumed(now, request.account, request.arrival.units)]
 
     def on_reply(self, now: int, reply: QuotaReply) -> list[Action]:
-        """Admit or reject the held request that a reply is for; without an answer decide locally."""
-        request = self.awaiting_reservation.pop(reply.reservation, None)
+        """Admit or reject the request that was held for a reply."""
+        request = self.awaiting_reservation.release(reply.reservation)
         if request is None:
             return reply.actions
         request.holds_in_flight_slot = reply.granted is True
         actions = list(reply.actions)
-        if self.dispatcher.requests.open.pop(request.arrival.request_id, None) is not None:
-            granted = reply.granted
-            if granted is None:
-                granted = self.quota.decide_locally(now, request.account, request.arrival.units)
-            if granted:
-                actions += self._admit(now, request, False)
-            else:
-                actions.append(self.dispatcher.reject(request.arrival, RejectReason.QUOTA))
+        if self.requests.open.pop(request.arrival.request_id, None) is not None:
+            actions += self._decide_held(now, request, reply.granted)
         return actions + self.quota.release_slot(now, request)
 
+    def _decide_held(self, now: int, request: RequestState, granted: bool | None) -> list[Action]:
+        """Admit or reject a held request; without a reply (None) decide locally."""
+        if granted is None:
+            granted = self.quota.decide_locally(now, request.account, request.arrival.units)
+        if granted:
+            return self._admit(now, request, False)
+        return [self.dispatcher.reject(request.arrival, RejectReason.QUOTA)]
+
     def expire_reservations(self, now: int) -> list[Action]:
-        """Decide locally on requests whose reservation was not answered in time."""
-        waiting = self.awaiting_reservation
-        expired = [
-            n for n, request in waiting.items() if now - request.reservation_sent_at >= RESERVATION_TIMEOUT_NS
-        ]
+        """Decide locally on the requests whose reservation expired."""
+        expired = self.awaiting_reservation.expired(now)
         return [action for number in expired for action in self.on_reply(now, QuotaReply(number))]
--- /dev/null
+++ b/qos_gateway/decisions/admission/commitment_table.py
@@ -0,0 +1,111 @@
+"""The table of QoS commitments, and the evaluation that chooses each customer's cap."""
+
+from collections.abc import Sequence
+from math import ceil, inf
+
+from ...units import SECOND
+from ..congestion.queue_model import QueueModel
+from ..quota.account import CustomerAccount
+from ..quota.base import Quota
+from .commitment import Commitment, Demand
+from .seven_cases import seven_cases
+
+COMMITMENT_IDLE_TIME_NS = 10 * SECOND  # outlasts the pauses of a steady customer
+EVALUATION_INTERVAL_NS = 2 * SECOND  # long enough for a fit, short for a burst
+PRUNE_INTERVAL_NS = COMMITMENT_IDLE_TIME_NS
+MIN_THROUGHPUT_PER_S = 1e-3  # a customer with less does not limit the response time of others
+BUSY_IN_FLIGHT = 0.05  # mean in flight from which a commitment limits others
+
+
+class CommitmentTable:
+    """The commitments to all customers with an account, and the active ones among them."""
+
+    def __init__(self, model: QueueModel, quota: Quota, now: int) -> None:
+        """Start without any commitment; the first pruning is due one interval after `now`."""
+        self.model = model
+        self.quota = quota
+        self.by_customer: dict[int, Commitment] = {}  # active or idle
+        self.active: dict[int, Commitment] = {}  # with a cap, by customer
+        self._pruned_at = now
+
+    def add(self, account: CustomerAccount) -> Commitment:
+        """Return a new commitment to a customer that has none."""
+        commitment = self.by_customer[account.customer_id] = Commitment(account)
+        return commitment
+
+    def evaluate_due(self, now: int) -> None:
+        """Suspend idle commitments and evaluate those due, lowest priority first, so that cuts fall on it."""
+        self._suspend_idle(now)
+        due = [c for c in self.active.values() if now - c.evaluated_at >= EVALUATION_INTERVAL_NS]
+        throughputs: dict[int, float] = {}
+        for commitment in sorted(due, key=lambda c: (c.priority_weight, c.account.customer_id)):
+            self.evaluate(now, commitment, throughputs)
+
+    def _suspend_idle(self, now: int) -> None:
+        """Suspend the commitments to customers that sent no request for a while."""
+        for commitment in list(self.active.values()):
+            account = commitment.account
+            commitment.mean_in_flight.add(now, account.in_flight)
+            if now - account.last_request_at > COMMITMENT_IDLE_TIME_NS and not account.in_flight:
+                commitment.suspend()
+                del self.active[account.customer_id]
+
+    def prune_due(self, now: int) -> None:
+        """At intervals, drop the accounts that the quota no longer needs, and their commitments."""
+        if now - self._pruned_at < PRUNE_INTERVAL_NS:
+            return
+        self._pruned_at = now
+        for customer_id in self.quota.prune(now):
+            self.by_customer.pop(customer_id, None)
+
+    def evaluate(self, now: int, commitment: Commitment, throughputs: dict[int, float]) -> None:
+        """Set the customer's cap: what it requests, or the choice of the seven cases under congestion.
+
+        `throughputs` caches XMIN by customer for evaluations at the same `now`.
+        """
+        self.active[commitment.account.customer_id] = commitment
+        demand = self._demand(now, commitment)
+        cap = demand.concurrency
+        if self.model.congested:
+            cap = max(1, self._offer(now, commitment, demand, throughputs))  # a rejected customer keeps one
+        commitment.grant(now, cap)
+
+    def _offer(self, now: int, commitment: Commitment, demand: Demand, throughputs: dict[int, float]) -> int:
+        """Return the concurrency that the seven cases offer, 0 to reject."""
+        others = self._busy_others(commitment)
+        in_flight = sum(other.expected_in_flight for other in others)
+        headroom = min((other.headroom for other in others), default=commitment.headroom)
+        longest_response = self._longest_response(now, others, throughputs)
+        network = self.model.network
+        delay = self.model.delay
+
+        def wait(level: int) -> float:
+            return network.wait(in_flight + level)
+
+        return seven_cases(
+            max(demand.concurrency, ceil(commitment.mean_in_flight.value)),
+            response=lambda level: wait(level) <= commitment.headroom,
+            throughput=lambda level: level * SECOND >= demand.throughput * (delay + wait(level)),
+            commitments=lambda level: wait(level) <= headroom and delay + wait(level) <= longest_response,
+        )
+
+    def _busy_others(self, commitment: Commitment) -> list[Commitment]:
+        active = self.active.values()
+        return [c for c in active if c is not commitment and c.mean_in_flight.value > BUSY_IN_FLIGHT]
+
+    def _longest_response(
+        self, now: int, others: Sequence[Commitment], throughputs: dict[int, float]
+    ) -> float:
+        """Return the response time (ns) up to which each of the others reaches its XMIN within its cap."""
+        for other in others:
+            if other.account.customer_id not in throughputs:
+                throughput = max(self._demand(now, other).throughput, MIN_THROUGHPUT_PER_S)
+                throughputs[other.account.customer_id] = throughput
+        capped = [other for other in others if other.in_flight_cap > 1]
+        return min(
+            (other.in_flight_cap * SECOND / throughputs[other.account.customer_id] for other in capped),
+            default=inf,
+        )
+
+    def _demand(self, now: int, commitment: Commitment) -> Demand:
+        return commitment.demand(now, self.quota.quota_share(now, commitment.account))
--- /dev/null
+++ b/qos_gateway/decisions/admission/load_shedding.py
@@ -0,0 +1,50 @@
+"""Load shedding under the limit on all requests in flight, and its log line."""
+
+from __future__ import annotations
+
+from ...types import Action, LogLine
+from ..congestion.queue_model import QueueModel
+from ..requests.request_table import RequestTable
+from ..statistics.time_constants import LONG_MEMORY_NS
+from .priority_demand import PriorityDemand
+
+LOWEST_PRIORITY_FRACTION = 0.7  # part of the limit that requests of the lowest priority may fill
+CONGESTION_LOG_INTERVAL_NS = LONG_MEMORY_NS
+
+
+class LoadShedding:
+    """Sheds requests from the lowest priority up as the requests in flight approach the model's limit."""
+
+    def __init__(self, model: QueueModel, requests: RequestTable, demand: PriorityDemand) -> None:
+        self.model = model
+        self.requests = requests
+        self.demand = demand
+
+    def sheds(self, now: int, priority: float) -> bool:
+        """Return whether a request of this priority is shed."""
+        limit = self.model.concurrency_limit
+        in_flight = self.requests.working
+        if limit is None or in_flight < LOWEST_PRIORITY_FRACTION * limit:
+            return False
+        below = self.demand.fraction_below(now, priority)
+        return in_flight >= limit * (LOWEST_PRIORITY_FRACTION + (1.0 - LOWEST_PRIORITY_FRACTION) * below)
+
+
+class CongestionLog:
+    """Logs congestion at which requests of the lowest priority are shed, at most once an interval."""
+
+    def __init__(self, model: QueueModel, requests: RequestTable, now: int) -> None:
+        """Start so that a line may be logged at `now`."""
+        self.model = model
+        self.requests = requests
+        self._logged_at = now - CONGESTION_LOG_INTERVAL_NS
+
+    def lines(self, now: int) -> list[Action]:
+        """Return the log line that is due, if any."""
+        limit = self.model.concurrency_limit
+        in_flight = self.requests.in_flight
+        recently = now - self._logged_at < CONGESTION_LOG_INTERVAL_NS
+        if limit is None or in_flight < LOWEST_PRIORITY_FRACTION * limit or recently:
+            return []
+        self._logged_at = now
+        return [LogLine(f"congested in_flight={in_flight} limit={limit}")]
--- a/qos_gateway/decisions/admission/priority_demand.py
+++ b/qos_gateway/decisions/admission/priority_demand.py
@@ -1,4 +1,4 @@
-"""How much demand of which priority arrives, for load shedding from the lowest priority up."""
+"""Recent demand by priority."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 class PriorityDemand:
     """Recent arrival rate and mean priority of each kind of request, a kind being class and plan."""
 
-    def __init__(self, time_constant: int) -> None:
-        """`time_constant` (ns): how long arrivals are remembered."""
-        self._time_constant = time_constant
+    def __init__(self, time_constant_ns: int) -> None:
+        """Start without arrivals; `time_constant_ns` is that of the means."""
+        self._time_constant_ns = time_constant_ns
         self._by_kind: dict[tuple[int, int], DecayingMean] = {}
 
     def add(self, now: int, kind: tuple[int, int], priority: float) -> None:
         """Count one arrival."""
         mean = self._by_kind.get(kind)
         if mean is None:
-            mean = self._by_kind[kind] = DecayingMean(self._time_constant)
+            mean = self._by_kind[kind] = DecayingMean(self._time_constant_ns)
         mean.add(now, priority)
 
     def fraction_below(self, now: int, priority: float) -> float:
--- a/qos_gateway/decisions/engine.py
+++ b/qos_gateway/decisions/engine.py
@@ -1,38 +1,42 @@
-"""Every decision of a gateway: which requests are forwarded, to which endpoint, and which are rejected.
+"""The decision engine: the parts that decide, and the order in which they handle events and ticks.
 
 Read the package `types` first, for events and actions. The mechanism is a QoS broker's: a table of
 commitments, a closed queuing model and seven cases that grant each customer a cap on its requests in flight.
-The way of a request: `admission` (cap, limit, quota), `dispatch` (an endpoint by `load_balancer`, retries,
-its end), and at each tick `stalled_requests` and `commitments`.
+A request passes `admission` (cap, limit on all in flight, quota), then the dispatcher of `requests` (an
+endpoint by `load_balancing`, retries, its end). A tick checks what is open, refits the model, and evaluates
+commitments.
 """
 
 import random
 
 from ..types import events
-from ..types.actions import Action, LogLine, SetTimer, WatchEndpoints
+from ..types.actions import Action, SetTimer, WatchEndpoints
 from ..types.settings import Settings
 from ..units import SECOND
-from .admission.admission_controller import LOWEST_PRIORITY_FRACTION, AdmissionController
-from .admission.commitments import COMMITMENT_IDLE_TIME_NS, CommitmentTable
+from .admission.admission_controller import AdmissionController
+from .admission.commitment_table import CommitmentTable
+from .admission.load_shedding import CongestionLog
 from .congestion.queue_model import QueueModel
 from .load_balancing.load_balancer import LoadBalancer
 from .quota import create_quota
 from .requests import stalled_requests
 from .requests.dispatcher import Dispatcher
-from .statistics.time_constants import LONG_MEMORY_NS, TICK_INTERVAL_NS
+from .statistics.time_constants import TICK_INTERVAL_NS
 
-TICK_TIMER = 1  # token of the timer for the next tick ...
-LIST_RETRY_TIMER = 2  # ... and of the one for another call for the endpoint list
+# Tokens of the engine's timers.
+TICK_TIMER = 1
+LIST_RETRY_TIMER = 2  # for another request of the endpoint list
 LIST_RETRY_DELAY_NS = 1 * SECOND
-OUTGOING_FRACTION = 0.25  # of shared budgets during a handover: the old process only ends what it has
-INCOMING_FRACTION = 0.75  # ... and the rest, for the process that takes over
+# Parts of the shared budgets that the two processes of a handover keep.
+OUTGOING_FRACTION = 0.25  # the old process only finishes its open requests
+INCOMING_FRACTION = 0.75
 
 
 class DecisionEngine:
-    """One gateway's decisions: hand it every event in order and carry out the actions it returns."""
+    """One gateway's decisions: pass it every event in order, and carry out the actions that it returns."""
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
-        """Start with nothing known; `seed` is for all random draws, `now` in ns like all times."""
+        """Start without any endpoint or customer; `seed` is for all random draws, `now` in ns."""
         rng = random.Random(seed)
         self.settings = settings
         self.model = QueueModel(settings)
@@ -40,23 +44,28 @@
         self.load_balancer = LoadBalancer(settings, rng)
         self.dispatcher = Dispatcher(settings, self.model, self.load_balancer, self.quota)
         self.request_table = self.dispatcher.requests
-        self.commitments = CommitmentTable(self.model, self.quota)
-        self.admission = AdmissionController(self.dispatcher, self.commitments)
+        self.commitments = CommitmentTable(self.model, self.quota, now)
+        self.admission = AdmissionController(
+            settings, self.model, self.quota, self.dispatcher, self.commitments
+        )
+        self.congestion_log = CongestionLog(self.model, self.request_table, now)
         self.started = False
-        self.pruned_at = now
-        self.congestion_logged_at = now - LONG_MEMORY_NS
 
     def handle(self, now: int, event: events.Event) -> list[Action]:
-        """Take in one event; the actions take effect at `now`."""
+        """Handle one event; the actions take effect at `now`."""
         if self.started:
             return self._handle(now, event)
         self.started = True
-        first: list[Action] = [SetTimer(TICK_INTERVAL_NS, TICK_TIMER)]
+        return self._start() + self._handle(now, event)
+
+    def _start(self) -> list[Action]:
+        """Return the actions that precede those of the first event."""
+        actions: list[Action] = [SetTimer(TICK_INTERVAL_NS, TICK_TIMER)]
         if self.settings.polls_discovery:
-            first.append(WatchEndpoints(True))
-        return first + self._handle(now, event)
+            actions.append(WatchEndpoints(True))
+        return actions
 
-    def _handle(self, now: int, event: events.Event) -> list[Action]:  # noqa: C901 - one case an event
+    def _handle(self, now: int, event: events.Event) -> list[Action]:
         match event:
             case events.Arrival():
                 return self.admission.on_arrival(now, event)
@@ -65,45 +74,62 @@
             case events.ResponseStarted(request_id, _, attempt):
                 return self.dispatcher.response_started(request_id, attempt)
             case events.ClientDisconnected(request_id):
-                self.request_table.open.pop(request_id, None)
+                return self._client_disconnected(request_id)
             case events.TimerFired(token):
-                return self._tick(now) if token == TICK_TIMER else [WatchEndpoints(True)]
+                return self._timer_fired(now, token)
             case events.PeerMessage():
                 return self.admission.on_reply(now, self.quota.on_peer_message(now, event))
             case events.CounterReplied():
                 return self.admission.on_reply(now, self.quota.on_counter_reply(now, event))
             case events.Topology():
-                self.load_balancer.update_list(now, event)
-                if event.kind is events.ListKind.FAILED:
-                    return [SetTimer(LIST_RETRY_DELAY_NS, LIST_RETRY_TIMER)]
+                return self._endpoint_list_received(now, event)
             case events.SetEndpointEnabled(endpoint, enabled):
-                self.load_balancer.set_enabled(now, endpoint, enabled)
+                return self._endpoint_enabled(now, endpoint, enabled)
+        return []
+
+    def _client_disconnected(self, request_id: int) -> list[Action]:
+        """Close the request; its attempts run on, and their ends are still counted."""
+        self.request_table.open.pop(request_id, None)
+        return []
+
+    def _timer_fired(self, now: int, token: int) -> list[Action]:
+        return self._tick(now) if token == TICK_TIMER else [WatchEndpoints(True)]
+
+    def _endpoint_list_received(self, now: int, event: events.Topology) -> list[Action]:
+        """Update the endpoints; request the list again later where it could not be obtained."""
+        self.load_balancer.update_list(now, event)
+        if event.kind is events.ListKind.FAILED:
+            return [SetTimer(LIST_RETRY_DELAY_NS, LIST_RETRY_TIMER)]
+        return []
+
+    def _endpoint_enabled(self, now: int, endpoint: int, enabled: bool) -> list[Action]:
+        self.load_balancer.set_enabled(now, endpoint, enabled)
         return []
 
     def _tick(self, now: int) -> list[Action]:
-        """Look after all that is open, refit the model, and evaluate the commitments that are due."""
-        table = self.request_table
+        """Do the periodic work; the order of the steps, and of their actions, is part of the behaviour."""
         actions: list[Action] = [SetTimer(TICK_INTERVAL_NS, TICK_TIMER)]
         actions += self.admission.expire_reservations(now)
-        actions += self.quota.resend_releases(now, self.commitments.active.values())
+        actions += self._resend_releases(now)
         actions += stalled_requests.leave_unresponsive_zones(now, self.dispatcher)
-        outstanding = stalled_requests.outstanding_attempts(now, self.dispatcher)
-        table.presumed_lost = len(table.open) - len(self.admission.awaiting_reservation) - len(outstanding)
-        self.model.fit(now, table.working, outstanding)
+        self._fit_model(now)
         actions += stalled_requests.hedge(now, self.dispatcher)
         actions += stalled_requests.give_up_late(now, self.dispatcher)
         self.load_balancer.refresh(now)
         self.commitments.evaluate_due(now)
-        if now - self.pruned_at >= COMMITMENT_IDLE_TIME_NS:
-            self.pruned_at = now
-            self.quota.prune(now)
-        return actions + self.quota.gossip(now) + self._log_congestion(now)
-
-    def _log_congestion(self, now: int) -> list[Action]:
-        limit = self.model.concurrency_limit
-        in_flight = self.request_table.in_flight
-        recently = now - self.congestion_logged_at < LONG_MEMORY_NS
-        if limit is None or in_flight < LOWEST_PRIORITY_FRACTION * limit or recently:
-            return []
-        self.congestion_logged_at = now
-        return [LogLine(f"congested in_flight={in_flight} limit={limit}")]
+        self.commitments.prune_due(now)
+        actions += self.quota.gossip(now)
+        actions += self.congestion_log.lines(now)
+        return actions
+
+    def _resend_releases(self, now: int) -> list[Action]:
+        """Release in-flight slots of active customers that the counter still counts."""
+        active = self.commitments.active.values()
+        return self.quota.resend_releases(now, (commitment.account for commitment in active))
+
+    def _fit_model(self, now: int) -> None:
+        """Refit the queue model to the attempts without a response, except for those presumed lost."""
+        table = self.request_table
+        outstanding = stalled_requests.outstanding_attempts(now, self.dispatcher)
+        table.presumed_lost = len(table.open) - len(self.admission.awaiting_reservation) - len(outstanding)
+        self.model.fit(now, table.working, outstanding)
--- a/qos_gateway/decisions/quota/account.py
+++ b/qos_gateway/decisions/quota/account.py
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class CustomerAccount:
-    """A customer's commitment, its token buckets and their slices, and what was reported of it.
+    """A customer's token buckets and their slices, and what was reported of it.
 
     Times are in ns, amounts in units.
     """
@@ -48,23 +48,17 @@
     refilled_at: int
     last_request_at: int
     reported_at: int  # when owner or counter last reported the bucket's state
-    mean_in_flight: DecayingMean
     demand: DecayingMean  # units requested here
     grant_ratio: DecayingMean  # 1 for units granted, 0 for denied
     long_demand: DecayingMean  # units requested here, remembered longer than the demand
     usage: DecayingMean  # metered use as a fraction of the quota, weighted by the quota of its period
-    evaluated_at: int = NEVER
     in_flight_elsewhere_at: int = NEVER  # when the requests in flight elsewhere were last reported
     ceiling_tokens: float = 0.0  # of the ceiling's slice here
     local_tokens: float = 0.0  # of this gateway's slice of the quota
     peers: tuple[int, ...] = ()  # positions of the other gateways that serve the customer
     rank: int = 0  # of this gateway among those that serve the customer
     slice_count: int = 0  # gateways among which the quota is sliced; 0 where no request came here yet
-    in_flight_cap: int = 0
     in_flight: int = 0
-    priority_weight: float = 0.0
-    headroom: float = 0.0
-    latency_objective: int = 0
     spent_quarter_units: int = 0  # quarter units sent on inside the quota, since this gateway's start
     pending_gossip: int = 0  # messages that are still to repeat the running total
     peer_totals: dict[int, int] = field(default_factory=dict)  # last running total, by peer
@@ -97,7 +91,6 @@
             refilled_at=now,
             last_request_at=now,
             reported_at=NEVER,
-            mean_in_flight=DecayingMean(decay.short),
             demand=DecayingMean(decay.short),
             grant_ratio=DecayingMean(decay.longest),
             long_demand=DecayingMean(decay.long),
@@ -109,12 +102,6 @@
         """Gateways among which the quota is sliced, one at least."""
         return max(1, self.slice_count)
 
-    @property
-    def expected_in_flight(self) -> float:
-        """Requests in flight to expect: their mean, one at most where that is the cap."""
-        mean = self.mean_in_flight.value
-        return mean if self.in_flight_cap > 1 else min(1.0, mean)
-
     def observe(self, now: int, units: float) -> None:
         """Count a request that arrives here."""
         self.last_request_at = now
@@ -251,11 +238,3 @@
         """
         one = units * SECOND / memory
         return min(1.0, (self.plan.rate / self.slices + 2 * one) / (self.requested_rate(now) + one))
-
-
-@dataclass(slots=True)
-class Demand:
-    """What a customer's commitment asks for: the paper's Nreq, and its XMIN in requests per second."""
-
-    concurrency: int
-    throughput: float
--- a/qos_gateway/decisions/quota/quota_base.py
+++ b/qos_gateway/decisions/quota/quota_base.py
@@ -78,13 +78,16 @@
             self._slice(account, min(int(spread), gateways), int(first))
         return account
 
-    def prune(self, now: int) -> None:
-        """Drop the accounts of customers that send nothing: memory must not grow for ever."""
-        self.accounts = {
+    def prune(self, now: int) -> list[int]:
+        """Drop the accounts of customers that send nothing, and return the ids of these customers."""
+        kept = {
             customer: account
             for customer, account in self.accounts.items()
             if account.in_flight or now - account.last_request_at <= account.retention(self.tuning.retention)
         }
+        dropped = [customer for customer in self.accounts if customer not in kept]
+        self.accounts = kept
+        return dropped
 
     def _prepare(self, account: CustomerAccount) -> None:
         """Adapt a new account to the way of holding quotas."""
--- a/qos_gateway/decisions/requests/request_state.py
+++ b/qos_gateway/decisions/requests/request_state.py
@@ -27,7 +27,6 @@
     last_endpoint: int = 0
     expected_latency: int = 0  # mean latency of the class when the last attempt was sent
     hedge_after: int = 0  # age of the last attempt from which its response is unlikely to come
-    reservation_sent_at: int = 0
     holds_in_flight_slot: bool = False  # counted as in flight at the quota counter
 
     def attempt_sent(self, now: int, endpoint: Endpoint) -> None:
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -55,7 +55,7 @@
             if step % 5 == 0:
                 engine.handle(now, TimerFired(TICK_TIMER))
             request += 1
-        caps.append(sum(a.in_flight_cap for a in engine.quota.accounts.values()))
+        caps.append(sum(c.in_flight_cap for c in engine.commitments.by_customer.values()))
     assert caps[1] < caps[0]
 
 
@@ -80,9 +80,11 @@
     engine.handle(0, arrival(1, 0))
     engine.handle(600 * SECOND, TimerFired(TICK_TIMER))
     assert 1 in engine.quota.accounts
+    assert 1 in engine.commitments.by_customer
     engine.handle(600 * SECOND, ended(1, 1))
     engine.handle(611 * SECOND, TimerFired(TICK_TIMER))
     assert 1 not in engine.quota.accounts
+    assert 1 not in engine.commitments.by_customer
 
 
 def test_restarted_gateway_sheds_low_priority_first_without_any_response() -> None:
--- a/tests/decisions/test_queue_model.py
+++ b/tests/decisions/test_queue_model.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from qos_gateway.decisions.admission.commitments import Goal, seven_cases
+from qos_gateway.decisions.admission.seven_cases import Goal, seven_cases
 from qos_gateway.decisions.congestion.mean_value_analysis import response_times
 from qos_gateway.decisions.congestion.outstanding_attempt import OutstandingAttempt
 from qos_gateway.decisions.congestion.queue_model import QueueModel
--- a/tests/decisions/test_quota_by_owner.py
+++ b/tests/decisions/test_quota_by_owner.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from qos_gateway.decisions.admission.admission_controller import RESERVATION_TIMEOUT_NS
+from qos_gateway.decisions.admission.held_reservations import RESERVATION_TIMEOUT_NS
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
 from qos_gateway.decisions.quota.peer_messages import (
     Reservation,
