--- a/tests/test_source_limits.py
+++ b/tests/test_source_limits.py
@@ -13,6 +13,10 @@
 DECISIONS = PACKAGE / "decisions"
 # What carries decisions out may import them; all else in the package is what they rest on.
 ADAPTERS = (PACKAGE / "server", PACKAGE / "simulator", PACKAGE / "__main__.py")
+# What admission may import of the decisions: itself and what is below it. Only what composes the engine, or
+# transfers its state, may import admission.
+BELOW_ADMISSION = ("statistics", "congestion", "load_balancing", "quota", "requests")
+ABOVE_ADMISSION = {DECISIONS / "engine.py", DECISIONS / "handover.py"}
 # Numbers that are no one's choice.
 CONSTANTS_OF_UNITS = {"units.py": {"MILLISECOND", "SECOND"}}
 # What decisions may import of the standard library: no I/O, no clock, no threads or processes.
@@ -87,6 +91,22 @@
     assert {name.split(".")[0] for name in imported - inside} - PURE_MODULES == set()
 
 
+def imports_from_decisions(path: Path) -> list[list[str]]:
+    """The parts of each name that a module imports from the decisions, after the decisions' own."""
+    prefix = "qos_gateway.decisions"
+    names = [name for name in imported_modules(path) if f"{name}.".startswith(f"{prefix}.")]
+    return [name.removeprefix(prefix).lstrip(".").split(".") for name in names]
+
+
+@pytest.mark.parametrize("path", decision_files(), ids=lambda path: path.relative_to(PACKAGE).as_posix())
+def test_admission_imports_lower_packages_only_and_is_imported_by_the_engine_only(path: Path) -> None:
+    imported = {parts[0] for parts in imports_from_decisions(path)}
+    if path.is_relative_to(DECISIONS / "admission"):
+        assert imported <= {*BELOW_ADMISSION, "admission"}
+    elif path not in ABOVE_ADMISSION:
+        assert "admission" not in imported
+
+
 def numeric_constants(path: Path) -> set[str]:
     """Names that a module or class binds to a number, or to an expression of numbers alone."""
     found = set()
