--- a/qos_gateway/decisions/snapshot.py
+++ b/qos_gateway/decisions/snapshot.py
@@ -1,7 +1,7 @@
-"""What one process hands over to the next: typed snapshots of the engine's state, and their JSON form.
+"""Typed snapshots of the decision engine's state for the next process of the gateway, and their JSON form.
 
-The form is read and written by processes of different versions: its keys, and the order of the values in its
-rows, must not change.
+Processes of different versions write and read the form: its keys, and the order of the values in its rows,
+must not change. A row holds the fields of its class in the order of the class. Times are in ns.
 """
 
 from __future__ import annotations
@@ -11,16 +11,27 @@
 
 from .statistics.decaying_mean import DecayingMean
 
-JsonObject = dict[str, Any]  # decoded JSON, of which nothing is known yet
+JsonObject = dict[str, Any]  # decoded JSON, not yet checked
+
+# The stored name of each field of `EngineSnapshot`: the only place that maps one to the other.
+ACCOUNTS_KEY = "accounts"
+ENDPOINTS_KEY = "servers"
+ADMIN_DISABLED_KEY = "banned"
+WARM_COMPLETIONS_KEY = "sends"
+LATENCY_KEY = "latency"
+BASELINE_LATENCY_KEY = "shortest"
+CALL_RATE_KEY = "pace"
+RETRY_TOKENS_KEY = "retries"
+LEASE_FRACTIONS_KEY = "leases"  # versions without leases neither write nor read it
 
 
 class SnapshotFormatError(ValueError):
-    """A snapshot that cannot be read, or does not fit the settings of this process."""
+    """A snapshot is unreadable, or does not fit the settings of this process."""
 
 
 @dataclass(frozen=True, slots=True)
 class MeanSnapshot:
-    """A decaying mean at the time of the handover."""
+    """The state of a decaying mean."""
 
     updated_at: int
     time_constant: int
@@ -29,17 +40,17 @@
 
     @classmethod
     def of(cls, mean: DecayingMean) -> MeanSnapshot:
-        """Copy a mean."""
+        """Return the state of a mean."""
         return cls(mean.updated_at, mean.time_constant, mean.weighted_sum, mean.weight)
 
     def to_mean(self) -> DecayingMean:
-        """Build the mean again."""
+        """Return a mean with this state."""
         mean = DecayingMean(self.time_constant)
         self.copy_to(mean)
         return mean
 
     def copy_to(self, mean: DecayingMean) -> None:
-        """Give another mean the same samples."""
+        """Replace the state of a mean by this one."""
         mean.updated_at = self.updated_at
         mean.time_constant = self.time_constant
         mean.weighted_sum = self.weighted_sum
@@ -48,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AccountSnapshot:
-    """A customer's buckets, and what the owner or the counter last reported of them."""
+    """A customer's buckets, and the last report of the owner or the counter on them."""
 
     customer_id: int
     plan_index: int
@@ -65,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointSnapshot:
-    """An endpoint as the old process saw it; it may have been restarted since."""
+    """An endpoint as the old process observed it; it may have been restarted since."""
 
     endpoint: int
     started_at: int
@@ -80,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSnapshot:
-    """All that the next process must know of the decision engine's state."""
+    """The state of the decision engine that the next process restores."""
 
     accounts: tuple[AccountSnapshot, ...]
     endpoints: tuple[EndpointSnapshot, ...]
@@ -96,36 +107,38 @@
 def encode_snapshot(snapshot: EngineSnapshot) -> JsonObject:
     """Return the JSON form of a snapshot."""
     return {
-        "accounts": [_encode_account(account) for account in snapshot.accounts],
-        "servers": [_encode_endpoint(endpoint) for endpoint in snapshot.endpoints],
-        "banned": sorted(snapshot.admin_disabled.items()),
-        "sends": _encode_mean(snapshot.warm_completions),
-        "latency": [_encode_mean(mean) for mean in snapshot.latency],
-        "shortest": list(snapshot.baseline_latency),
-        "pace": snapshot.call_rate,
-        "retries": snapshot.retry_tokens,
-        "leases": [
+        ACCOUNTS_KEY: [_encode_account(account) for account in snapshot.accounts],
+        ENDPOINTS_KEY: [_encode_endpoint(endpoint) for endpoint in snapshot.endpoints],
+        ADMIN_DISABLED_KEY: sorted(snapshot.admin_disabled.items()),
+        WARM_COMPLETIONS_KEY: _encode_mean(snapshot.warm_completions),
+        LATENCY_KEY: [_encode_mean(mean) for mean in snapshot.latency],
+        BASELINE_LATENCY_KEY: list(snapshot.baseline_latency),
+        CALL_RATE_KEY: snapshot.call_rate,
+        RETRY_TOKENS_KEY: snapshot.retry_tokens,
+        LEASE_FRACTIONS_KEY: [
             [customer, sorted(fractions.items())] for customer, fractions in snapshot.lease_fractions.items()
         ],
     }
 
 
 def decode_snapshot(raw: JsonObject, plan_count: int, class_count: int) -> EngineSnapshot:
-    """Read a snapshot; raises `SnapshotFormatError` where it does not fit so many plans and classes."""
+    """Return the snapshot of a JSON form.
+
+    Raises `SnapshotFormatError` where it is unreadable, or does not fit the numbers of plans and classes.
+    """
     try:
         snapshot = EngineSnapshot(
-            accounts=tuple(_decode_account(row) for row in raw["accounts"]),
-            endpoints=tuple(_decode_endpoint(row) for row in raw["servers"]),
-            admin_disabled={int(endpoint): int(since) for endpoint, since in raw["banned"]},
-            warm_completions=_decode_mean(raw["sends"]),
-            latency=tuple(_decode_mean(row) for row in raw["latency"]),
-            baseline_latency=tuple(float(latency) for latency in raw["shortest"]),
-            call_rate=float(raw["pace"]),
-            retry_tokens=float(raw["retries"]),
-            # Versions without leases neither write nor read them.
+            accounts=tuple(_decode_account(row) for row in raw[ACCOUNTS_KEY]),
+            endpoints=tuple(_decode_endpoint(row) for row in raw[ENDPOINTS_KEY]),
+            admin_disabled={int(endpoint): int(since) for endpoint, since in raw[ADMIN_DISABLED_KEY]},
+            warm_completions=_decode_mean(raw[WARM_COMPLETIONS_KEY]),
+            latency=tuple(_decode_mean(row) for row in raw[LATENCY_KEY]),
+            baseline_latency=tuple(float(latency) for latency in raw[BASELINE_LATENCY_KEY]),
+            call_rate=float(raw[CALL_RATE_KEY]),
+            retry_tokens=float(raw[RETRY_TOKENS_KEY]),
             lease_fractions={
                 int(customer): {int(term): float(fraction) for term, fraction in fractions}
-                for customer, fractions in raw.get("leases", [])
+                for customer, fractions in raw.get(LEASE_FRACTIONS_KEY, [])
             },
         )
     except (AttributeError, KeyError, TypeError, ValueError, OverflowError) as error:
@@ -135,6 +148,7 @@
 
 
 def _check_against_settings(snapshot: EngineSnapshot, plan_count: int, class_count: int) -> None:
+    """Raise `SnapshotFormatError` where a plan or a class is missing in the settings, or in the snapshot."""
     for account in snapshot.accounts:
         if not 0 <= account.plan_index < plan_count:
             raise SnapshotFormatError(
--- a/tests/decisions/test_engine.py
+++ b/tests/decisions/test_engine.py
@@ -45,6 +45,7 @@
         )
     assert max(sizes[120:]) <= max(sizes[60:120])
     assert sizes[-1][1] <= 6
+    assert engine.commitments.by_customer.keys() <= engine.quota.accounts.keys()
     assert not engine.request_table.open
     assert not engine.request_table.attempts
     assert engine.request_table.in_flight == 0
