--- a/qos_gateway/decisions/quota/account/account_table.py
+++ b/qos_gateway/decisions/quota/account/account_table.py
@@ -8,15 +8,17 @@
 class AccountTable(dict[int, CustomerAccount]):
     """Accounts by customer id, in the order of their creation."""
 
-    def prune(self, now: int) -> None:
-        """Remove the accounts of inactive customers, so that memory is bounded."""
+    def prune(self, now: int) -> list[int]:
+        """Remove the accounts of inactive customers, and return the ids of these customers."""
         kept = {
             customer: account
             for customer, account in self.items()
             if account.in_flight or now - account.last_request_at <= account.retention()
         }
+        removed = [customer for customer in self if customer not in kept]
         self.clear()
         self.update(kept)
+        return removed
 
     def capture_leases(self) -> dict[int, dict[int, float]]:
         """Return the leased fractions by customer and term; at a handover both processes hold them."""
--- a/qos_gateway/decisions/quota/account/customer_account.py
+++ b/qos_gateway/decisions/quota/account/customer_account.py
@@ -7,9 +7,8 @@
 from ....types import Plan
 from ....units import SECOND
 from ...snapshot import AccountSnapshot, MeanSnapshot
-from ...statistics.decaying_mean import DecayingMean
-from ...statistics.time_constants import LONG_MEMORY_NS, SHORT_MEMORY_NS
-from .bucket_reports import NEVER, BucketReports
+from ...statistics.time_constants import LONG_MEMORY_NS
+from .bucket_reports import BucketReports
 from .counter_calls import CounterCalls
 from .customer_buckets import CustomerBuckets
 from .customer_demand import CustomerDemand
@@ -25,20 +24,14 @@
 
 @dataclass(slots=True)
 class CustomerAccount:
-    """A customer's commitment, and its parts by concern. Times are in ns, amounts in units."""
+    """One customer, with its parts by concern. Times are in ns, amounts in units."""
 
     customer_id: int
     plan: Plan
     plan_index: int
     last_request_at: int
-    mean_in_flight: DecayingMean
     buckets: CustomerBuckets
-    evaluated_at: int = NEVER
-    in_flight_cap: int = 0
     in_flight: int = 0
-    priority_weight: float = 0.0
-    headroom: float = 0.0
-    latency_objective: int = 0
     demand: CustomerDemand = field(default_factory=CustomerDemand)
     usage: MeteredUsage = field(default_factory=MeteredUsage)
     reports: BucketReports = field(default_factory=BucketReports)
@@ -56,16 +49,9 @@
             plan=plan,
             plan_index=plan_index,
             last_request_at=now,
-            mean_in_flight=DecayingMean(SHORT_MEMORY_NS),
             buckets=CustomerBuckets(plan, tokens=plan.burst, refilled_at=refilled_at),
         )
 
-    @property
-    def expected_in_flight(self) -> float:
-        """Requests in flight to expect: their mean, one at most where that is the cap."""
-        mean = self.mean_in_flight.value
-        return mean if self.in_flight_cap > 1 else min(1.0, mean)
-
     def observe(self, now: int, units: float) -> None:
         """Count a request that arrives here."""
         self.last_request_at = now
@@ -184,11 +170,3 @@
         self.demand.restore(captured.long_demand.to_mean())
         self.reports.restore(captured.reported_at, captured.grant_ratio.to_mean())
         self.reports.record_in_flight(now, captured.in_flight)
-
-
-@dataclass(slots=True)
-class Demand:
-    """What a customer's commitment asks for: the paper's Nreq, and its XMIN in requests per second."""
-
-    concurrency: int
-    throughput: float
--- a/qos_gateway/decisions/quota/quota.py
+++ b/qos_gateway/decisions/quota/quota.py
@@ -74,9 +74,9 @@
             self._slice(account, min(int(spread), self.settings.gateway_count), int(first))
         return account
 
-    def prune(self, now: int) -> None:
-        """Remove the accounts of inactive customers, so that memory is bounded."""
-        self.accounts.prune(now)
+    def prune(self, now: int) -> list[int]:
+        """Remove the accounts of inactive customers, and return the ids of these customers."""
+        return self.accounts.prune(now)
 
     def _prepare(self, account: CustomerAccount) -> None:
         """Adapt a new account to the strategy."""
