--- a/qos_gateway/types/__init__.py
+++ b/qos_gateway/types/__init__.py
@@ -1,7 +1,7 @@
 """Types that pass between a gateway and its decision engine: settings, events and actions.
 
-All of them are immutable, and nothing here decides anything. Times are integer nanoseconds on any clock that
-never goes backwards.
+All classes are immutable and hold no decisions. Times are integer nanoseconds on a clock that never goes
+backwards.
 """
 
 from .actions import (
--- a/qos_gateway/types/actions.py
+++ b/qos_gateway/types/actions.py
@@ -1,4 +1,4 @@
-"""Actions that a decision engine asks its gateway to carry out. Times are integer nanoseconds."""
+"""Actions that a decision engine requests from its gateway. Times and durations are integer nanoseconds."""
 
 from __future__ import annotations
 
@@ -8,44 +8,44 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start an attempt."""
+    """Start an attempt of a request at an endpoint. Times and durations are in ns."""
 
     request_id: int
     endpoint: int
-    timeout: int  # 0: until the client gives up
-    send_deadline: int = 0  # from when on it must not be written any more, however late a connection; 0: none
+    timeout: int  # duration after which the attempt ends; 0: none before the request's deadline
+    send_deadline: int = 0  # time from which the attempt must not be written to a connection; 0: none
 
 
 class RejectReason(Enum):
-    """Why a request was rejected; the values are parts of the metrics' names."""
+    """Reason for the rejection of a request; the values are parts of metric names."""
 
     UNSPECIFIED = "unspecified"
-    CUSTOMER_CAP = "customer_cap"  # the customer's cap on requests in flight
-    LOAD_LIMIT = "load_limit"  # the limit on all requests in flight
-    QUOTA = "quota"
-    NO_ENDPOINT = "no_endpoint"  # none may be used, or no time is left
-    NO_RETRY = "no_retry"  # no attempt executed, and no further one is possible
+    CUSTOMER_CAP = "customer_cap"  # the customer's limit on requests in flight is reached
+    LOAD_LIMIT = "load_limit"  # the limit on all requests in flight is reached
+    QUOTA = "quota"  # the customer's quota is used up
+    NO_ENDPOINT = "no_endpoint"  # no endpoint is usable, or the deadline is too close
+    NO_RETRY = "no_retry"  # no attempt executed, and no retry is possible
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Give the final answer: rejected, a retry by the client is harmless."""
+    """Reject a request that was never executed; the client may retry it."""
 
     request_id: int
-    retry_after: int
+    retry_after: int  # delay in ns after which the client may retry
     reason: RejectReason = field(default=RejectReason.UNSPECIFIED, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Give the final answer: failed, the request may have executed."""
+    """Fail a request that may have executed."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for one attempt."""
+    """Cancel one attempt in flight."""
 
     request_id: int
     attempt: int
@@ -53,15 +53,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `TimerFired` after a delay."""
+    """Start a timer that fires a `TimerFired` with the same token."""
 
-    delay: int
+    delay: int  # ns
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask an endpoint for its load."""
+    """Request an endpoint's load report; a `ProbeEnded` follows."""
 
     endpoint: int
 
@@ -75,36 +75,36 @@
 
 @dataclass(frozen=True, slots=True)
 class SendPeerMessage:
-    """Send up to 256 bytes to one peer, or to all."""
+    """Send a message of at most 256 bytes to another gateway."""
 
-    recipient: int | None  # None: all
+    recipient: int | None  # index of the gateway; None: all gateways
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class AddToCounter:
-    """Add to a number that all gateways share, and get its total."""
+    """Add to a shared counter; a `CounterReplied` with its total follows."""
 
     key: int
-    time_to_live: int
+    time_to_live: int  # ns after which the counter drops the key
     amount: float
 
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Subscribe to the endpoint list, or stop."""
+    """Start or stop the watch on the endpoint list."""
 
     enabled: bool
 
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpoints:
-    """Ask for the whole endpoint list once."""
+    """Fetch the full endpoint list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """Write a line for the operators."""
+    """Write a line to the log."""
 
     text: str
 
--- a/qos_gateway/types/events.py
+++ b/qos_gateway/types/events.py
@@ -1,4 +1,4 @@
-"""Events that a gateway hands to its decision engine. Times are integer nanoseconds."""
+"""Events that a gateway passes to its decision engine. Times and durations are integer nanoseconds."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt, a probe or a call to the counter ended."""
+    """Outcome of an attempt, a probe or a call to the counter."""
 
     ERROR = 0
     OK = 1
-    OVERLOADED = 2  # rejected by the endpoint, before any work
+    OVERLOADED = 2  # rejected by the endpoint before execution
     TIMEOUT = 3
     CONNECT_FAILED = 4
     RESET = 5
@@ -19,20 +19,21 @@
     NOT_SENT = 7
 
 
+# Outcomes after which the request has certainly not executed.
 NOT_EXECUTED = frozenset({Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
 
 
 class ListKind(IntEnum):
-    """What an event on the endpoint list holds."""
+    """Content of an update of the endpoint list."""
 
-    DELTA = 0  # changes
-    FULL = 1  # the whole list
-    CACHED = 2  # the whole list as it was known at some time before
-    FAILED = 3  # nothing: the call failed
+    DELTA = 0  # entries that changed
+    FULL = 1  # all entries
+    CACHED = 2  # all entries as of an earlier time
+    FAILED = 3  # no entries, because the call failed
 
 
 class Health(IntEnum):
-    """An endpoint's state in the list."""
+    """State of an endpoint as discovery publishes it."""
 
     REMOVED = 0
     READY = 1
@@ -41,20 +42,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Endpoint:
-    """One entry of the endpoint list."""
+    """Entry of the endpoint list. Times are in ns."""
 
     id: int
-    zone: int
-    machine_class: int
-    cell: int  # endpoints that share idempotency keys
+    zone: int  # index of the zone's name in the configuration
+    machine_class: int  # index of the machine class's name in the configuration
+    cell: int  # endpoints of one cell share idempotency keys
     health: Health
-    weight: float
-    started_at: int  # 0: a long time ago
+    weight: float  # capacity relative to other endpoints
+    started_at: int  # time of the endpoint's start; 0: unknown, and treated as long ago
 
 
 @dataclass(frozen=True, slots=True)
 class Topology:
-    """The endpoint list, or changes of it, from discovery."""
+    """Update of the endpoint list from discovery."""
 
     kind: ListKind
     version: int
@@ -63,94 +64,94 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Arrival:
-    """A client's request; exactly one final answer is owed before the deadline."""
+    """Request of a client; it gets exactly one final response before its deadline. Times are in ns."""
 
     request_id: int
-    class_index: int
-    plan_index: int
+    class_index: int  # index in `Settings.classes`
+    plan_index: int  # index in `Settings.plans`
     customer_id: int
-    deadline: int
-    units: float  # of the quota
-    gateway_spread: int  # gateways that get the customer's requests ...
-    first_gateway: int  # ... and the position of the first; the others follow it
-    options: int  # flags; 2: the client's own retry
+    deadline: int  # time of the final response at the latest
+    units: float  # quota units that the request uses
+    gateway_spread: int  # number of consecutive gateways that receive the customer's requests
+    first_gateway: int  # position of the first of these gateways
+    options: int  # bit flags; 2: the request is a retry by the client
 
     @property
     def kind(self) -> tuple[int, int]:
-        """Return class and plan, by which endpoints may treat requests differently."""
+        """Return the indexes of class and plan; endpoints may treat each pair differently."""
         return self.class_index, self.plan_index
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """A streamed response has started."""
+    """Start of a streamed response. Durations are in ns."""
 
     request_id: int
-    elapsed: int
+    elapsed: int  # duration since the start of the attempt
     attempt: int
     endpoint: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AttemptEnded:
-    """How one attempt ended."""
+    """End of one attempt. Durations are in ns."""
 
     request_id: int
-    request_finished: bool  # the client has its final answer, or left
-    actual_units: int  # that took the place of an estimate; 0 where none is told
+    request_finished: bool  # the client has its final response, or has disconnected
+    actual_units: int  # quota units that replace the estimate of the arrival; 0: not reported
     endpoint: int
-    quota_usage: int  # 1 + the customer's use in percent of its rate, by the meter; 0: none told
+    quota_usage: int  # 1 + percent of the customer's quota rate that the meter measured; 0: not reported
     outcome: Outcome
-    elapsed: int
-    attempt: int
-    load_report: tuple[float, ...]
+    elapsed: int  # duration of the attempt
+    attempt: int  # index of the attempt within its request, from 0
+    load_report: tuple[float, ...]  # values in the order of `Settings.report_names`; empty: not reported
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client is gone; no answer is owed any more."""
+    """Disconnection of a client; its request needs no response."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer asked for with `SetTimer`."""
+    """Expiry of a timer that `SetTimer` started."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
-    """What one `Probe` found."""
+    """End of one `Probe`. Durations are in ns."""
 
     outcome: Outcome
     endpoint: int
-    elapsed: int
-    load_report: tuple[float, ...]
+    elapsed: int  # duration of the probe
+    load_report: tuple[float, ...]  # values in the order of `Settings.report_names`; empty: not reported
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message from another gateway."""
+    """Message from another gateway."""
 
-    sender: int
+    sender: int  # index of the gateway
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class CounterReplied:
-    """The answer to one `AddToCounter`."""
+    """Result of one `AddToCounter`. Durations are in ns."""
 
-    elapsed: int
+    elapsed: int  # duration of the call
     outcome: Outcome
     key: int
-    total: float
+    total: float  # of the key after the addition; valid only if the outcome is OK
 
 
 @dataclass(frozen=True, slots=True)
 class SetEndpointEnabled:
-    """An operator's order: send an endpoint nothing, whatever the list says, or use it again."""
+    """Call of an operator that disables an endpoint, whatever the list says, or enables it again."""
 
     endpoint: int
     enabled: bool
--- a/qos_gateway/types/settings.py
+++ b/qos_gateway/types/settings.py
@@ -1,4 +1,4 @@
-"""What a gateway is told at its start. Durations are integer nanoseconds."""
+"""Settings that a gateway receives at its start. Durations are integer nanoseconds."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 
 class Idempotence(Enum):
-    """What a class of requests allows once an attempt may have executed."""
+    """Retries that a request class allows once an attempt may have executed."""
 
     IDEMPOTENT = "free"  # any retry
-    KEYED = "guarded"  # retries that reach an endpoint where the idempotency key is known
-    NOT_IDEMPOTENT = "single_shot"  # none
+    KEYED = "guarded"  # retries at endpoints that know the idempotency key
+    NOT_IDEMPOTENT = "single_shot"  # no retry
 
 
 class IdempotencyScope(Enum):
-    """Which endpoints know an idempotency key that one of them has seen."""
+    """Endpoints that share the idempotency keys which one of them has seen."""
 
     ALL = "all"
     ZONE = "zone"
@@ -24,67 +24,67 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RequestClass:
-    """One class of request."""
+    """Class of requests. Durations are in ns."""
 
     name: str
-    latency_objective: int  # a response within it has its full value
-    deadline: int  # for which the client waits, over all its attempts
-    priority_weight: float  # value of a response
-    late_priority_weight: float  # part of it that a response has after the objective
+    latency_objective: int  # latency up to which a response has its full value
+    deadline: int  # longest time from a request's arrival to its final response
+    priority_weight: float  # value of a response within the objective
+    late_priority_weight: float  # value of a later response, as a fraction of `priority_weight`
     idempotence: Idempotence
     idempotency_scope: IdempotencyScope
-    idempotency_window: int  # for which an idempotency key is known, from its first attempt on
+    idempotency_window: int  # duration for which endpoints know a key after its first attempt
 
     @property
     def is_repeatable(self) -> bool:
-        """Tell whether a request may be sent again, somewhere, though it may have executed."""
+        """Return whether a request may be retried at any endpoint after it may have executed."""
         return self.idempotence is not Idempotence.NOT_IDEMPOTENT
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Plan:
-    """Quota of each customer of one plan, over all gateways; 0 means no such limit."""
+    """Quota of each customer of one plan over all gateways; 0 means that a limit does not exist."""
 
     name: str
-    rate: float  # units per second
-    burst: float  # units that may be saved up
-    max_in_flight: int  # attempts at once
-    weight_factor: float  # of the priority weight of its requests
-    excess_weight: float  # what a request beyond the quota is worth ...
-    excess_cost: float  # ... and what it costs, both as parts of its weight
-    ceiling_rate: float  # units per second that are never to be passed ...
-    ceiling_burst: float  # ... with units that may be saved up ...
-    ceiling_slack: float  # ... and the units by which all gateways together may err
+    rate: float  # units per second of the quota
+    burst: float  # units that the quota accumulates at most
+    max_in_flight: int  # attempts in flight at the same time
+    weight_factor: float  # factor on the priority weight of the plan's requests
+    excess_weight: float  # value of a request beyond the quota, as a fraction of its weight
+    excess_cost: float  # cost of a request beyond the quota, as a fraction of its weight
+    ceiling_rate: float  # units per second of the hard ceiling
+    ceiling_burst: float  # units that the hard ceiling accumulates at most
+    ceiling_slack: float  # units by which all gateways together may exceed the hard ceiling
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Settings:
-    """All that decisions depend on and that does not change while the gateway runs."""
+    """Input of all decisions that does not change while the gateway runs. Durations are in ns."""
 
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
-    zone: int  # this gateway's
-    position: int  # this gateway's index among all, from 0 on
+    zone: int  # index of this gateway's zone
+    position: int  # index of this gateway among all gateways, from 0
     gateway_count: int
-    report_names: tuple[str, ...]  # values of a load report
-    max_attempts: int  # per request
+    report_names: tuple[str, ...]  # names of the values of a load report, in their order
+    max_attempts: int  # attempts per request
     hedging: bool  # whether a request may have two attempts in flight
-    may_cancel: bool
-    may_probe: bool
-    may_message: bool  # whether gateways may send each other messages
-    sends_retry_after: bool
-    max_retry_after: int  # the longest that clients heed
-    has_counter: bool  # whether there is a quota counter
-    usage_period: int  # over which the meter sums up the use of a quota; 0: there is no meter
-    largest_request_units: float
-    messages_per_s: float  # that a gateway takes from its peers
-    settles_actual_units: bool  # whether units are an estimate until the response tells them
-    polls_discovery: bool  # whether changes of the endpoint list have to be asked for
-    poll_deadline: int  # within which they must be
-    drain_grace: int  # for which a draining endpoint still serves
-    overload_window: int  # over which an endpoint in slow start bears ...
-    overload_multiple: float  # ... so many times its capacity
-    initial_capacity_fraction: float  # of an endpoint that has just started
-    slow_start_window: int  # until it has all of its capacity
-    cross_zone_cost: float  # of an attempt in another zone, as a part of a request
-    lease_term: int = 0  # for which parts of quotas are leased; 0: each request is counted
+    may_cancel: bool  # whether attempts may be cancelled
+    may_probe: bool  # whether endpoints may be probed
+    may_message: bool  # whether gateways may send messages to each other
+    sends_retry_after: bool  # whether a rejection carries a delay for the client's retry
+    max_retry_after: int  # longest such delay that clients follow
+    has_counter: bool  # whether the gateways share a quota counter
+    usage_period: int  # period over which the meter measures the usage of a quota; 0: no meter
+    largest_request_units: float  # units of the largest request
+    messages_per_s: float  # messages per second that a gateway accepts from its peers
+    settles_actual_units: bool  # whether a request's units are an estimate until its response
+    polls_discovery: bool  # whether the endpoint list is fetched rather than watched
+    poll_deadline: int  # longest time between two fetches of the endpoint list
+    drain_grace: int  # duration for which a draining endpoint still serves
+    overload_window: int  # duration of overload that makes an endpoint in slow start collapse
+    overload_multiple: float  # load above this multiple of its current capacity is overload
+    initial_capacity_fraction: float  # capacity of an endpoint at its start, as a fraction of its full one
+    slow_start_window: int  # duration from an endpoint's start to its full capacity
+    cross_zone_cost: float  # cost of an attempt in another zone, as a fraction of a request
+    lease_term: int = 0  # term for which parts of quotas are leased; 0: each request is counted
