--- a/qos_gateway/simulator/decoder.py
+++ b/qos_gateway/simulator/decoder.py
@@ -1,4 +1,4 @@
-"""Batches of the simulator's wire as events."""
+"""Decode batches of the simulator's wire into events."""
 
 from __future__ import annotations
 
@@ -25,81 +25,106 @@
 )
 from .protocol import ProtocolError, RequestCode, StartInstance, StopInstance
 
-_CLOCK = struct.Struct("<Q")
-_RECORD_CODE = struct.Struct("<H")
-_INSTANCE = struct.Struct("<I")
-_START = struct.Struct("<QI")
-_TOPOLOGY = struct.Struct("<BQI")
+
+@dataclass(frozen=True, slots=True)
+class _Layout:
+    """Fixed part of a record, with the record's name on the wire for error messages."""
+
+    name: str
+    fields: struct.Struct
+
+
+_CLOCK = _Layout("header", struct.Struct("<Q"))
+_RECORD_CODE = _Layout("record code", struct.Struct("<H"))
+_INSTANCE = _Layout("select", struct.Struct("<I"))
+_START = _Layout("up", struct.Struct("<QI"))
+_TOPOLOGY = _Layout("topology", struct.Struct("<BQI"))
 _ENDPOINT = struct.Struct("<IBBHBfQ")
-_ARRIVAL = struct.Struct("<QBIQQfffB")
-_RESPONSE_STARTED = struct.Struct("<QQHI")
-_ATTEMPT_ENDED = struct.Struct("<QBHIHHQHB")
-_CLIENT_DISCONNECTED = struct.Struct("<Q")
-_TIMER_FIRED = struct.Struct("<I")
-_PROBE_ENDED = struct.Struct("<HIQB")
-_PEER_MESSAGE = struct.Struct("<IH")
-_COUNTER_REPLIED = struct.Struct("<QHQf")
+_ARRIVAL = _Layout("inbound", struct.Struct("<QBIQQfffB"))
+_RESPONSE_STARTED = _Layout("begun", struct.Struct("<QQHI"))
+_ATTEMPT_ENDED = _Layout("reply", struct.Struct("<QBHIHHQHB"))
+_CLIENT_DISCONNECTED = _Layout("client_left", struct.Struct("<Q"))
+_TIMER_FIRED = _Layout("elapsed", struct.Struct("<I"))
+_PROBE_ENDED = _Layout("status_back", struct.Struct("<HIQB"))
+_PEER_MESSAGE = _Layout("mail", struct.Struct("<IH"))
+_COUNTER_REPLIED = _Layout("counter_reply", struct.Struct("<QHQf"))
 
 InstanceEvent = Event | StartInstance | StopInstance
 
 
+@dataclass(frozen=True, slots=True)
+class AddressedEvent:
+    """Event and the number of the instance that handles it."""
+
+    instance: int
+    event: InstanceEvent
+
+
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """The records that take effect at one time of the simulator's clock (ns)."""
+    """Records that take effect at one time of the simulator's clock."""
 
-    now: int
-    events: list[tuple[int, InstanceEvent]]  # with the instance that each is for
+    now: int  # ns
+    events: list[AddressedEvent]
 
 
-class _Reader:
-    """Walks over one batch; every read is checked against the end."""
+class _BatchReader:
+    """Read the fields of one batch in order; a read past its end raises ProtocolError."""
 
     def __init__(self, data: bytes, base: int) -> None:
         self.data = data
-        self.base = base  # of the batch in the whole input, for error messages
-        self.at = 0
-
-    def take(self, layout: struct.Struct, what: str) -> tuple[Any, ...]:
-        if self.at + layout.size > len(self.data):
-            raise ProtocolError(f"frame ends inside {what} at byte {self.base + self.at}")
-        values = layout.unpack_from(self.data, self.at)
-        self.at += layout.size
+        self.base = base  # offset of the batch in the input, for error messages
+        self.offset = 0  # of the next field in the batch
+
+    def take(self, layout: _Layout) -> tuple[Any, ...]:
+        fields = layout.fields
+        if self.offset + fields.size > len(self.data):
+            raise ProtocolError(f"frame ends inside {layout.name} at byte {self.base + self.offset}")
+        values = fields.unpack_from(self.data, self.offset)
+        self.offset += fields.size
         return values
 
-    def take_bytes(self, count: int, what: str) -> bytes:
-        if self.at + count > len(self.data):
-            raise ProtocolError(f"count of {count} in {what} runs past the end at byte {self.base + self.at}")
-        self.at += count
-        return self.data[self.at - count : self.at]
+    def take_bytes(self, count: int, record_name: str) -> bytes:
+        if self.offset + count > len(self.data):
+            position = self.base + self.offset
+            raise ProtocolError(f"count of {count} in {record_name} runs past the end at byte {position}")
+        self.offset += count
+        return self.data[self.offset - count : self.offset]
 
     def outcome(self, number: int) -> Outcome:
         try:
             return Outcome(number)
         except ValueError:
-            raise ProtocolError(f"unknown outcome {number} at byte {self.base + self.at}") from None
+            raise ProtocolError(f"unknown outcome {number} at byte {self.base + self.offset}") from None
 
     def load_report(self, count: int) -> tuple[float, ...]:
         return struct.unpack(f"<{count}f", self.take_bytes(4 * count, "load report"))
 
 
-def _start(reader: _Reader) -> StartInstance:
-    seed, size = reader.take(_START, "up")
-    return StartInstance(seed, reader.take_bytes(size, "up").decode("utf-8", "replace"))
+def _start(reader: _BatchReader) -> StartInstance:
+    seed, size = reader.take(_START)
+    text = reader.take_bytes(size, _START.name).decode("utf-8", "replace")
+    return StartInstance(seed=seed, settings=text)
 
 
-def _stop(_: _Reader) -> StopInstance:
+def _stop(_: _BatchReader) -> StopInstance:
     return StopInstance()
 
 
-def _topology(reader: _Reader) -> Topology:
-    kind, version, count = reader.take(_TOPOLOGY, "topology")
+def _topology(reader: _BatchReader) -> Topology:
+    kind, version, count = reader.take(_TOPOLOGY)
     if kind > max(ListKind):
-        raise ProtocolError(f"unknown list kind {kind} at byte {reader.base + reader.at}")
-    raw = reader.take_bytes(count * _ENDPOINT.size, "topology")
+        raise ProtocolError(f"unknown list kind {kind} at byte {reader.base + reader.offset}")
+    entries = _topology_entries(reader, count)
+    return Topology(kind=ListKind(kind), version=version, entries=entries)
+
+
+def _topology_entries(reader: _BatchReader, count: int) -> tuple[Endpoint, ...]:
+    raw = reader.take_bytes(count * _ENDPOINT.size, _TOPOLOGY.name)
     entries = []
     for endpoint_id, zone, machine_class, cell, health, weight, started_at in _ENDPOINT.iter_unpack(raw):
         if health > max(Health):
-            raise ProtocolError(f"unknown health {health} at byte {reader.base + reader.at}")
+            raise ProtocolError(f"unknown health {health} at byte {reader.base + reader.offset}")
         entries.append(
             Endpoint(
                 id=endpoint_id,
@@ -111,11 +136,11 @@
                 started_at=started_at,
             )
         )
-    return Topology(ListKind(kind), version, tuple(entries))
+    return tuple(entries)
 
 
-def _arrival(reader: _Reader) -> Arrival:
-    values = reader.take(_ARRIVAL, "inbound")
+def _arrival(reader: _BatchReader) -> Arrival:
+    values = reader.take(_ARRIVAL)
     request_id, class_index, plan_index, customer_id, deadline, units, spread, first, options = values
     return Arrival(
         request_id=request_id,
@@ -130,12 +155,13 @@
     )
 
 
-def _response_started(reader: _Reader) -> ResponseStarted:
-    return ResponseStarted(*reader.take(_RESPONSE_STARTED, "begun"))
+def _response_started(reader: _BatchReader) -> ResponseStarted:
+    request_id, elapsed, attempt, endpoint = reader.take(_RESPONSE_STARTED)
+    return ResponseStarted(request_id=request_id, elapsed=elapsed, attempt=attempt, endpoint=endpoint)
 
 
-def _attempt_ended(reader: _Reader) -> AttemptEnded:
-    values = reader.take(_ATTEMPT_ENDED, "reply")
+def _attempt_ended(reader: _BatchReader) -> AttemptEnded:
+    values = reader.take(_ATTEMPT_ENDED)
     request_id, finished, units, endpoint, usage, outcome_code, elapsed, attempt, report_size = values
     outcome = reader.outcome(outcome_code)
     report = reader.load_report(report_size)
@@ -152,31 +178,35 @@
     )
 
 
-def _client_disconnected(reader: _Reader) -> ClientDisconnected:
-    return ClientDisconnected(*reader.take(_CLIENT_DISCONNECTED, "client_left"))
+def _client_disconnected(reader: _BatchReader) -> ClientDisconnected:
+    (request_id,) = reader.take(_CLIENT_DISCONNECTED)
+    return ClientDisconnected(request_id=request_id)
 
 
-def _timer_fired(reader: _Reader) -> TimerFired:
-    return TimerFired(*reader.take(_TIMER_FIRED, "elapsed"))
+def _timer_fired(reader: _BatchReader) -> TimerFired:
+    (token,) = reader.take(_TIMER_FIRED)
+    return TimerFired(token=token)
 
 
-def _probe_ended(reader: _Reader) -> ProbeEnded:
-    outcome_code, endpoint, elapsed, report_size = reader.take(_PROBE_ENDED, "status_back")
+def _probe_ended(reader: _BatchReader) -> ProbeEnded:
+    outcome_code, endpoint, elapsed, report_size = reader.take(_PROBE_ENDED)
     outcome = reader.outcome(outcome_code)
-    return ProbeEnded(outcome, endpoint, elapsed, reader.load_report(report_size))
+    report = reader.load_report(report_size)
+    return ProbeEnded(outcome=outcome, endpoint=endpoint, elapsed=elapsed, load_report=report)
 
 
-def _peer_message(reader: _Reader) -> PeerMessage:
-    sender, size = reader.take(_PEER_MESSAGE, "mail")
-    return PeerMessage(sender, reader.take_bytes(size, "mail"))
+def _peer_message(reader: _BatchReader) -> PeerMessage:
+    sender, size = reader.take(_PEER_MESSAGE)
+    return PeerMessage(sender=sender, data=reader.take_bytes(size, _PEER_MESSAGE.name))
 
 
-def _counter_replied(reader: _Reader) -> CounterReplied:
-    elapsed, outcome_code, key, total = reader.take(_COUNTER_REPLIED, "counter_reply")
-    return CounterReplied(elapsed, reader.outcome(outcome_code), key, total)
+def _counter_replied(reader: _BatchReader) -> CounterReplied:
+    elapsed, outcome_code, key, total = reader.take(_COUNTER_REPLIED)
+    outcome = reader.outcome(outcome_code)
+    return CounterReplied(elapsed=elapsed, outcome=outcome, key=key, total=total)
 
 
-_DECODERS: dict[int, Callable[[_Reader], InstanceEvent]] = {
+_DECODERS: dict[int, Callable[[_BatchReader], InstanceEvent]] = {
     int(RequestCode.START): _start,
     int(RequestCode.STOP): _stop,
     int(RequestCode.TOPOLOGY): _topology,
@@ -193,24 +223,25 @@
 
 
 def decode(body: bytes, base: int = 0) -> Batch:
-    """Decode one batch without its length field; `base` is its place in the input, for error messages.
+    """Decode one batch without its length field.
 
-    Raises ProtocolError where it cannot be read.
+    `base` is the offset of the batch in the input. Raises ProtocolError, with an offset in the input, on a
+    malformed batch.
     """
-    reader = _Reader(body, base)
-    (now,) = reader.take(_CLOCK, "header")
-    events: list[tuple[int, InstanceEvent]] = []
+    reader = _BatchReader(body, base)
+    (now,) = reader.take(_CLOCK)
+    events: list[AddressedEvent] = []
     instance: int | None = None
-    while reader.at < len(body):
-        start = base + reader.at
-        (code,) = reader.take(_RECORD_CODE, "record code")
+    while reader.offset < len(body):
+        record_offset = base + reader.offset
+        (code,) = reader.take(_RECORD_CODE)
         if code == _SELECT_INSTANCE:
-            (instance,) = reader.take(_INSTANCE, "select")
+            (instance,) = reader.take(_INSTANCE)
             continue
         decoder = _DECODERS.get(code)
         if decoder is None:
-            raise ProtocolError(f"unknown record code {code} at byte {start}")
+            raise ProtocolError(f"unknown record code {code} at byte {record_offset}")
         if instance is None:
-            raise ProtocolError(f"record {code} before any select at byte {start}")
-        events.append((instance, decoder(reader)))
+            raise ProtocolError(f"record {code} before any select at byte {record_offset}")
+        events.append(AddressedEvent(instance, decoder(reader)))
     return Batch(now, events)
--- a/qos_gateway/simulator/encoder.py
+++ b/qos_gateway/simulator/encoder.py
@@ -1,4 +1,4 @@
-"""Actions as replies on the simulator's wire."""
+"""Encode actions into replies on the simulator's wire."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 )
 from .protocol import ALL_PEERS, ReplyCode
 
-_HEADER = struct.Struct("<II")  # records, bytes
+_HEADER = struct.Struct("<II")  # number of records, size of the body in bytes
 _CODE = struct.Struct("<H")
 _CODE_U8 = struct.Struct("<HB")
 _CODE_U32 = struct.Struct("<HI")
@@ -37,8 +37,8 @@
 _MAX_TEXT_BYTES = 0xFFFF
 
 
-def encode_action(action: Action) -> bytes:  # noqa: C901 - one case an action, each of one line
-    """Encode one action as its record."""
+def encode_action(action: Action) -> bytes:  # noqa: C901 - one short case for each action
+    """Encode one action as one record."""
     match action:
         case Send(request_id, endpoint, timeout):
             return _SEND.pack(ReplyCode.SEND, request_id, endpoint, timeout)
@@ -55,8 +55,8 @@
         case CloseIdleConnections(endpoint):
             return _CODE_U32.pack(ReplyCode.CLOSE_IDLE_CONNECTIONS, endpoint)
         case SendPeerMessage(recipient, data):
-            to = ALL_PEERS if recipient is None else recipient
-            return _SEND_PEER_MESSAGE.pack(ReplyCode.SEND_PEER_MESSAGE, to, len(data)) + data
+            wire_recipient = ALL_PEERS if recipient is None else recipient
+            return _SEND_PEER_MESSAGE.pack(ReplyCode.SEND_PEER_MESSAGE, wire_recipient, len(data)) + data
         case LogLine(text):
             return _encode_text(ReplyCode.LOG_LINE, text)
         case WatchEndpoints(enabled):
@@ -68,18 +68,18 @@
 
 
 def encode_fault(text: str) -> bytes:
-    """Encode a fault of the decision code as the record that ends its instance."""
+    """Encode an error of the decision code as the record that ends its instance."""
     return _encode_text(ReplyCode.FAULT, text)
 
 
 def _encode_text(code: int, text: str) -> bytes:
-    """Encode a text, cut to what its length field can say."""
+    """Encode a text, cut to 65,535 bytes of UTF-8, the maximum of its length field."""
     raw = text.encode()[:_MAX_TEXT_BYTES]
     return _TEXT.pack(code, len(raw)) + raw
 
 
 def encode_reply(groups: Iterable[tuple[int, list[bytes]]]) -> bytes:
-    """Encode a whole reply from instances, each with its records."""
+    """Encode a reply from groups of an instance's number and its records."""
     records: list[bytes] = []
     for instance, instance_records in groups:
         records.append(_CODE_U32.pack(ReplyCode.SELECT_INSTANCE, instance))
--- a/qos_gateway/simulator/host.py
+++ b/qos_gateway/simulator/host.py
@@ -1,4 +1,4 @@
-"""Host loop for the simulator's wire: one engine an instance, nothing shared between them."""
+"""Host loop for the simulator's wire: one decision engine for each instance, with no shared state."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import BinaryIO
 
 from ..decisions.engine import DecisionEngine
-from .decoder import InstanceEvent, decode
+from .decoder import AddressedEvent, decode
 from .encoder import encode_action, encode_fault, encode_reply
 from .protocol import ProtocolError, StartInstance, StopInstance
 from .settings import SettingsError, parse_settings
@@ -16,26 +16,32 @@
 
 
 class Host:
-    """The instances of one simulation."""
+    """Decision engines of one simulation by instance number."""
 
     def __init__(self) -> None:
         self.instances: dict[int, DecisionEngine] = {}
 
     def answer(self, body: bytes, base: int) -> bytes:
-        """Return the whole reply to one batch; a fault of the decisions becomes a record with its text."""
+        """Return the reply to one batch at offset `base` of the input.
+
+        An exception of the decision code becomes a fault record with its text.
+        Raises ProtocolError on a malformed batch.
+        """
         batch = decode(body, base)
         replies: dict[int, list[bytes]] = {}
-        for instance, event in batch.events:
-            records = replies.setdefault(instance, [])
+        for addressed in batch.events:
+            records = replies.setdefault(addressed.instance, [])
             try:
-                records.extend(self._handle(batch.now, instance, event))
+                records.extend(self._handle(batch.now, addressed))
             except SettingsError as error:
                 records.append(encode_fault(f"settings: {error}"))
-            except Exception as error:  # whatever it is, the simulator is told
+            except Exception as error:  # any exception ends only this instance
                 records.append(encode_fault(f"{type(error).__name__}: {error}"))
         return encode_reply((instance, records) for instance, records in replies.items() if records)
 
-    def _handle(self, now: int, instance: int, event: InstanceEvent) -> list[bytes]:
+    def _handle(self, now: int, addressed: AddressedEvent) -> list[bytes]:
+        """Return the records of the reply to one event; an unknown instance gives none."""
+        instance, event = addressed.instance, addressed.event
         if isinstance(event, StartInstance):
             self.instances[instance] = DecisionEngine(parse_settings(event.settings), event.seed, now)
         elif isinstance(event, StopInstance):
@@ -46,24 +52,27 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends; raises ProtocolError where one cannot be read."""
+    """Answer batches until the input ends. Raises ProtocolError on a malformed batch."""
     host = Host()
-    at = 0
+    offset = 0  # of the next field in the input
     while header := source.read(_FRAME_SIZE.size):
         if len(header) < _FRAME_SIZE.size:
-            raise ProtocolError(f"input ends inside a frame's length at byte {at}")
+            raise ProtocolError(f"input ends inside a frame's length at byte {offset}")
         (size,) = _FRAME_SIZE.unpack(header)
-        at += _FRAME_SIZE.size
+        offset += _FRAME_SIZE.size
         body = source.read(size)
         if len(body) < size:
-            raise ProtocolError(f"input ends inside a frame at byte {at + len(body)}")
-        sink.write(host.answer(body, at))
+            raise ProtocolError(f"input ends inside a frame at byte {offset + len(body)}")
+        sink.write(host.answer(body, offset))
         sink.flush()
-        at += size
+        offset += size
 
 
 def main() -> int:
-    """Serve standard input and output; return 0 at its end, 1 with one plain line on a malformed frame."""
+    """Serve standard input and output.
+
+    Returns 0 at the end of the input, and 1 with a line on stderr after a malformed frame.
+    """
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except ProtocolError as error:
--- a/qos_gateway/simulator/protocol.py
+++ b/qos_gateway/simulator/protocol.py
@@ -1,4 +1,4 @@
-"""Records of the simulator's wire: their codes, and the two that start and stop an instance."""
+"""Codes of the records on the simulator's wire, and the records that start and stop an instance."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from enum import IntEnum
 from typing import Final
 
-ALL_PEERS: Final = 0xFFFF  # recipient of a message to every peer
+ALL_PEERS: Final = 0xFFFF  # recipient number of a message to all gateways
 
 
 class RequestCode(IntEnum):
@@ -23,11 +23,11 @@
     PEER_MESSAGE = 1080
     STOP = 1090
     COUNTER_REPLIED = 1100
-    SELECT_INSTANCE = 1110  # the records behind it are for this instance
+    SELECT_INSTANCE = 1110  # selects the instance of the records that follow
 
 
 class ReplyCode:
-    """Codes of the records in a reply; plain integers, as each is packed very often."""
+    """Codes of the records in a reply. Plain integers, because packing an IntEnum is slower."""
 
     SEND: Final = 1000
     REJECT: Final = 1010
@@ -46,12 +46,12 @@
 
 
 class ProtocolError(ValueError):
-    """A batch that cannot be read; the text says what is wrong and at which byte."""
+    """Malformed batch; the text names the error and its byte offset in the input."""
 
 
 @dataclass(frozen=True, slots=True)
 class StartInstance:
-    """Start an instance with a seed and its settings text."""
+    """Start of an instance with its random seed and settings text."""
 
     seed: int
     settings: str
@@ -59,4 +59,4 @@
 
 @dataclass(frozen=True, slots=True)
 class StopInstance:
-    """Stop an instance."""
+    """Stop of an instance."""
--- a/qos_gateway/simulator/settings.py
+++ b/qos_gateway/simulator/settings.py
@@ -1,4 +1,4 @@
-"""The settings text of the start message, one `path=value` a line, as typed settings."""
+"""Parse the settings text of the start message, one `path=value` on each line, into typed settings."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class SettingsError(ValueError):
-    """Settings that lack a value or hold an impossible one; the text names the key."""
+    """Missing or invalid value in the settings text; the text of the error names the key."""
 
 
 class _SettingsText:
-    """The settings text as a mapping whose look-ups name the key when they fail."""
+    """Values of the settings text by key; each accessor raises SettingsError with the key."""
 
     def __init__(self, text: str) -> None:
         self.values: dict[str, str] = {}
@@ -88,7 +88,10 @@
 
 
 def parse_settings(text: str) -> Settings:
-    """Parse the start message's settings text; unknown keys are ignored. Raises SettingsError."""
+    """Return the typed settings; unknown keys are ignored.
+
+    Raises SettingsError on a missing or invalid value.
+    """
     values = _SettingsText(text)
     names = values.text("report.names")
     return Settings(
--- a/tests/simulator/test_protocol.py
+++ b/tests/simulator/test_protocol.py
@@ -109,8 +109,9 @@
     )
     batch = decode(struct.pack("<Q", 8) + raw)
     assert batch.now == 8
-    ((instance, event),) = batch.events
-    assert instance == 3
+    (addressed,) = batch.events
+    assert addressed.instance == 3
+    event = addressed.event
     assert isinstance(event, Arrival)
     assert (event.request_id, event.units, event.gateway_spread, event.first_gateway) == (
         0x402D15D3A91C4,
@@ -128,7 +129,7 @@
         "f211902c 01 00 0000 01 0000c03f 009d966b01000000"
     )
     batch = decode(struct.pack("<Q", 8) + raw)
-    (_, reply), (_, topology) = batch.events
+    reply, topology = (addressed.event for addressed in batch.events)
     assert isinstance(reply, AttemptEnded)
     assert isinstance(topology, Topology)
     assert (reply.outcome, reply.quota_usage, reply.request_finished) == (Outcome.OK, 86, True)
