--- a/benchmarks/added_latency.py
+++ b/benchmarks/added_latency.py
@@ -1,4 +1,4 @@
-"""What a real gateway process adds to a request's latency, and its processor time and memory.
+"""Latency that a real gateway process adds to requests, and its processor time and memory.
 
 `python -m benchmarks.added_latency leases` runs only the cases with a quota counter.
 """
@@ -21,13 +21,13 @@
 from benchmarks.tables import Column, print_timed_table, report_progress
 
 DURATION_S = 15.0
-WARM_UP_S = 3.0  # in which the gateway opens its connections
+WARM_UP_S = 3.0  # time for the gateway to open its connections
 WARM_UP_SEED = 2
 
 
 @dataclass(frozen=True)
 class Case:
-    """A gateway with a list of so many endpoints."""
+    """Configuration of a gateway: the length of its endpoint list, and its quota counter."""
 
     label: str
     endpoints: int
@@ -41,19 +41,19 @@
 
 
 CASES_WITHOUT_COUNTER = (
-    Case("12 listed", 12, False),
-    Case("7,100 listed", DESIGN.endpoints, False),
+    Case("12 listed", endpoints=12, has_counter=False),
+    Case("7,100 listed", endpoints=DESIGN.endpoints, has_counter=False),
 )
 CASES_WITH_COUNTER = (
-    Case("7,100 listed, counter", DESIGN.endpoints, True),
-    Case("7,100 listed, leases of 50 s", DESIGN.endpoints, True, 50),
+    Case("7,100 listed, counter", endpoints=DESIGN.endpoints, has_counter=True),
+    Case("7,100 listed, leases of 50 s", endpoints=DESIGN.endpoints, has_counter=True, lease_term_s=50),
 )
 ALL_CASES = CASES_WITHOUT_COUNTER + CASES_WITH_COUNTER
 
 
 @dataclass(frozen=True)
 class GatewayLoad:
-    """What requests through a gateway found, and what they cost it."""
+    """Results of requests through a gateway, and the gateway's resource use."""
 
     warm_up: LoadResult
     result: LoadResult
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True)
 class AddedLatency:
-    """The same load straight to an endpoint and through a gateway."""
+    """Results of the same load sent directly to an endpoint and through a gateway."""
 
     case: Case
     duration_s: float
@@ -72,12 +72,12 @@
     stand_ins: StandInCounts
 
     def added_ms(self, percent: int) -> float:
-        """Return by how much the gateway raises a percentile of the latency."""
+        """Return the difference that the gateway makes to a percentile of the latency, in ms."""
         return self.gateway.result.latency_ms(percent) - self.direct.latency_ms(percent)
 
     @property
     def cpu_ms_per_request(self) -> float:
-        """Return the gateway's processor time for each request."""
+        """Return the gateway's processor time per request in ms."""
         return 1000 * self.gateway.cpu_s / max(1, self.gateway.result.sent)
 
     @property
@@ -116,12 +116,13 @@
 
 
 async def load_gateway(gateway: GatewayProcess, case: Case, duration_s: float) -> GatewayLoad:
-    """Send requests through a gateway, after others that let it open its connections."""
+    """Send requests through a gateway, after a warm-up that opens its connections."""
     warm_up = await LoadGenerator(gateway.port, case.gateways_per_customer, WARM_UP_SEED).run(WARM_UP_S)
     cpu_before = gateway.cpu_seconds()
     result = await LoadGenerator(gateway.port, case.gateways_per_customer).run(duration_s)
     cpu_s = gateway.cpu_seconds() - cpu_before
-    return GatewayLoad(warm_up, result, cpu_s, resident_memory_kb(gateway.pid) / 1024)
+    memory_mb = resident_memory_kb(gateway.pid) / 1024
+    return GatewayLoad(warm_up=warm_up, result=result, cpu_s=cpu_s, memory_mb=memory_mb)
 
 
 async def measure_gateway(ports: StandInPorts, case: Case, duration_s: float) -> GatewayLoad:
@@ -131,14 +132,14 @@
 
 
 async def measure_added_latency(case: Case, duration_s: float) -> AddedLatency:
-    """Send the same requests straight to an endpoint, and then through a gateway."""
+    """Send the same requests directly to an endpoint, and then through a gateway."""
     report_progress(f"added latency: {case.label}: direct, then through a gateway, {duration_s:g} s each")
     async with run_stand_ins(case.endpoints) as stand_ins:
         ports = await stand_ins.read_ports()
         direct = await LoadGenerator(ports.endpoint, case.gateways_per_customer).run(duration_s)
         gateway = await measure_gateway(ports, case, duration_s)
         counts = await stand_ins.stop()
-    return AddedLatency(case, duration_s, direct, gateway, counts)
+    return AddedLatency(case=case, duration_s=duration_s, direct=direct, gateway=gateway, stand_ins=counts)
 
 
 async def print_added_latency(cases: Sequence[Case] = ALL_CASES, duration_s: float = DURATION_S) -> None:
--- a/benchmarks/arrivals.py
+++ b/benchmarks/arrivals.py
@@ -12,7 +12,7 @@
 from qos_gateway.units import SECOND
 from tests.support.builders import CLASSES, arrival
 
-MIN_GATEWAY_WEIGHT = 0.2  # even the least used gateway of a customer gets some of its requests
+MIN_GATEWAY_WEIGHT = 0.2  # so that every gateway of a customer receives some of its requests
 
 
 @dataclass(frozen=True)
@@ -26,7 +26,7 @@
 
 
 class ArrivalProcess:
-    """Draws requests one by one: when, whose, of which class and at which of the customer's gateways."""
+    """Generates random requests: time, customer, class and gateway."""
 
     def __init__(
         self, gateways: int, customers: Sequence[Customer], requests_per_s: float, rng: random.Random
@@ -66,4 +66,4 @@
             first_gateway=customer.first_gateway,
         )
         gateway = (customer.first_gateway + offset) % self._gateways
-        return ScheduledArrival(time, gateway, customer, event)
+        return ScheduledArrival(time=time, gateway=gateway, customer=customer, event=event)
--- a/benchmarks/call_rates.py
+++ b/benchmarks/call_rates.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class CallRates:
-    """Requests and calls a second of a fleet, and how well it keeps the quotas."""
+    """Requests and calls per second of a fleet, and its adherence to the quotas."""
 
     label: str
     has_usage_meter: bool
@@ -64,7 +64,7 @@
 
 
 def extrapolated_rates(label: str, has_usage_meter: bool, fleets: Sequence[FleetCounts]) -> CallRates:
-    """Return the rates at the design size: each by its least-squares line over requests a second."""
+    """Return the rates at the design size: each by its least-squares line over requests per second."""
     requests_per_s = [counts.per_second(counts.offered) for counts in fleets]
 
     def extrapolate(count_of: Callable[[FleetCounts], int]) -> float:
--- a/benchmarks/connection_counts.py
+++ b/benchmarks/connection_counts.py
@@ -1,4 +1,4 @@
-"""Which gateways hold connections to which endpoints, by the fleet's size."""
+"""Connections between gateways and endpoints, by the fleet's size."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class FleetShape:
-    """Gateways and the endpoints that they balance load over."""
+    """Numbers of gateways and of the endpoints that they use."""
 
     gateways: int
     endpoints: int
@@ -48,7 +48,7 @@
 
 
 def count_connections(shape: FleetShape, failed_zone: str | None = None) -> ConnectionCounts:
-    """Return the connections of a fleet, of which a zone may have failed."""
+    """Return the connections of a fleet, with all zones or with one that has failed."""
     engine = DecisionEngine(settings(gateway_count=shape.gateways, may_message=False), ENGINE_SEED, START)
     entries = list_without_zone(shape.endpoints, failed_zone)
     engine.handle(START, Topology(ListKind.FULL, 1, entries))
@@ -62,7 +62,12 @@
         by_gateway.append(len(subset))
         for state in subset:
             by_endpoint[state.endpoint.id] += 1
-    return ConnectionCounts(shape, failed_zone, tuple(by_gateway), tuple(by_endpoint.values()))
+    return ConnectionCounts(
+        shape=shape,
+        failed_zone=failed_zone,
+        by_gateway=tuple(by_gateway),
+        by_endpoint=tuple(by_endpoint.values()),
+    )
 
 
 COLUMNS: tuple[Column[ConnectionCounts], ...] = (
--- a/benchmarks/counter_calls.py
+++ b/benchmarks/counter_calls.py
@@ -20,10 +20,10 @@
 from benchmarks.tables import print_table, report_progress
 
 FLEET_SIZES = (
-    FleetSize(6, 140, 1200.0),
-    FleetSize(12, 275, 2400.0),
-    FleetSize(24, 550, 4850.0),
-    FleetSize(48, 1100, 9700.0),
+    FleetSize(gateways=6, customers=140, requests_per_s=1200.0),
+    FleetSize(gateways=12, customers=275, requests_per_s=2400.0),
+    FleetSize(gateways=24, customers=550, requests_per_s=4850.0),
+    FleetSize(gateways=48, customers=1100, requests_per_s=9700.0),
 )
 FAULT_FLEET_SIZE = FLEET_SIZES[2]
 FAULT_START_S = 4.0
@@ -32,19 +32,19 @@
 
 @dataclass(frozen=True)
 class CounterCapacity:
-    """How many calls a second the counter takes, of fleets of any size."""
+    """Calls per second that the counter accepts."""
 
     label: str
     calls_per_s: float | None  # None: any number
-    is_proportional: bool = False  # to the gateways; the number is then that of the design size
+    is_proportional: bool = False  # to the fleet's size; `calls_per_s` then applies at the design size
 
     @property
     def is_extrapolatable(self) -> bool:
-        """Return whether rates are linear in the fleet's size: a fixed capacity fills up instead."""
+        """Return whether rates are linear in the fleet's size, which a fixed capacity prevents."""
         return self.calls_per_s is None or self.is_proportional
 
     def for_gateways(self, gateways: int) -> float | None:
-        """Return the capacity for a fleet of so many gateways, in calls a second."""
+        """Return the capacity, in calls per second, for a fleet of `gateways` gateways."""
         if self.calls_per_s is None or not self.is_proportional:
             return self.calls_per_s
         return self.calls_per_s * gateways / DESIGN.gateways
--- a/benchmarks/customer_accounts.py
+++ b/benchmarks/customer_accounts.py
@@ -18,11 +18,11 @@
 
 @dataclass(frozen=True)
 class AccountCost:
-    """Times are processor times of the second half, when nearly all accounts are known."""
+    """Cost of customer accounts; times are processor times of the second half of the simulation."""
 
-    accounts: int  # kept at the end
+    accounts: int  # at the end
     commitments: int  # active at the end
-    request_us: float  # an arrival, its end and its calls to the counter
+    request_us: float  # arrival, end of the attempt and calls to the counter
     median_tick_ms: float
     longest_tick_ms: float
     memory_kb: int  # growth since the first request
@@ -34,9 +34,9 @@
     requests_per_s: float = DESIGN.requests_per_s_and_gateway,
     seed: int = 1,
 ) -> AccountCost:
-    """Return the cost of so many customers, each as busy as the others.
+    """Return the cost of `customers` customers with equal request rates.
 
-    Call it in a fresh process, or memory freed before would hide the growth.
+    Must run in a fresh process, because memory freed earlier would hide the growth.
     """
     simulation = GatewaySimulation(customers, requests_per_s, duration_s, seed)
     gc.collect()
--- a/benchmarks/customer_population.py
+++ b/benchmarks/customer_population.py
@@ -16,7 +16,7 @@
 CLASS_FRACTIONS = (0.6, 0.27, 0.13)  # of the requests, by request class
 PLAN_FRACTIONS = (0.6, 0.3, 0.1)  # of the customers, by plan
 
-LIMITED_RATE = 16.1  # requests a second
+LIMITED_RATE = 16.1  # requests per second
 IN_FLIGHT_HEADROOM = 2.6  # attempts in flight that a plan allows, over those that its quota needs on average
 # A customer's mean quota is 14.2/s: with `quota_utilizations`, 11,000 of them offer 97,000 requests a second.
 PLANS = (
@@ -43,7 +43,7 @@
 # Customers in the order of their demand: most use a part of their quota, some about all, a few far more.
 MODERATE_FRACTION = 0.78
 NEAR_QUOTA_FRACTION = 0.18
-MODERATE_UTILIZATION = (0.15, 0.35)  # the least, and the range above it
+MODERATE_UTILIZATION = (0.15, 0.35)  # minimum, and width of the range above it
 NEAR_QUOTA_UTILIZATION = (0.85, 0.15)
 EXCESSIVE_UTILIZATION = 5.0
 
@@ -75,7 +75,7 @@
 
 
 def quota_utilizations(count: int, rng: random.Random) -> list[float]:
-    """Return the demand of so many customers as multiples of their quotas, in random order.
+    """Return the demand of `count` customers as multiples of their quotas, in random order.
 
     One customer at each of `count` even quantiles: the sum hardly depends on the seed.
     """
--- a/benchmarks/design.py
+++ b/benchmarks/design.py
@@ -28,7 +28,7 @@
 
     @property
     def requests_per_s_and_gateway(self) -> float:
-        """Return the requests a second that arrive at one gateway."""
+        """Return the requests per second that arrive at one gateway."""
         return self.requests_per_s / self.gateways
 
 
--- a/benchmarks/discovery_updates.py
+++ b/benchmarks/discovery_updates.py
@@ -1,4 +1,4 @@
-"""Endpoint lists in the form in which the discovery service publishes them."""
+"""Endpoint lists in the JSON form of the discovery service."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 START_TIME_PROBABILITY = 0.5  # discovery publishes the start time of only a part of the endpoints
 OLDEST_START_S = 5 * SECONDS_PER_DAY
 ENDPOINTS_PER_CELL = 20
-ENDPOINTS_PER_SUBNET = 250  # the last byte of an IPv4 address goes no further
+ENDPOINTS_PER_SUBNET = 250  # limit of the last byte of an IPv4 address
 
 # One endpoint as JSON object; the functional form, because `class` is a keyword.
 EndpointRecord = TypedDict(
@@ -77,7 +77,7 @@
 
 
 def full_update(records: Sequence[EndpointRecord], sequence: int = 1) -> ListUpdate:
-    """Return the object that publishes the whole list."""
+    """Return the object that publishes the full list."""
     return {"seq": sequence, "whole": True, "hosts": list(records)}
 
 
@@ -95,7 +95,7 @@
 
 
 def encode_full_list(endpoints: int) -> bytes:
-    """Return the line that publishes a whole list of so many endpoints."""
+    """Return the line that publishes a full list of `endpoints` endpoints."""
     return encode_update(full_update(endpoint_records(endpoints)))
 
 
--- a/benchmarks/endpoint_lists.py
+++ b/benchmarks/endpoint_lists.py
@@ -1,4 +1,4 @@
-"""What an endpoint list costs a gateway, by its length: bytes, processor time and memory."""
+"""Cost of an endpoint list at a gateway by the list's length: bytes, processor time and memory."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 def measure_sizes(endpoints: int) -> ListSizes:
-    """Return the sizes of a list of so many endpoints and of its changes."""
+    """Return the sizes of a list of `endpoints` endpoints and of its changes."""
     records = endpoint_records(endpoints)
     affected = records_in_zone(records, ZONES[0])
     return ListSizes(
@@ -77,12 +77,12 @@
 
     @property
     def full_list_s(self) -> float:
-        """Return the processor seconds from a whole list's bytes until the engine uses it."""
+        """Return the processor seconds to decode, parse and apply a full list."""
         return (self.decode_json_ms + self.parse_ms + self.apply_full_ms) / 1000
 
     @property
     def ticks_core_percent(self) -> float:
-        """Return the part of a core that ticks take: with ten a second, milliseconds each are percent."""
+        """Return the processor time of ticks in percent of a core: at 10 per second, 1 ms each is 1%."""
         return self.tick_ms
 
 
@@ -135,7 +135,7 @@
 
 
 def measure_times(endpoints: int, repeats: int = REPEATS) -> ListTimes:
-    """Return the processor times of a list of so many endpoints, each the median of `repeats` runs."""
+    """Return the processor times of a list of `endpoints` endpoints, each the median of `repeats` runs."""
     records = endpoint_records(endpoints)
     full_line = encode_update(full_update(records))
     change_line = encode_update(health_update(records[:1]))
@@ -163,7 +163,7 @@
 
 @dataclass(frozen=True)
 class RetainedList:
-    """What a gateway keeps of a list beside its engine's state: the records, and their addresses."""
+    """Data of a list that a gateway keeps outside its engine: the records and their addresses."""
 
     records: dict[str, EndpointRecord]
     addresses: dict[int, Address]
@@ -179,18 +179,18 @@
 
 
 def measure_memory_growth_kb(endpoints: int) -> int:
-    """Return by how many kB this process grows through a list; call it in a fresh process."""
+    """Return the growth of this process in kB through a list. Must run in a fresh process."""
     engine = make_engine()
     memory_before = resident_memory_kb()
     retained = load_list(engine, endpoints)
     growth = resident_memory_kb() - memory_before
-    del retained  # not before it has been measured
+    del retained  # alive until its memory is measured
     return growth
 
 
 @dataclass(frozen=True)
 class ListCost:
-    """All that is measured of a list of so many endpoints."""
+    """Measured cost of one endpoint list."""
 
     endpoints: int
     sizes: ListSizes
@@ -224,13 +224,13 @@
 
 
 def measure_list(endpoints: int) -> ListCost:
-    """Return the cost of a list of so many endpoints; its memory is measured in a fresh process."""
+    """Return the cost of a list of `endpoints` endpoints; a fresh process measures its memory."""
     report_progress(f"endpoint lists: {endpoints:,} endpoints")
     return ListCost(
-        endpoints,
-        measure_sizes(endpoints),
-        measure_times(endpoints),
-        run_in_fresh_process(measure_memory_growth_kb, endpoints),
+        endpoints=endpoints,
+        sizes=measure_sizes(endpoints),
+        times=measure_times(endpoints),
+        memory_kb=run_in_fresh_process(measure_memory_growth_kb, endpoints),
     )
 
 
--- a/benchmarks/engine_instances.py
+++ b/benchmarks/engine_instances.py
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class InstanceCost:
-    """The cost of each of so many engines."""
+    """Cost of each engine in a process of several."""
 
     instances: int
     list_memory_kb: int  # the list itself, once for the process
@@ -60,9 +60,9 @@
 
 
 def measure_instances(count: int, endpoints: int = DESIGN.endpoints) -> InstanceCost:
-    """Return the cost of so many engines.
+    """Return the cost of each of `count` engines.
 
-    Call it in a fresh process, or memory freed before would hide the growth.
+    Must run in a fresh process, because memory freed earlier would hide the growth.
     """
     memory_before = resident_memory_kb()
     topology = read_list(endpoints)
--- a/benchmarks/engines.py
+++ b/benchmarks/engines.py
@@ -7,7 +7,7 @@
 from qos_gateway.types import AttemptEnded, ListKind, Outcome, Topology
 from tests.support.builders import backend, full_list, plan, settings
 
-ENGINE_SEED = 7  # any number will do, but the results depend on it
+ENGINE_SEED = 7  # results depend on it
 UNLIMITED_PLAN = plan(rate=1e6, burst=1e6)  # a quota that no benchmark reaches
 
 
@@ -20,7 +20,7 @@
 
 
 def cached_list(endpoints: int) -> Topology:
-    """Return a list of so many ready endpoints, numbered from 1 on, as read from a cache."""
+    """Return a cached list of `endpoints` ready endpoints with ids from 1."""
     entries = map(backend, range(1, endpoints + 1))
     return full_list(*entries, kind=ListKind.CACHED)
 
@@ -28,7 +28,7 @@
 def successful_attempt(
     request_id: int, endpoint: int, elapsed: int, attempt: int = 0, quota_usage: int = 0
 ) -> AttemptEnded:
-    """Return the end of an attempt that was answered after `elapsed` ns."""
+    """Return the end of an attempt that succeeded after `elapsed` ns."""
     return AttemptEnded(
         request_id=request_id,
         request_finished=True,
--- a/benchmarks/fleet_simulation.py
+++ b/benchmarks/fleet_simulation.py
@@ -32,7 +32,7 @@
 from tests.support.builders import settings
 
 FIRST_ENGINE_SEED = 7  # of the first gateway; every other one has another seed
-ENDPOINTS_PER_GATEWAY = 2  # few, as attempts always succeed: only quotas matter here
+ENDPOINTS_PER_GATEWAY = 2  # few, because attempts always succeed and only quotas matter
 START_INTERVAL_NS = 100 * MILLISECOND  # gateways start within it, and requests arrive from its end on
 SHORTEST_ATTEMPT = 0.6  # times the mean duration
 LONGEST_ATTEMPT = 1.4
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class GatewayEvent:
-    """An event for a gateway's process of this generation; None: for whichever process runs."""
+    """Event for one generation of a gateway's process; None: for the generation that runs at its time."""
 
     gateway: int
     generation: int | None
@@ -127,7 +127,7 @@
         self._queue.schedule(arrival.time, GatewayEvent(arrival.gateway, None, arrival.event))
 
     def _restart_gateways(self, now: int) -> None:
-        """Restart the gateways whose time has come."""
+        """Restart the gateways whose restarts are due at `now` (ns)."""
         while self._pending_restarts and self._pending_restarts[-1].at_s * SECOND <= now:
             restart = self._pending_restarts.pop()
             time = int(restart.at_s * SECOND)
@@ -136,7 +136,7 @@
             self._queue.schedule(time, GatewayEvent(restart.gateway, generation, self._endpoint_list))
 
     def _deliver(self, now: int, target: GatewayEvent) -> None:
-        """Let a gateway handle an event, unless the process for which it was meant is gone."""
+        """Let a gateway handle an event, unless the process that it is for has been replaced."""
         event = target.event
         is_running = self._fleet.is_running(target)
         if isinstance(event, AttemptEnded):
--- a/benchmarks/gateway_process.py
+++ b/benchmarks/gateway_process.py
@@ -22,7 +22,7 @@
 
 COUNTER_TIMEOUT_NS = 80 * MILLISECOND
 SECRET_SEED = "8c1f30d27a5be964"
-QUOTA_RATE = 14.2  # requests a second: the mean of the design size's customers
+QUOTA_RATE = 14.2  # requests per second: the mean of the design size's customers
 QUOTA_BURST = 57.0
 SOCKET_LIMIT = 4096
 MEMORY_LIMIT_MB = 128
--- a/benchmarks/gateway_restarts.py
+++ b/benchmarks/gateway_restarts.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class RestartWave:
-    """Gateways that restart evenly within a time."""
+    """Gateways whose restarts are spread evenly over a duration."""
 
     label: str
     gateways: int
@@ -35,9 +35,9 @@
 
 
 RESTART_WAVES = (
-    RestartWave("1,300 a day, evenly", DESIGN.restarts_per_day, SECONDS_PER_DAY),
-    RestartWave("a tenth at once (1 s)", DESIGN.gateways // 10, 1.0),
-    RestartWave("all within 60 s", DESIGN.gateways, 60.0),
+    RestartWave("1,300 a day, evenly", gateways=DESIGN.restarts_per_day, duration_s=SECONDS_PER_DAY),
+    RestartWave("a tenth at once (1 s)", gateways=DESIGN.gateways // 10, duration_s=1.0),
+    RestartWave("all within 60 s", gateways=DESIGN.gateways, duration_s=60.0),
 )
 
 
@@ -125,17 +125,15 @@
 )
 
 
-def restart_rows(
-    size: FleetSize, restarted_fraction: float, capacity: CounterCapacity
-) -> tuple[RestartRow, RestartRow]:
+def restart_rows(size: FleetSize, restarted_fraction: float, capacity: CounterCapacity) -> list[RestartRow]:
     """Return the rows before and after the restart of a fraction of the gateways."""
     report_progress(f"gateway restarts: {restarted_fraction:.0%} of {size.gateways} gateways")
     calls_per_s = capacity.for_gateways(size.gateways)
     counts = simulate_restart(size, restarted_fraction, calls_per_s)
-    return (
-        RestartRow(calls_per_s, restarted_fraction, "2 s before", counts.before),
-        RestartRow(calls_per_s, restarted_fraction, "2 s after", counts.after),
-    )
+    return [
+        RestartRow(calls_per_s, restarted_fraction, interval="2 s before", counts=counts.before),
+        RestartRow(calls_per_s, restarted_fraction, interval="2 s after", counts=counts.after),
+    ]
 
 
 def print_counter_calls(size: FleetSize = SIMULATED_FLEET) -> None:
--- a/benchmarks/load_generator.py
+++ b/benchmarks/load_generator.py
@@ -1,4 +1,4 @@
-"""An open-loop load generator: Poisson arrivals, whatever the answers take."""
+"""Open-loop load generator: Poisson arrivals, independent of response times."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 @dataclass
 class LoadResult:
-    """What the generator has seen of its requests."""
+    """Results of the generator's requests."""
 
     latencies_s: list[float] = field(default_factory=list)  # of served requests
     rejected: int = 0
     failed: int = 0
-    send_delays_s: list[float] = field(default_factory=list)  # by which the generator itself was late
+    send_delays_s: list[float] = field(default_factory=list)  # delays of the generator itself
 
     @property
     def sent(self) -> int:
@@ -110,7 +110,7 @@
         self._idle: deque[ClientConnection] = deque()
 
     async def run(self, duration_s: float) -> LoadResult:
-        """Send requests for so long, and wait for all replies."""
+        """Send requests for `duration_s` seconds, and wait for all replies."""
         for _ in range(INITIAL_CONNECTIONS):
             self._idle.append(await self._connect())
         await self._send_requests(duration_s)
--- a/benchmarks/quota_audit.py
+++ b/benchmarks/quota_audit.py
@@ -1,4 +1,4 @@
-"""Compare what a fleet sends on with what exact token buckets would allow."""
+"""Compare the requests that a fleet forwards with the limits of exact token buckets."""
 
 from __future__ import annotations
 
@@ -30,16 +30,16 @@
         return self._offered_quota.take(now)
 
     def send(self, now: int) -> bool:
-        """Record a request that was sent on at `now` (ns); return whether the quota covers it."""
+        """Record a request that was forwarded at `now` (ns); return whether the quota covers it."""
         self._sent_by_period[now // METER_PERIOD_NS] += 1
         return self._sent_quota.take(now)
 
     def exceeds_ceiling(self, now: int) -> bool:
-        """Record a request that was sent on; return whether it is beyond the plan's hard ceiling."""
+        """Record a request that was forwarded at `now` (ns); return whether it exceeds the hard ceiling."""
         return bool(self._plan.ceiling_rate) and not self._ceiling.take(now)
 
     def start_attempt(self) -> bool:
-        """Record a new attempt; return whether as many as the plan allows were in flight already."""
+        """Record a new attempt; return whether it exceeds the plan's limit on attempts in flight."""
         exceeds_limit = 0 < self._plan.max_in_flight <= self._in_flight
         self._in_flight += 1
         return exceeds_limit
@@ -78,8 +78,8 @@
     overloaded_calls: int = 0
     unanswered_calls: int = 0  # refused connection or no answer in time
     by_plan: tuple[PlanCounts, ...] = field(default_factory=lambda: tuple(PlanCounts() for _ in PLANS))
-    over_ceiling: int = 0  # requests sent on beyond the ceiling and its slack
-    over_in_flight_limit: int = 0  # attempts started with as many in flight as the plan allows, or more
+    over_ceiling: int = 0  # requests forwarded beyond the ceiling and its slack
+    over_in_flight_limit: int = 0  # attempts beyond the plan's limit on attempts in flight
 
     def add_call(self, reply: CounterReplied) -> None:
         """Count a call to the counter by its outcome."""
@@ -107,12 +107,12 @@
 
     @property
     def sent_within_quota(self) -> int:
-        """Return the requests of all plans that were sent on and that the quotas cover."""
+        """Return the forwarded requests of all plans that the quotas cover."""
         return sum(counts.sent_within_quota for counts in self.by_plan)
 
     @property
     def sent_unpaid(self) -> int:
-        """Return the requests sent on beyond the quotas of plans whose excess costs more than it earns."""
+        """Return the requests forwarded beyond the quotas of plans whose excess costs more than it earns."""
         return sum(
             counts.sent_beyond_quota
             for counts, plan in zip(self.by_plan, PLANS, strict=True)
@@ -121,7 +121,7 @@
 
     @property
     def granted_fraction(self) -> float:
-        """Return the requests sent on within the quotas, as a fraction of those that the quotas cover."""
+        """Return the requests forwarded within the quotas, as a fraction of those that the quotas cover."""
         return self.sent_within_quota / max(1, self.offered_within_quota)
 
     @property
--- a/benchmarks/quota_counter.py
+++ b/benchmarks/quota_counter.py
@@ -12,14 +12,14 @@
 from qos_gateway.units import MILLISECOND, SECOND
 
 REPLY_TIME_NS = 2 * MILLISECOND  # until a call is answered
-CALL_TIMEOUT_NS = 80 * MILLISECOND  # after which a gateway gives a call up
+CALL_TIMEOUT_NS = 80 * MILLISECOND  # after which a gateway cancels a call
 CONNECTION_REFUSAL_TIME_NS = MILLISECOND // 5  # until a connection is refused
-BURST_WINDOW_S = 0.05  # calls of so many seconds' capacity are accepted at once
+BURST_WINDOW_S = 0.05  # capacity of this time is accepted in one burst
 ALL_GATEWAYS = 1 << 30  # above every gateway's position
 
 
 class Fault(Enum):
-    """What can happen to calls to the counter."""
+    """Fault of calls to the counter."""
 
     CONNECTION_REFUSED = "connections refused, nothing added"
     REQUEST_DROPPED = "no answer in time, nothing added"
@@ -43,14 +43,20 @@
         return now >= self.start_s * SECOND
 
     def affects(self, now: int, gateway: int) -> bool:
-        """Return whether a gateway's call at `now` (ns) meets this fault."""
+        """Return whether this fault affects a gateway's call at `now` (ns)."""
         is_active = self.has_started(now) and now < self.end_s * SECOND
         return is_active and self.first_gateway <= gateway < self.end_gateway
 
 
 def partition_half(gateways: int, start_s: float, end_s: float) -> FaultWindow:
     """Return a network partition in which half of the gateways, one region, cannot reach the counter."""
-    return FaultWindow(Fault.REQUEST_DROPPED, start_s, end_s, gateways // 2, gateways)
+    return FaultWindow(
+        Fault.REQUEST_DROPPED,
+        start_s=start_s,
+        end_s=end_s,
+        first_gateway=gateways // 2,
+        end_gateway=gateways,
+    )
 
 
 @dataclass(frozen=True)
@@ -69,7 +75,7 @@
 
 
 class QuotaCounter:
-    """Named sums; `capacity` is in calls a second, None for any number."""
+    """Totals by key; `capacity` is in calls per second, None means unlimited."""
 
     def __init__(self, capacity: float | None = None, fault_windows: Sequence[FaultWindow] = ()) -> None:
         self._fault_windows = fault_windows
@@ -80,7 +86,7 @@
             self._accepted_calls = TokenBucket(capacity, max(1.0, BURST_WINDOW_S * capacity))
 
     def call(self, now: int, gateway: int, action: AddToCounter) -> CounterReplied:
-        """Return what the gateway learns of its call at `now` (ns), and after how long."""
+        """Return the gateway's result of its call at `now` (ns), with the duration of the call."""
         faults = {window.fault for window in self._fault_windows if window.affects(now, gateway)}
         self._reset_data(now)
         if Fault.CONNECTION_REFUSED in faults:
@@ -95,7 +101,7 @@
         return CounterReplied(REPLY_TIME_NS, Outcome.OK, action.key, self._totals[action.key])
 
     def _reset_data(self, now: int) -> None:
-        """Clear the sums once for every data reset that is due."""
+        """Clear the totals once for every data reset that is due."""
         for window in [window for window in self._pending_data_resets if window.has_started(now)]:
             self._pending_data_resets.remove(window)
             self._totals.clear()
--- a/benchmarks/quota_leases.py
+++ b/benchmarks/quota_leases.py
@@ -31,7 +31,7 @@
 LEASE_TERM_S = 50  # the longest that the configuration allows
 COUNT_FROM_S = 60.0  # of the virtual clock: after the first term, for a whole term
 END_S = 110.0
-PROCESSES = 4  # at once; other work needs the rest of the machine
+PROCESSES = 4  # at once; the machine is shared with other work
 LEASE_FLEET_SIZES = FLEET_SIZES[:3]  # 9,700 requests a second over two terms would take most of an hour
 LEASE_FAULT_COLUMNS = [column for column in FAULT_COLUMNS if column is not UNANSWERED_COLUMN]
 
--- a/benchmarks/scenario.py
+++ b/benchmarks/scenario.py
@@ -1,4 +1,4 @@
-"""What a simulation of a fleet is given: its size, the counter's capacity, faults and restarts."""
+"""Input of a simulation of a fleet: its size, the counter's capacity, faults and restarts."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class FleetSize:
-    """Gateways, customers, and the requests a second that these send."""
+    """Gateways, customers, and the requests per second that they send."""
 
     gateways: int
     customers: int
@@ -34,7 +34,7 @@
     """One simulation; times are seconds of the virtual clock, and counts begin at `count_from_s`."""
 
     size: FleetSize
-    counter_capacity: float | None = None  # calls a second; None: any number
+    counter_capacity: float | None = None  # calls per second; None: unlimited
     has_usage_meter: bool = False  # endpoints report each customer's usage
     count_from_s: float = 3.0
     end_s: float = 8.0
--- a/benchmarks/stand_in_process.py
+++ b/benchmarks/stand_in_process.py
@@ -36,7 +36,7 @@
 
 @asynccontextmanager
 async def run_stand_ins(endpoints: int) -> AsyncIterator[StandInProcess]:
-    """Start a process of stand-ins that publishes so many endpoints; kill it at the end if it still runs."""
+    """Run a stand-in process that publishes `endpoints` endpoints; kill it if it still runs at the end."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
--- a/benchmarks/stand_ins.py
+++ b/benchmarks/stand_ins.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class StandInPorts:
-    """Where the stand-ins listen."""
+    """Ports on which the stand-ins listen."""
 
     endpoint: int
     discovery: int
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class StandInCounts:
-    """What the stand-ins have seen."""
+    """Counts of what the stand-ins received."""
 
     connections: int  # to endpoints
     counter_calls: int
@@ -80,7 +80,7 @@
 
 
 class DiscoveryConnection(StandInConnection):
-    """A discovery agent that answers any request with a watch: the whole list, then heartbeats only."""
+    """Discovery agent that answers any request with a watch: the full list, then heartbeats only."""
 
     full_list: ClassVar[bytes] = b""
 
--- a/benchmarks/time_to_ready.py
+++ b/benchmarks/time_to_ready.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Starts:
-    """Several starts with a list of so many endpoints."""
+    """Several starts with one length of the endpoint list."""
 
     endpoints: int
     starts: tuple[Start, ...]
--- a/benchmarks/token_bucket.py
+++ b/benchmarks/token_bucket.py
@@ -6,7 +6,7 @@
 
 
 class TokenBucket:
-    """Refills at `rate` tokens a second up to `burst`, with which it starts at time 0."""
+    """Refills at `rate` tokens per second up to `burst`, with which it starts at time 0."""
 
     def __init__(self, rate: float, burst: float) -> None:
         self._rate = rate
--- a/benchmarks/zone_outage.py
+++ b/benchmarks/zone_outage.py
@@ -1,4 +1,4 @@
-"""The outage of a zone as discovery announces it to one gateway: bytes and processor time."""
+"""Outage of a zone as discovery publishes it to one gateway: bytes and processor time."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from qos_gateway.units import SECOND
 
 LIST_LENGTHS = (800, DESIGN.endpoints)
-FIRST_CHANGE_SEQUENCE = 2  # after the whole list
+FIRST_CHANGE_SEQUENCE = 2  # follows the sequence number of the full list
 
 
 @dataclass(frozen=True)
 class ZoneOutageCost:
-    """What one gateway reads and does when a zone fails."""
+    """Cost of a zone's outage at one gateway."""
 
     endpoints: int
     one_by_one: bool  # one object for each endpoint
@@ -48,7 +48,7 @@
 
 
 def measure_zone_outage(endpoints: int, one_by_one: bool, repeats: int = REPEATS) -> ZoneOutageCost:
-    """Return the cost of a zone outage of a list of so many endpoints."""
+    """Return the cost of a zone outage with a list of `endpoints` endpoints."""
     updates = zone_outage_updates(endpoints, one_by_one)
     lines = [encode_update(update) for update in updates]
     full = parse_line(encode_full_list(endpoints)).topology
