--- a/benchmarks/discovery_updates.py
+++ b/benchmarks/discovery_updates.py
@@ -8,7 +8,7 @@
 from typing import TypedDict
 
 from benchmarks.design import ENDPOINT_TYPES, LIST_CREATED_AT_S, SECONDS_PER_DAY, ZONES
-from qos_gateway.server.discovery import EndpointUpdate, parse_update
+from qos_gateway.server.discovery.endpoint_list import EndpointUpdate, parse_update
 
 LARGE_TYPE_PROBABILITY = 0.3
 START_TIME_PROBABILITY = 0.5  # discovery publishes the start time of only a part of the endpoints
--- a/benchmarks/endpoint_lists.py
+++ b/benchmarks/endpoint_lists.py
@@ -25,7 +25,7 @@
 from benchmarks.tables import Column, print_table, print_timed_table, report_progress
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
 from qos_gateway.server.config import Address
-from qos_gateway.server.discovery import parse_update
+from qos_gateway.server.discovery.endpoint_list import parse_update
 from qos_gateway.types import Send, TimerFired, Topology
 from qos_gateway.units import MILLISECOND
 from tests.support.builders import arrival
--- a/qos_gateway/__main__.py
+++ b/qos_gateway/__main__.py
@@ -15,7 +15,7 @@
 
 from . import LOADING_STARTED_AT_S
 from .server.config import Config, ConfigError
-from .server.config_reload import ConfigReloader, load_at_start
+from .server.config.reloader import ConfigReloader, load_at_start
 from .server.gateway import GatewayProcess
 
 EXIT_CONFIG_ERROR = 2
--- a/qos_gateway/server/action_executor.py
+++ b/qos_gateway/server/action_executor.py
@@ -24,12 +24,13 @@
     WatchEndpoints,
 )
 from ..units import SECOND
-from .backends import BackendConnections, ProbeAttempt
-from .counter import CounterClient
+from .counter.client import CounterClient
+from .endpoints.attempt import ProbeAttempt
+from .endpoints.connections import BackendConnections
 from .event_dispatcher import EventDispatcher
-from .open_requests import OpenRequests
 from .peers import Peers
-from .request_attempts import RequestAttempts
+from .requests.open_requests import OpenRequests
+from .requests.request_attempts import RequestAttempts
 
 log = logging.getLogger(__name__)
 
--- a/qos_gateway/server/admin_connection.py
+++ b/qos_gateway/server/admin/connection.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Protocol, cast
 
-from .admin_http import AdminRequest, HttpError, HttpExchange, HttpResponse
-from .admin_routes import find_route
+from .http import AdminRequest, HttpError, HttpExchange, HttpResponse
+from .routes import find_route
 
 REQUEST_TIMEOUT_S = 2.0  # from connecting until the request is complete; operators wait 1 s for an answer
 CLOSE_TIMEOUT_S = 0.5  # for the client to take the response and close
--- a/qos_gateway/server/admin_operations.py
+++ b/qos_gateway/server/admin/operations.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from .clients import ClientConnections
-from .discovery import endpoint_id
-from .endpoint_directory import EndpointDirectory
-from .event_dispatcher import EventDispatcher
-from .handover import Handover
-from .handover_channel import HandoverChannel
-from .metrics import Gauges, Metrics, render
-from .open_requests import OpenRequests
+from ..clients.connections import ClientConnections
+from ..discovery.endpoint_directory import EndpointDirectory
+from ..discovery.endpoint_list import endpoint_id
+from ..event_dispatcher import EventDispatcher
+from ..handover.channel import HandoverChannel
+from ..handover.handover import Handover
+from ..observability.metrics import Gauges, Metrics, render
+from ..requests.open_requests import OpenRequests
 
 
 @dataclass(frozen=True, slots=True)
--- a/qos_gateway/server/admin_routes.py
+++ b/qos_gateway/server/admin/routes.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from typing import Protocol, TypeAlias
 
-from .admin_http import AdminRequest, HttpError, HttpResponse, RequestHead
-from .logs import RateLimitFilter
+from ..observability.logs import RateLimitFilter
+from .http import AdminRequest, HttpError, HttpResponse, RequestHead
 
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
--- a/qos_gateway/server/admin.py
+++ b/qos_gateway/server/admin/server.py
@@ -7,13 +7,13 @@
 import logging
 from collections.abc import Awaitable, Coroutine
 
-from .admin_connection import AdminConnection
-from .admin_http import AdminRequest, HttpResponse
-from .admin_routes import AdminHandler, find_route
-from .config import Address
-from .listener import bound_socket
-from .logs import RateLimitFilter
-from .transient_errors import is_transient
+from ..clients.listener import bound_socket
+from ..config import Address
+from ..networking.transient_errors import is_transient
+from ..observability.logs import RateLimitFilter
+from .connection import AdminConnection
+from .http import AdminRequest, HttpResponse
+from .routes import AdminHandler, find_route
 
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
--- a/qos_gateway/server/accept_drain.py
+++ b/qos_gateway/server/clients/accept_drain.py
@@ -5,10 +5,10 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from .close_reasons import CloseReason
+from ..observability.close_reasons import CloseReason
 
 if TYPE_CHECKING:
-    from .client_connections import ClientConnections
+    from .connections import ClientConnections
 
 ACCEPT_DRAIN_QUIET_S = 0.5  # without a new connection, then the socket closes; the front needs 0.4 to notice
 ACCEPT_DRAIN_MAX_S = 0.9  # then it closes all the same: not all who connect heed the front
--- a/qos_gateway/server/close_guard.py
+++ b/qos_gateway/server/clients/close_guard.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable, Sequence
 
-from .close_reasons import CLIENT_CAUSED, CloseReason
-from .invariants import Invariant, InvariantMonitor
-from .metrics import Metrics
-from .request_log import log_client_close
+from ..observability.close_reasons import CLIENT_CAUSED, CloseReason
+from ..observability.invariants import Invariant, InvariantMonitor
+from ..observability.metrics import Metrics
+from ..requests.request_log import log_client_close
 
 
 class CloseGuard:
--- a/qos_gateway/server/client_input.py
+++ b/qos_gateway/server/clients/command_reader.py
@@ -7,10 +7,10 @@
 
 import hiredis
 
-from .resp import CommandFrames, FrameError
+from ..networking.resp import CommandFrames, FrameError
 
 if TYPE_CHECKING:
-    from .client_connections import ClientConnections
+    from .connections import ClientConnections
 
 
 class CommandSyntaxError(ValueError):
--- a/qos_gateway/server/client_commands.py
+++ b/qos_gateway/server/clients/commands.py
@@ -7,7 +7,7 @@
 from .request_parser import GET_COMMAND, POST_COMMAND, InvalidCommandError
 
 if TYPE_CHECKING:
-    from .client_connections import ClientConnections
+    from .connections import ClientConnections
     from .pending_replies import PendingReply
 
 PING_COMMAND = b"PING"
--- a/qos_gateway/server/client_connection.py
+++ b/qos_gateway/server/clients/connection.py
@@ -6,16 +6,16 @@
 import logging
 from typing import TYPE_CHECKING
 
-from .backends import FlowControl
-from .client_commands import one_line, serve_command, shed_command
-from .client_input import CommandReader, CommandSyntaxError, DeferredInput
-from .client_socket import ClientSocketProtocol, has_unread_bytes, untaken_bytes
-from .close_reasons import CloseReason
-from .logs import RateLimitFilter
+from ..networking.value_stream import FlowControl
+from ..observability.close_reasons import CloseReason
+from ..observability.logs import RateLimitFilter
+from .command_reader import CommandReader, CommandSyntaxError, DeferredInput
+from .commands import one_line, serve_command, shed_command
 from .pending_replies import PendingReply, ReplyQueue, StreamedReply
+from .socket_protocol import ClientSocketProtocol, has_unread_bytes, untaken_bytes
 
 if TYPE_CHECKING:
-    from .client_connections import ClientConnections
+    from .connections import ClientConnections
 
 log = logging.getLogger("qos_gateway.server.clients")  # one for all of the client side, limited in common
 log.addFilter(RateLimitFilter())
--- a/qos_gateway/server/client_connections.py
+++ b/qos_gateway/server/clients/connections.py
@@ -7,18 +7,18 @@
 from collections.abc import Iterator
 from typing import Protocol, cast
 
-from ..units import SECOND
+from ...units import SECOND
+from ..config import Config
+from ..networking.transient_errors import retry_transient
+from ..observability.close_reasons import CloseReason
 from .accept_drain import ACCEPT_DRAIN_QUIET_S, AcceptDrain
-from .client_connection import ClientConnection
-from .client_timeouts import enforce_timeouts
 from .close_guard import CloseGuard
-from .close_reasons import CloseReason
-from .config import Config
+from .connection import ClientConnection
 from .hangup_monitor import HangupMonitor
 from .listener import Listener, bound_socket, inherited_socket
 from .pending_replies import PendingReply
 from .request_parser import ClientRequest, RequestParser
-from .transient_errors import retry_transient
+from .timeouts import enforce_timeouts
 
 CHECK_INTERVAL_S = 0.25  # between two looks at all connections for those past their time-outs
 SCARCE_FRACTION = 0.75  # of the limit on connections, above which they are scarce
--- a/qos_gateway/server/hangup_monitor.py
+++ b/qos_gateway/server/clients/hangup_monitor.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-from .client_connection import ClientConnection
-from .close_reasons import CloseReason
+from ..observability.close_reasons import CloseReason
+from .connection import ClientConnection
 
 HANGUP_CHECK_INTERVAL_S = 0.05  # a client's end has to be noticed within 0.3 s
 
--- a/qos_gateway/server/listener.py
+++ b/qos_gateway/server/clients/listener.py
@@ -8,8 +8,8 @@
 import socket
 from collections.abc import Callable
 
-from .config import Address
-from .logs import RateLimitFilter
+from ..config import Address
+from ..observability.logs import RateLimitFilter
 
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
--- a/qos_gateway/server/pending_replies.py
+++ b/qos_gateway/server/clients/pending_replies.py
@@ -8,11 +8,11 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from .backends import FlowControl
+from ..networking.value_stream import FlowControl
 
 if TYPE_CHECKING:
-    from .client_connection import ClientConnection
-    from .client_connections import ClientConnections
+    from .connection import ClientConnection
+    from .connections import ClientConnections
 
 
 class PendingReply:
--- a/qos_gateway/server/request_parser.py
+++ b/qos_gateway/server/clients/request_parser.py
@@ -5,8 +5,8 @@
 import re
 from dataclasses import dataclass
 
-from ..types import Idempotence
-from .config import Config
+from ...types import Idempotence
+from ..config import Config
 
 MAX_PAIRS_BYTES = 1024  # of a command's names and values
 MAX_WAIT_MS = 86_400_000  # no client waits longer than a day
--- a/qos_gateway/server/client_timeouts.py
+++ b/qos_gateway/server/clients/timeouts.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from .client_connection import ClientConnection, log
-from .close_reasons import CloseReason
+from ..observability.close_reasons import CloseReason
+from .connection import ClientConnection, log
 
 COMMAND_TIMEOUT_S = (
     2.6  # from connecting or a command's first byte to its last: slow clients need 2, 3 is late
--- a/qos_gateway/server/config.py
+++ b/qos_gateway/server/config/__init__.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Mapping
 
-from .config_environment import CONFIG_PATH, config_path, without_discovery
-from .config_json import ConfigError, ConfigUnreadableError, flatten, read_object
-from .config_parser import MAX_LEASE_S, MIN_LEASE_S, address, parse
-from .config_types import Address, Config, needs_restart
+from .environment import CONFIG_PATH, config_path, without_discovery
+from .json_values import ConfigError, ConfigUnreadableError, flatten, read_object
+from .parser import MAX_LEASE_S, MIN_LEASE_S, address, parse
+from .types import Address, Config, needs_restart
 
 __all__ = [
     "MAX_LEASE_S",
--- a/qos_gateway/server/config_environment.py
+++ b/qos_gateway/server/config/environment.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from .config_json import ConfigError
+from .json_values import ConfigError
 
 CONFIG_PATH = "ROUTER_CONFIG"
 NAME = "ROUTER_NAME"
--- a/qos_gateway/server/config_json.py
+++ b/qos_gateway/server/config/json_values.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any, TypeAlias, cast
 
-from .transient_errors import is_transient
+from ..networking.transient_errors import is_transient
 
 JsonObject: TypeAlias = dict[str, Any]
 """A JSON object whose values have not been checked."""
--- a/qos_gateway/server/config_parser.py
+++ b/qos_gateway/server/config/parser.py
@@ -5,12 +5,12 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
 
-from ..simulator.settings import SettingsError, parse_settings
-from ..types import Settings
-from ..units import SECOND
-from .config_environment import EnvironmentOverrides
-from .config_json import ConfigError, JsonObject, JsonSection, flatten
-from .config_types import Address, Config
+from ...simulator.settings import SettingsError, parse_settings
+from ...types import Settings
+from ...units import SECOND
+from .environment import EnvironmentOverrides
+from .json_values import ConfigError, JsonObject, JsonSection, flatten
+from .types import Address, Config
 
 DEFAULT_NAME = "gateway"
 DEFAULT_SEED = "0"  # hexadecimal
--- a/qos_gateway/server/config_reload.py
+++ b/qos_gateway/server/config/reloader.py
@@ -8,8 +8,8 @@
 import time
 from collections.abc import Callable, Mapping
 
-from .config import Config, ConfigError, ConfigUnreadableError, load, reload
-from .transient_errors import RETRY_INTERVAL_S, START_RETRY_TIME_S
+from ..config import Config, ConfigError, ConfigUnreadableError, load, reload
+from ..networking.transient_errors import RETRY_INTERVAL_S, START_RETRY_TIME_S
 
 log = logging.getLogger(__name__)
 
--- a/qos_gateway/server/config_types.py
+++ b/qos_gateway/server/config/types.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, fields
 from typing import TypeAlias
 
-from ..types import Settings
-from .config_json import JsonObject
+from ...types import Settings
+from .json_values import JsonObject
 
 Address: TypeAlias = tuple[str, int]
 """Host and port, in the form that asyncio and the socket module take."""
--- /dev/null
+++ b/qos_gateway/server/counter/__init__.py
@@ -0,0 +1,1 @@
+"""The client of the quota counter."""
--- a/qos_gateway/server/counter.py
+++ b/qos_gateway/server/counter/client.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ..types import CounterReplied, Outcome
-from ..units import SECOND
-from .config import Address
-from .counter_connection import CounterConnection, PendingIncrement, PendingRequest
-from .counter_connections import CounterConnections
-from .counter_protocol import CounterResponse
+from ...types import CounterReplied, Outcome
+from ...units import SECOND
+from ..config import Address
+from .connection import CounterConnection, PendingIncrement, PendingRequest
+from .connections import CounterConnections
+from .protocol import CounterResponse
 
 CHECK_INTERVAL_S = 0.25  # between looks at the connections
 MIN_EXPIRY_DELAY_S = 0.001  # a timer that is due at once would spin the loop
--- a/qos_gateway/server/counter_connection.py
+++ b/qos_gateway/server/counter/connection.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Protocol, cast
 
-from .counter_protocol import (
+from .protocol import (
     MAX_RESPONSE_BYTES,
     PING_REQUEST,
     CounterResponse,
--- a/qos_gateway/server/counter_connections.py
+++ b/qos_gateway/server/counter/connections.py
@@ -7,10 +7,10 @@
 import random
 from typing import Protocol
 
-from .config import Address
-from .counter_connection import MAX_PENDING, CounterConnection, PendingIncrement, PendingPing, PendingRequest
-from .counter_protocol import CounterResponse
-from .logs import RateLimitFilter
+from ..config import Address
+from ..observability.logs import RateLimitFilter
+from .connection import MAX_PENDING, CounterConnection, PendingIncrement, PendingPing, PendingRequest
+from .protocol import CounterResponse
 
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
--- a/qos_gateway/server/counter_protocol.py
+++ b/qos_gateway/server/counter/protocol.py
@@ -5,8 +5,8 @@
 import re
 from dataclasses import dataclass
 
-from ..types import Outcome
-from ..units import MILLISECOND
+from ...types import Outcome
+from ...units import MILLISECOND
 
 MAX_RESPONSE_BYTES = 512  # several times the longest response
 MAX_TIME_TO_LIVE_MS = 60_000  # the counter accepts no more
--- /dev/null
+++ b/qos_gateway/server/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""The client of discovery, and the endpoint list on its way into the process."""
--- a/qos_gateway/server/discovery.py
+++ b/qos_gateway/server/discovery/client.py
@@ -8,15 +8,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from .config import Address
-from .discovery_watch import WatchConnection
+from ..config import Address
 from .endpoint_list import EndpointUpdate, ListError, endpoint_id, parse_update
-from .watch_schedule import (
-    FIRST_LIST_DEADLINE_S,
-    MAX_BACKOFF_S,
-    PROPAGATION_DEADLINE_S,
-    WatchSchedule,
-)
+from .watch_connection import WatchConnection
+from .watch_schedule import FIRST_LIST_DEADLINE_S, MAX_BACKOFF_S, PROPAGATION_DEADLINE_S, WatchSchedule
 from .watched_list import WatchedList
 
 __all__ = ["DiscoveryClient", "EndpointUpdate", "ListError", "endpoint_id", "parse_update"]
--- a/qos_gateway/server/endpoint_directory.py
+++ b/qos_gateway/server/discovery/endpoint_directory.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Iterable
 
-from ..types import Endpoint, Health, ListKind
-from .backends import BackendConnections
-from .config import Address
-from .discovery import EndpointUpdate
+from ...types import Endpoint, Health, ListKind
+from ..config import Address
+from ..endpoints.connections import BackendConnections
+from .endpoint_list import EndpointUpdate
 
 
 class EndpointDirectory:
--- a/qos_gateway/server/endpoint_feed.py
+++ b/qos_gateway/server/discovery/endpoint_feed.py
@@ -5,12 +5,12 @@
 import asyncio
 import logging
 
-from ..types import ListKind, Topology
-from .backends import BackendConnections
-from .config import Config
-from .discovery import EndpointUpdate, ListError, parse_update
+from ...types import ListKind, Topology
+from ..config import Config
+from ..endpoints.connections import BackendConnections
+from ..event_dispatcher import EventDispatcher
 from .endpoint_directory import EndpointDirectory
-from .event_dispatcher import EventDispatcher
+from .endpoint_list import EndpointUpdate, ListError, parse_update
 
 log = logging.getLogger(__name__)
 
--- a/qos_gateway/server/endpoint_list.py
+++ b/qos_gateway/server/discovery/endpoint_list.py
@@ -7,9 +7,9 @@
 from hashlib import blake2b
 from typing import Any
 
-from ..types import Endpoint, Health, ListKind, Topology
-from ..units import MILLISECOND
-from .config import Address, ConfigError, address
+from ...types import Endpoint, Health, ListKind, Topology
+from ...units import MILLISECOND
+from ..config import Address, ConfigError, address
 
 ENDPOINT_ID_BYTES = 6
 _HEALTH = {"in_service": Health.READY, "terminating": Health.DRAINING, "terminated": Health.REMOVED}
--- a/qos_gateway/server/watched_list.py
+++ b/qos_gateway/server/discovery/watched_list.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 from typing import Any
 
-from ..types import Endpoint, Health, ListKind
-from ..units import MILLISECOND
+from ...types import Endpoint, Health, ListKind
+from ...units import MILLISECOND
 from .endpoint_list import EndpointUpdate
 
 MAX_LEAVING_ENDPOINTS = 1024  # several whole fleets
--- /dev/null
+++ b/qos_gateway/server/endpoints/__init__.py
@@ -0,0 +1,1 @@
+"""Connections to the endpoints: pools, the attempts that run on them, and the responses."""
--- a/qos_gateway/server/attempt.py
+++ b/qos_gateway/server/endpoints/attempt.py
@@ -7,12 +7,12 @@
 
 import hiredis
 
-from ..types import Outcome
-from ..units import MILLISECOND
+from ...types import Outcome
+from ...units import MILLISECOND
 from .responses import read_probe_response, read_response
 
 if TYPE_CHECKING:
-    from .backend_connection import BackendConnection
+    from .connection import BackendConnection
 
 CommandParts = tuple[tuple[bytes, ...], bytes, bytes, tuple[bytes, ...]]
 
--- a/qos_gateway/server/backend_connection.py
+++ b/qos_gateway/server/endpoints/connection.py
@@ -11,9 +11,9 @@
 
 import hiredis
 
-from ..types import Outcome
+from ...types import Outcome
+from ..observability.logs import RateLimitFilter
 from .attempt import Attempt
-from .logs import RateLimitFilter
 from .response_receiver import ResponseReceiver
 from .responses import AttemptResult
 
--- a/qos_gateway/server/connection_pool.py
+++ b/qos_gateway/server/endpoints/connection_pool.py
@@ -4,15 +4,15 @@
 
 from typing import TYPE_CHECKING, cast
 
-from ..types import Outcome
+from ...types import Outcome
+from ..config import Address
+from ..networking.transient_errors import is_shortage
 from .attempt import Attempt
-from .backend_connection import BackendConnection
-from .config import Address
+from .connection import BackendConnection
 from .responses import AttemptResult
-from .transient_errors import is_shortage
 
 if TYPE_CHECKING:
-    from .backends import BackendConnections
+    from .connections import BackendConnections
 
 REUSE_DELAY_S = 0.005  # idle after a response where another connection is free: a repeat of it may follow
 
--- a/qos_gateway/server/backends.py
+++ b/qos_gateway/server/endpoints/connections.py
@@ -5,16 +5,16 @@
 import asyncio
 from collections.abc import Callable
 
-from ..types import Outcome
+from ...types import Outcome
+from ..config import Address
+from ..networking.clock import monotonic_unix_ns
+from ..networking.value_stream import FlowControl, ResponseSink
+from ..observability.metrics import Metrics
 from .attempt import Attempt, ProbeAttempt
-from .clock import monotonic_unix_ns
-from .config import Address
 from .connection_pool import REUSE_DELAY_S, ConnectionPool
 from .keep_alive import KeepAliveEstimator
-from .metrics import Metrics
 from .response_receiver import ResponseStartedCallback
 from .responses import AttemptResult, LoadReport
-from .value_stream import FlowControl, ResponseSink
 
 __all__ = [
     "REUSE_DELAY_S",
--- a/qos_gateway/server/response_receiver.py
+++ b/qos_gateway/server/endpoints/response_receiver.py
@@ -6,11 +6,11 @@
 
 import hiredis
 
-from ..types import Outcome
+from ...types import Outcome
+from ..networking.resp import ResponseFrames
+from ..networking.value_stream import FlowControl, ResponseSink, ValueStream
 from .attempt import Attempt
-from .resp import ResponseFrames
 from .responses import AttemptResult
-from .value_stream import FlowControl, ResponseSink, ValueStream
 
 RESPONSE_STALL_TIMEOUT_S = 0.25  # without a further byte of a response; far over a slow writer's gaps
 LARGE_RESPONSE_STALL_TIMEOUT_S = 5.0  # longer: the client has the first bytes, and no retry can follow
--- a/qos_gateway/server/responses.py
+++ b/qos_gateway/server/endpoints/responses.py
@@ -8,7 +8,7 @@
 
 import hiredis
 
-from ..types import Outcome
+from ...types import Outcome
 
 # What the protocol writes, not all that Python reads as a number: no sign and no infinity.
 _match_number = re.compile(rb"[0-9]{1,20}(?:\.[0-9]{1,20})?(?:[eE][+-]?[0-9]{1,2})?").fullmatch
--- a/qos_gateway/server/gateway.py
+++ b/qos_gateway/server/gateway.py
@@ -9,29 +9,31 @@
 from ..types import CounterReplied
 from ..units import MILLISECOND, SECOND
 from .action_executor import ActionExecutor, ActionTargets
-from .activity_log import ActivityLog, ActivitySources
-from .admin import AdminServer
-from .admin_operations import AdminOperations, AdminTargets
-from .backends import BackendConnections, monotonic_unix_ns
-from .clients import ClientConnections
-from .close_guard import CloseGuard
+from .admin.operations import AdminOperations, AdminTargets
+from .admin.server import AdminServer
+from .clients.close_guard import CloseGuard
+from .clients.connections import ClientConnections
 from .config import Config, needs_restart
-from .counter import CounterClient
-from .discovery import DiscoveryClient, EndpointUpdate
-from .endpoint_directory import EndpointDirectory
-from .endpoint_feed import FIRST_LIST_TIMEOUT_S, SOCKET_POLL_S, EndpointFeed
+from .counter.client import CounterClient
+from .discovery.client import DiscoveryClient
+from .discovery.endpoint_directory import EndpointDirectory
+from .discovery.endpoint_feed import FIRST_LIST_TIMEOUT_S, SOCKET_POLL_S, EndpointFeed
+from .discovery.endpoint_list import EndpointUpdate
+from .endpoints.connections import BackendConnections
 from .event_dispatcher import EventDispatcher
-from .handover import Handover, SharedParts
-from .handover_channel import HandoverChannel
-from .invariants import InvariantMonitor
-from .metrics import Metrics
-from .open_requests import OpenRequests
+from .handover.channel import HandoverChannel
+from .handover.handover import Handover, SharedParts
+from .networking.clock import monotonic_unix_ns
+from .networking.transient_errors import retry_transient
+from .observability.activity_log import ActivityLog, ActivitySources
+from .observability.invariants import InvariantMonitor
+from .observability.metrics import Metrics
 from .peers import Peers
-from .repeat_guard import RepeatGuard
-from .request_attempts import RequestAttempts
-from .send_guard import SendGuard
+from .requests.open_requests import OpenRequests
+from .requests.repeat_guard import RepeatGuard
+from .requests.request_attempts import RequestAttempts
+from .requests.send_guard import SendGuard
 from .start_guard import check_start, check_stop
-from .transient_errors import retry_transient
 
 log = logging.getLogger(__name__)
 
--- a/qos_gateway/server/handover_channel.py
+++ b/qos_gateway/server/handover/channel.py
@@ -16,7 +16,7 @@
 from typing import Protocol, cast
 from urllib.parse import quote
 
-from .handover_messages import (
+from .messages import (
     Acknowledgement,
     EndpointDisabled,
     HandoverMessageError,
--- a/qos_gateway/server/handover.py
+++ b/qos_gateway/server/handover/handover.py
@@ -6,15 +6,16 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from ..decisions.engine import INCOMING_FRACTION, OUTGOING_FRACTION
-from ..decisions.handover import HandoverFractions, capture, complete, restore
-from ..types import SetEndpointEnabled, Settings
-from .backends import BackendConnections
-from .clients import ClientConnections
-from .discovery import DiscoveryClient, EndpointUpdate
-from .endpoint_directory import EndpointDirectory
-from .event_dispatcher import EventDispatcher
-from .handover_messages import HandoverState, ReceivedState
+from ...decisions.engine import INCOMING_FRACTION, OUTGOING_FRACTION
+from ...decisions.handover import HandoverFractions, capture, complete, restore
+from ...types import SetEndpointEnabled, Settings
+from ..clients.connections import ClientConnections
+from ..discovery.client import DiscoveryClient
+from ..discovery.endpoint_directory import EndpointDirectory
+from ..discovery.endpoint_list import EndpointUpdate
+from ..endpoints.connections import BackendConnections
+from ..event_dispatcher import EventDispatcher
+from .messages import HandoverState, ReceivedState
 
 log = logging.getLogger(__name__)
 
--- a/qos_gateway/server/handover_messages.py
+++ b/qos_gateway/server/handover/messages.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..decisions.snapshot import (
+from ...decisions.snapshot import (
     EngineSnapshot,
     JsonObject,
     SnapshotFormatError,
--- /dev/null
+++ b/qos_gateway/server/observability/__init__.py
@@ -0,0 +1,1 @@
+"""Metrics, logs, and run-time checks of invariants."""
--- a/qos_gateway/server/activity_log.py
+++ b/qos_gateway/server/observability/activity_log.py
@@ -7,10 +7,10 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from ..types import Outcome
-from .backends import BackendConnections
-from .clients import ClientConnections
-from .open_requests import OpenRequests
+from ...types import Outcome
+from ..clients.connections import ClientConnections
+from ..endpoints.connections import BackendConnections
+from ..requests.open_requests import OpenRequests
 
 log = logging.getLogger(__name__)
 
--- a/qos_gateway/server/metrics.py
+++ b/qos_gateway/server/observability/metrics.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from typing import TypeVar
 
-from ..types import RejectReason
+from ...types import RejectReason
 from .close_reasons import CloseReason
 from .invariants import Invariant
 from .retry_causes import RetryCause
--- a/qos_gateway/server/retry_causes.py
+++ b/qos_gateway/server/observability/retry_causes.py
@@ -4,7 +4,7 @@
 
 from enum import Enum
 
-from ..types import Outcome
+from ...types import Outcome
 
 
 class RetryCause(Enum):
--- a/qos_gateway/server/open_requests.py
+++ b/qos_gateway/server/requests/open_requests.py
@@ -7,12 +7,13 @@
 from itertools import count
 from typing import Protocol
 
-from ..types import Arrival, ClientDisconnected, Fail, Reject, RejectReason, Settings
-from ..units import MILLISECOND, SECOND
-from .backends import Attempt
-from .clients import ClientRequest, InvalidCommandError, PendingReply
-from .event_dispatcher import EventDispatcher
-from .metrics import Metrics, RequestResult
+from ...types import Arrival, ClientDisconnected, Fail, Reject, RejectReason, Settings
+from ...units import MILLISECOND, SECOND
+from ..clients.pending_replies import PendingReply
+from ..clients.request_parser import ClientRequest, InvalidCommandError
+from ..endpoints.attempt import Attempt
+from ..event_dispatcher import EventDispatcher
+from ..observability.metrics import Metrics, RequestResult
 from .repeat_guard import RepeatGuard
 from .request_log import log_rejection
 
--- a/qos_gateway/server/repeat_guard.py
+++ b/qos_gateway/server/requests/repeat_guard.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from ..types import NOT_EXECUTED, Endpoint, Idempotence, IdempotencyScope, RequestClass, Settings
-from .attempt import Attempt
-from .invariants import Invariant, InvariantMonitor
+from ...types import NOT_EXECUTED, Endpoint, Idempotence, IdempotencyScope, RequestClass, Settings
+from ..endpoints.attempt import Attempt
+from ..observability.invariants import Invariant, InvariantMonitor
 
 
 class RepeatedRequest(Protocol):
--- a/qos_gateway/server/request_attempts.py
+++ b/qos_gateway/server/requests/request_attempts.py
@@ -7,14 +7,17 @@
 from collections.abc import Callable
 from typing import cast
 
-from ..types import AttemptEnded, CancelAttempt, Outcome, ProbeEnded, ResponseStarted, Send, Settings
-from ..units import SECOND
-from .activity_log import ActivityLog
-from .backends import Attempt, BackendConnections, FlowControl, LoadReport, ProbeAttempt
-from .clients import StreamedReply
-from .close_reasons import CloseReason
-from .event_dispatcher import EventDispatcher
-from .metrics import Metrics, RequestResult
+from ...types import AttemptEnded, CancelAttempt, Outcome, ProbeEnded, ResponseStarted, Send, Settings
+from ...units import SECOND
+from ..clients.pending_replies import StreamedReply
+from ..endpoints.attempt import Attempt, ProbeAttempt
+from ..endpoints.connections import BackendConnections
+from ..endpoints.responses import LoadReport
+from ..event_dispatcher import EventDispatcher
+from ..networking.value_stream import FlowControl
+from ..observability.activity_log import ActivityLog
+from ..observability.close_reasons import CloseReason
+from ..observability.metrics import Metrics, RequestResult
 from .open_requests import FAILED_ANSWER, OpenRequest, OpenRequests
 from .repeat_guard import RepeatGuard
 from .request_log import log_retry, retry_cause
--- a/qos_gateway/server/request_log.py
+++ b/qos_gateway/server/requests/request_log.py
@@ -8,10 +8,10 @@
 import logging
 from collections.abc import Sequence
 
-from ..types import RejectReason
-from .attempt import Attempt
-from .close_reasons import CloseReason
-from .retry_causes import CAUSE_OF_OUTCOME, RetryCause
+from ...types import RejectReason
+from ..endpoints.attempt import Attempt
+from ..observability.close_reasons import CloseReason
+from ..observability.retry_causes import CAUSE_OF_OUTCOME, RetryCause
 
 log = logging.getLogger(__name__)
 
--- a/qos_gateway/server/send_guard.py
+++ b/qos_gateway/server/requests/send_guard.py
@@ -4,8 +4,8 @@
 
 from typing import Protocol
 
-from .attempt import Attempt
-from .invariants import Invariant, InvariantMonitor
+from ..endpoints.attempt import Attempt
+from ..observability.invariants import Invariant, InvariantMonitor
 
 
 class WaitingRequest(Protocol):
--- a/qos_gateway/server/start_guard.py
+++ b/qos_gateway/server/start_guard.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .invariants import Invariant, InvariantMonitor
+from .observability.invariants import Invariant, InvariantMonitor
 
 
 def check_start(monitor: InvariantMonitor, engine_has_list: bool, discovery_has_unread: bool) -> None:
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -23,22 +23,23 @@
 from qos_gateway.decisions.requests import retry_policy
 from qos_gateway.decisions.requests.hedging import Hedging
 from qos_gateway.decisions.requests.retry_budget import RetryBudget
-from qos_gateway.server import client_timeouts, endpoint_list
 from qos_gateway.server import gateway as gateway_module
-from qos_gateway.server.admin_operations import AdminOperations
-from qos_gateway.server.attempt import Attempt
-from qos_gateway.server.backend_connection import BackendConnection
-from qos_gateway.server.client_socket import ClientSocketProtocol
+from qos_gateway.server.admin.operations import AdminOperations
+from qos_gateway.server.clients import timeouts as client_timeouts
+from qos_gateway.server.clients.pending_replies import ReplyQueue
+from qos_gateway.server.clients.socket_protocol import ClientSocketProtocol
 from qos_gateway.server.config import load
-from qos_gateway.server.connection_pool import ConnectionPool
+from qos_gateway.server.discovery import endpoint_list
+from qos_gateway.server.discovery.watched_list import WatchedList
+from qos_gateway.server.endpoints.attempt import Attempt
+from qos_gateway.server.endpoints.connection import BackendConnection
+from qos_gateway.server.endpoints.connection_pool import ConnectionPool
 from qos_gateway.server.gateway import GatewayProcess
-from qos_gateway.server.open_requests import OpenRequests
-from qos_gateway.server.pending_replies import ReplyQueue
-from qos_gateway.server.repeat_guard import RepeatGuard
-from qos_gateway.server.request_attempts import RequestAttempts
-from qos_gateway.server.send_guard import SendGuard
+from qos_gateway.server.requests.open_requests import OpenRequests
+from qos_gateway.server.requests.repeat_guard import RepeatGuard
+from qos_gateway.server.requests.request_attempts import RequestAttempts
+from qos_gateway.server.requests.send_guard import SendGuard
 from qos_gateway.server.start_guard import check_start
-from qos_gateway.server.watched_list import WatchedList
 from qos_gateway.types import Health, RequestClass
 from qos_gateway.units import SECOND
 
--- a/tests/server/test_admin.py
+++ b/tests/server/test_admin.py
@@ -8,12 +8,13 @@
 
 import pytest
 
-from qos_gateway.server import admin, admin_connection
-from qos_gateway.server.admin import AdminServer
-from qos_gateway.server.close_reasons import CloseReason
-from qos_gateway.server.invariants import Invariant, InvariantMonitor
-from qos_gateway.server.metrics import Gauges, Metrics, RequestResult, render
-from qos_gateway.server.retry_causes import RetryCause
+from qos_gateway.server.admin import connection as admin_connection
+from qos_gateway.server.admin import server as admin
+from qos_gateway.server.admin.server import AdminServer
+from qos_gateway.server.observability.close_reasons import CloseReason
+from qos_gateway.server.observability.invariants import Invariant, InvariantMonitor
+from qos_gateway.server.observability.metrics import Gauges, Metrics, RequestResult, render
+from qos_gateway.server.observability.retry_causes import RetryCause
 from qos_gateway.types import RejectReason
 from tests.support.servers import (
     LOOPBACK,
--- a/tests/server/test_attempts_given_up.py
+++ b/tests/server/test_attempts_given_up.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from qos_gateway.server.backends import REUSE_DELAY_S
+from qos_gateway.server.endpoints.connection_pool import REUSE_DELAY_S
 from qos_gateway.types import Outcome
 from tests.support.backend_harness import backend_harness
 from tests.support.servers import LOOPBACK, run_on_loop, success_reply, with_timeout
--- a/tests/server/test_backends.py
+++ b/tests/server/test_backends.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from qos_gateway.server import response_receiver
-from qos_gateway.server.clock import monotonic_unix_ns
-from qos_gateway.server.resp import ResponseFrames
-from qos_gateway.server.responses import AttemptResult, LoadReport, read_load_report, read_response
+from qos_gateway.server.endpoints import response_receiver
+from qos_gateway.server.endpoints.responses import AttemptResult, LoadReport, read_load_report, read_response
+from qos_gateway.server.networking.clock import monotonic_unix_ns
+from qos_gateway.server.networking.resp import ResponseFrames
 from qos_gateway.types import Outcome
 from tests.support.backend_harness import backend_harness
 from tests.support.servers import (
--- a/tests/server/test_client_connections.py
+++ b/tests/server/test_client_connections.py
@@ -7,7 +7,9 @@
 import hiredis
 import pytest
 
-from qos_gateway.server import client_connection, client_connections, client_timeouts
+from qos_gateway.server.clients import connection as client_connection
+from qos_gateway.server.clients import connections as client_connections
+from qos_gateway.server.clients import timeouts as client_timeouts
 from qos_gateway.types import (
     Action,
     Arrival,
--- a/tests/server/test_client_disconnects.py
+++ b/tests/server/test_client_disconnects.py
@@ -10,7 +10,8 @@
 
 import pytest
 
-from qos_gateway.server import backends, client_connection
+from qos_gateway.server.clients import connection as client_connection
+from qos_gateway.server.endpoints import connections as backends
 from qos_gateway.server.gateway import GatewayProcess
 from qos_gateway.types import Action, Arrival, AttemptEnded, ClientDisconnected, Outcome, Reject, Send
 from tests.support.scripted_engine import ScriptedEngine, only_backend, script_engine
--- a/tests/server/test_connection_ends.py
+++ b/tests/server/test_connection_ends.py
@@ -8,7 +8,8 @@
 
 import pytest
 
-from qos_gateway.server import client_connections, client_socket
+from qos_gateway.server.clients import connections as client_connections
+from qos_gateway.server.clients import socket_protocol as client_socket
 from tests.support.servers import (
     call_command,
     gateway_harness,
--- a/tests/server/test_connection_pool.py
+++ b/tests/server/test_connection_pool.py
@@ -10,9 +10,9 @@
 import hiredis
 import pytest
 
-from qos_gateway.server import connection_pool
-from qos_gateway.server.clock import monotonic_unix_ns
-from qos_gateway.server.keep_alive import KeepAliveEstimator
+from qos_gateway.server.endpoints import connection_pool
+from qos_gateway.server.endpoints.keep_alive import KeepAliveEstimator
+from qos_gateway.server.networking.clock import monotonic_unix_ns
 from qos_gateway.types import Outcome
 from tests.support.backend_harness import backend_harness
 from tests.support.descriptors import no_descriptors_left
--- a/tests/server/test_counter.py
+++ b/tests/server/test_counter.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from qos_gateway.server import counter_connections
 from qos_gateway.server.config import parse
-from qos_gateway.server.counter import CounterClient
-from qos_gateway.server.counter_connections import CONNECTIONS
-from qos_gateway.server.counter_protocol import CounterResponse, encode_increment, parse_increment_response
+from qos_gateway.server.counter import connections as counter_connections
+from qos_gateway.server.counter.client import CounterClient
+from qos_gateway.server.counter.connections import CONNECTIONS
+from qos_gateway.server.counter.protocol import CounterResponse, encode_increment, parse_increment_response
 from qos_gateway.types import CounterReplied, Outcome
 from tests.support.servers import (
     LOOPBACK,
--- a/tests/server/test_descriptor_limits.py
+++ b/tests/server/test_descriptor_limits.py
@@ -15,8 +15,8 @@
 
 import pytest
 
-from qos_gateway.server import listener
-from qos_gateway.server.listener import Listener
+from qos_gateway.server.clients import listener
+from qos_gateway.server.clients.listener import Listener
 from tests.support.processes import COMMAND
 from tests.support.servers import (
     LOOPBACK,
--- a/tests/server/test_discovery.py
+++ b/tests/server/test_discovery.py
@@ -8,11 +8,12 @@
 
 import pytest
 
-from qos_gateway.server import discovery_watch, watch_schedule
-from qos_gateway.server.discovery import DiscoveryClient
-from qos_gateway.server.discovery_watch import WatchConnection
-from qos_gateway.server.endpoint_list import EndpointUpdate, parse_update
-from qos_gateway.server.watch_schedule import INITIAL_BACKOFF_S, MAX_BACKOFF_S, UPDATE_TIME_S
+from qos_gateway.server.discovery import watch_connection as discovery_watch
+from qos_gateway.server.discovery import watch_schedule
+from qos_gateway.server.discovery.client import DiscoveryClient
+from qos_gateway.server.discovery.endpoint_list import EndpointUpdate, parse_update
+from qos_gateway.server.discovery.watch_connection import WatchConnection
+from qos_gateway.server.discovery.watch_schedule import INITIAL_BACKOFF_S, MAX_BACKOFF_S, UPDATE_TIME_S
 from qos_gateway.types import Health, ListKind
 from qos_gateway.units import MILLISECOND
 from tests.support.servers import (
--- a/tests/server/test_discovery_deadlines.py
+++ b/tests/server/test_discovery_deadlines.py
@@ -14,11 +14,11 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from qos_gateway.server import discovery_watch
-from qos_gateway.server.discovery import CONNECT_TIMEOUT_S, DiscoveryClient
-from qos_gateway.server.discovery_watch import IDLE_TIMEOUT_S
-from qos_gateway.server.endpoint_list import EndpointUpdate
-from qos_gateway.server.watch_schedule import (
+from qos_gateway.server.discovery import watch_connection as discovery_watch
+from qos_gateway.server.discovery.client import CONNECT_TIMEOUT_S, DiscoveryClient
+from qos_gateway.server.discovery.endpoint_list import EndpointUpdate
+from qos_gateway.server.discovery.watch_connection import IDLE_TIMEOUT_S
+from qos_gateway.server.discovery.watch_schedule import (
     FIRST_LIST_DEADLINE_S,
     INITIAL_BACKOFF_S,
     OVERLOAD_MIN_WAIT_FRACTION,
--- a/tests/server/test_endpoint_directory.py
+++ b/tests/server/test_endpoint_directory.py
@@ -4,10 +4,10 @@
 
 from typing import cast
 
-from qos_gateway.server.backends import BackendConnections
 from qos_gateway.server.config import Address
-from qos_gateway.server.discovery import EndpointUpdate
-from qos_gateway.server.endpoint_directory import EndpointDirectory
+from qos_gateway.server.discovery.endpoint_directory import EndpointDirectory
+from qos_gateway.server.discovery.endpoint_list import EndpointUpdate
+from qos_gateway.server.endpoints.connections import BackendConnections
 from qos_gateway.types import Health, ListKind, Topology
 from tests.support.builders import backend
 
--- a/tests/server/test_endpoint_feed.py
+++ b/tests/server/test_endpoint_feed.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from qos_gateway.server.clients import ClientConnections
-from qos_gateway.server.endpoint_list import endpoint_id
+from qos_gateway.server.clients.connections import ClientConnections
+from qos_gateway.server.discovery.endpoint_list import endpoint_id
 from qos_gateway.server.gateway import GatewayProcess
 from tests.support.servers import (
     LOOPBACK,
@@ -46,9 +46,9 @@
 
 def test_old_list_serves_while_discovery_is_down(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr("qos_gateway.server.endpoint_feed.CACHED_LIST_TIMEOUT_S", 0.01)
+        monkeypatch.setattr("qos_gateway.server.discovery.endpoint_feed.CACHED_LIST_TIMEOUT_S", 0.01)
         monkeypatch.setattr(
-            "qos_gateway.server.endpoint_feed.FIRST_LIST_TIMEOUT_S", 600.0
+            "qos_gateway.server.discovery.endpoint_feed.FIRST_LIST_TIMEOUT_S", 600.0
         )  # only without a list
         gateway = GatewayProcess(make_config(1, endpoint_list(5, endpoint_entry("s-1", 1))))
         assert gateway.is_ready()
@@ -62,7 +62,7 @@
 
 def test_update_of_discovery_counts_though_the_starting_loop_lagged(monkeypatch: pytest.MonkeyPatch) -> None:
     """What the agent has binds from the first moment: the list last known must not serve beside it."""
-    monkeypatch.setattr("qos_gateway.server.endpoint_feed.CACHED_LIST_TIMEOUT_S", 0.5)
+    monkeypatch.setattr("qos_gateway.server.discovery.endpoint_feed.CACHED_LIST_TIMEOUT_S", 0.5)
     ready: list[bool] = []
 
     async def test() -> None:
@@ -87,7 +87,7 @@
 
 def test_without_any_list_a_ping_is_not_answered_with_pong(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr("qos_gateway.server.endpoint_feed.FIRST_LIST_TIMEOUT_S", 0.01)
+        monkeypatch.setattr("qos_gateway.server.discovery.endpoint_feed.FIRST_LIST_TIMEOUT_S", 0.01)
         async with gateway_harness() as harness:
             harness.discovery.send_update(endpoint_list(2))
             await wait_until(lambda: not harness.gateway.is_ready())
--- a/tests/server/test_graceful_shutdown.py
+++ b/tests/server/test_graceful_shutdown.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from qos_gateway.server import accept_drain
-from qos_gateway.server.listener import Listener
+from qos_gateway.server.clients import accept_drain
+from qos_gateway.server.clients.listener import Listener
 from qos_gateway.types import Arrival, Send
 from tests.support.processes import launched, running
 from tests.support.scripted_engine import only_backend, script_engine
--- a/tests/server/test_guards.py
+++ b/tests/server/test_guards.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from qos_gateway.server.attempt import Attempt
-from qos_gateway.server.invariants import Invariant, InvariantMonitor
-from qos_gateway.server.repeat_guard import RepeatGuard
-from qos_gateway.server.send_guard import SendGuard
+from qos_gateway.server.endpoints.attempt import Attempt
+from qos_gateway.server.observability.invariants import Invariant, InvariantMonitor
+from qos_gateway.server.requests.repeat_guard import RepeatGuard
+from qos_gateway.server.requests.send_guard import SendGuard
 from qos_gateway.server.start_guard import check_start, check_stop
 from qos_gateway.types import Action, Arrival, Health, Outcome, Reject, Send, Topology
 from qos_gateway.types.settings import IdempotencyScope, Settings
--- a/tests/server/test_handover.py
+++ b/tests/server/test_handover.py
@@ -8,8 +8,12 @@
 
 import pytest
 
-from qos_gateway.server.handover import EXTRA_BACKEND_CONNECTIONS, EXTRA_CLIENT_CONNECTIONS, FRACTIONS
-from qos_gateway.server.handover_messages import ReceivedState, StateResponse, encode_message
+from qos_gateway.server.handover.handover import (
+    EXTRA_BACKEND_CONNECTIONS,
+    EXTRA_CLIENT_CONNECTIONS,
+    FRACTIONS,
+)
+from qos_gateway.server.handover.messages import ReceivedState, StateResponse, encode_message
 from tests.support.servers import (
     GatewayHarness,
     call_command,
--- a/tests/server/test_handover_channel.py
+++ b/tests/server/test_handover_channel.py
@@ -11,9 +11,9 @@
 import pytest
 
 from qos_gateway.decisions.snapshot import decode_snapshot
-from qos_gateway.server import handover_channel
-from qos_gateway.server.handover_channel import HandoverChannel
-from qos_gateway.server.handover_messages import HandoverState
+from qos_gateway.server.handover import channel as handover_channel
+from qos_gateway.server.handover.channel import HandoverChannel
+from qos_gateway.server.handover.messages import HandoverState
 from tests.support.servers import run_on_loop, wait_until, with_timeout
 
 FIXTURES = Path(__file__).parent.parent / "fixtures"
--- a/tests/server/test_handover_messages.py
+++ b/tests/server/test_handover_messages.py
@@ -9,7 +9,7 @@
 import pytest
 
 from qos_gateway.decisions.snapshot import SnapshotFormatError, decode_snapshot
-from qos_gateway.server.handover_messages import (
+from qos_gateway.server.handover.messages import (
     Acknowledgement,
     EndpointDisabled,
     HandoverMessageError,
--- a/tests/server/test_large_values.py
+++ b/tests/server/test_large_values.py
@@ -7,8 +7,15 @@
 
 import pytest
 
-from qos_gateway.server import backend_connection, clients, response_receiver
-from qos_gateway.server.resp import MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES, FrameError, ResponseFrames
+from qos_gateway.server.clients import connections, timeouts
+from qos_gateway.server.endpoints import connection as backend_connection
+from qos_gateway.server.endpoints import response_receiver
+from qos_gateway.server.networking.resp import (
+    MAX_BUFFERED_VALUE_BYTES,
+    MAX_VALUE_BYTES,
+    FrameError,
+    ResponseFrames,
+)
 from qos_gateway.types import AttemptEnded, ClientDisconnected, Outcome, ResponseStarted, Send
 from tests.support.builders import SECOND
 from tests.support.scripted_engine import only_backend, pass_deadline, script_engine
@@ -304,8 +311,8 @@
 
 
 def test_client_may_spend_two_seconds_on_a_head() -> None:
-    assert clients.COMMAND_TIMEOUT_S > 2.0
-    assert clients.COMMAND_TIMEOUT_S + clients.CHECK_INTERVAL_S < 3.0
+    assert timeouts.COMMAND_TIMEOUT_S > 2.0
+    assert timeouts.COMMAND_TIMEOUT_S + connections.CHECK_INTERVAL_S < 3.0
 
 
 def test_frames_tell_where_a_large_value_begins() -> None:
--- a/tests/server/test_log_rate_limit.py
+++ b/tests/server/test_log_rate_limit.py
@@ -6,16 +6,16 @@
 
 import pytest
 
-from qos_gateway.server.backend_connection import log as backends_log
-from qos_gateway.server.clients import log as clients_log
-from qos_gateway.server.logs import MAX_LINES, WINDOW_S, RateLimitFilter
+from qos_gateway.server.clients.connection import log as clients_log
+from qos_gateway.server.endpoints.connection import log as backends_log
+from qos_gateway.server.observability.logs import MAX_LINES, WINDOW_S, RateLimitFilter
 
 
 def test_lines_over_the_limit_are_suppressed_and_counted(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     clock = [1000.0]
-    monkeypatch.setattr("qos_gateway.server.logs.time.monotonic", lambda: clock[0])
+    monkeypatch.setattr("qos_gateway.server.observability.logs.time.monotonic", lambda: clock[0])
     log = logging.getLogger("test.flood")
     log.addFilter(RateLimitFilter())
     for number in range(500):
--- a/tests/server/test_momentary_failures.py
+++ b/tests/server/test_momentary_failures.py
@@ -14,13 +14,14 @@
 
 import pytest
 
-from qos_gateway.server import admin, config_reload
-from qos_gateway.server.admin import AdminServer
+from qos_gateway.server.admin import server as admin
+from qos_gateway.server.admin.server import AdminServer
 from qos_gateway.server.config import ConfigUnreadableError
-from qos_gateway.server.config_reload import ConfigReloader, load_at_start
+from qos_gateway.server.config import reloader as config_reload
+from qos_gateway.server.config.reloader import ConfigReloader, load_at_start
 from qos_gateway.server.gateway import GatewayProcess
-from qos_gateway.server.handover_channel import HandoverChannel
-from qos_gateway.server.transient_errors import RETRY_INTERVAL_S
+from qos_gateway.server.handover.channel import HandoverChannel
+from qos_gateway.server.networking.transient_errors import RETRY_INTERVAL_S
 from tests.server.test_admin import FakeAdminHandler
 from tests.support.descriptors import no_descriptors_left
 from tests.support.processes import running
--- a/tests/server/test_periodic_checks.py
+++ b/tests/server/test_periodic_checks.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from qos_gateway.server import client_connections
+from qos_gateway.server.clients import connections as client_connections
 from tests.support.servers import FakeCounter, gateway_harness, listening, run_on_loop
 
 
--- a/tests/server/test_pipelined_deadlines.py
+++ b/tests/server/test_pipelined_deadlines.py
@@ -5,8 +5,8 @@
 import asyncio
 from collections.abc import Callable
 
-from qos_gateway.server import client_connection
-from qos_gateway.server.client_socket import has_unread_bytes
+from qos_gateway.server.clients import connection as client_connection
+from qos_gateway.server.clients.socket_protocol import has_unread_bytes
 from qos_gateway.types import Action, Arrival, Reject
 from qos_gateway.units import SECOND
 from tests.support.scripted_engine import script_engine
--- a/tests/server/test_process.py
+++ b/tests/server/test_process.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from qos_gateway.server.clients import ACCEPT_DRAIN_QUIET_S
+from qos_gateway.server.clients.accept_drain import ACCEPT_DRAIN_QUIET_S
 from tests.support.processes import COMMAND, running
 from tests.support.servers import (
     LOOPBACK,
--- a/tests/server/test_requests.py
+++ b/tests/server/test_requests.py
@@ -7,8 +7,8 @@
 import hiredis
 import pytest
 
-from qos_gateway.server.backends import Attempt
-from qos_gateway.server.request_attempts import MAX_QUOTA_USAGE_PERCENT
+from qos_gateway.server.endpoints.attempt import Attempt
+from qos_gateway.server.requests.request_attempts import MAX_QUOTA_USAGE_PERCENT
 from qos_gateway.types import (
     Action,
     Arrival,
--- a/tests/server/test_value_stream.py
+++ b/tests/server/test_value_stream.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from qos_gateway.server.value_stream import ValueStream
+from qos_gateway.server.networking.value_stream import ValueStream
 
 
 class RecordingSink:
--- a/tests/support/backend_harness.py
+++ b/tests/support/backend_harness.py
@@ -6,12 +6,12 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 
-from qos_gateway.server.attempt import Attempt
-from qos_gateway.server.backends import BackendConnections
-from qos_gateway.server.clock import monotonic_unix_ns
-from qos_gateway.server.metrics import Metrics
-from qos_gateway.server.responses import LoadReport
-from qos_gateway.server.value_stream import ResponseSink
+from qos_gateway.server.endpoints.attempt import Attempt
+from qos_gateway.server.endpoints.connections import BackendConnections
+from qos_gateway.server.endpoints.responses import LoadReport
+from qos_gateway.server.networking.clock import monotonic_unix_ns
+from qos_gateway.server.networking.value_stream import ResponseSink
+from qos_gateway.server.observability.metrics import Metrics
 from qos_gateway.types import Outcome
 from tests.support.servers import (
     LOOPBACK,
