--- a/qos_gateway/decisions/quota/counter_quota.py
+++ b/qos_gateway/decisions/quota/counter_quota.py
@@ -30,7 +30,7 @@
             account.counter_calls.forget_refilled(account.plan.rate * elapsed_s)
 
     def _ceiling_bucket(self, now: int, account: CustomerAccount, even: float) -> TokenBucket:
-        """Return a slice of the part of the ceiling that exceeds the quota: the counter grants the rest."""
+        """Return a slice of the part of the ceiling that exceeds the quota: the counter grants the quota."""
         buckets = account.buckets
         if buckets.slice_count <= 1:
             return super()._ceiling_bucket(now, account, even)
--- a/qos_gateway/decisions/quota/leased_quota.py
+++ b/qos_gateway/decisions/quota/leased_quota.py
@@ -38,8 +38,9 @@
     def _local_bucket(self, now: int, account: CustomerAccount, even: float) -> TokenBucket:
         if not self.is_leased(account):
             return super()._local_bucket(now, account, even)
-        share = self._share(now, account)
-        return self._slice_bucket(account.plan, share, min(1.0, MAX_SAVED_FRACTION * share))
+        plan, share = account.plan, self._share(now, account)
+        saved = plan.burst * min(1.0, MAX_SAVED_FRACTION * share)
+        return TokenBucket(plan.rate * share, max(saved, self.settings.largest_request_units))
 
     def _ceiling_bucket(self, now: int, account: CustomerAccount, even: float) -> TokenBucket:
         if not self.is_leased(account):
--- a/qos_gateway/decisions/quota/owner_quota.py
+++ b/qos_gateway/decisions/quota/owner_quota.py
@@ -7,7 +7,7 @@
 from .quota import Quota
 from .quota_decision import Charge, QuotaDecision
 
-OWNER_CEILING_FRACTION = 0.75  # of a ceiling, granted by the owner; slices hold the rest, if it is silent
+OWNER_CEILING_FRACTION = 0.75  # of a ceiling, granted by the owner; slices serve without its replies
 
 
 class OwnerQuota(Quota):
--- a/qos_gateway/decisions/quota/quota.py
+++ b/qos_gateway/decisions/quota/quota.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from math import ceil
 
-from ...types import Action, Arrival, CounterReplied, PeerMessage, Plan, Settings
+from ...types import Action, Arrival, CounterReplied, PeerMessage, Settings
 from ...units import SECOND
 from ..snapshot import AccountSnapshot, EngineSnapshot
 from ..statistics.decaying_mean import DecayingMean
@@ -126,11 +126,9 @@
         return TokenBucket(account.plan.rate, account.plan.burst)
 
     def _local_bucket(self, now: int, account: CustomerAccount, even: float) -> TokenBucket:  # noqa: ARG002
-        return self._slice_bucket(account.plan, even, even)
-
-    def _slice_bucket(self, plan: Plan, share: float, saved: float) -> TokenBucket:
-        """Return the slice with that share of the rate and `saved` of the burst; it can hold any request."""
-        return TokenBucket(plan.rate * share, max(plan.burst * saved, self.settings.largest_request_units))
+        """Return the slice of the quota's bucket; it can hold any request."""
+        plan = account.plan
+        return TokenBucket(plan.rate * even, max(plan.burst * even, self.settings.largest_request_units))
 
     def _ceiling_bucket(self, now: int, account: CustomerAccount, even: float) -> TokenBucket:  # noqa: ARG002
         plan = account.plan
