--- a/benchmarks/engines.py
+++ b/benchmarks/engines.py
@@ -5,7 +5,7 @@
 from benchmarks.design import DESIGN, START
 from qos_gateway.decisions.engine import DecisionEngine
 from qos_gateway.types import AttemptEnded, ListKind, Outcome, Topology
-from tests.support.builders import backend, full_list, plan, settings
+from tests.support.builders import full_list, listed_endpoint, plan, settings
 
 ENGINE_SEED = 7  # results depend on it
 UNLIMITED_PLAN = plan(rate=1e6, burst=1e6)  # a quota that no benchmark reaches
@@ -21,7 +21,7 @@
 
 def cached_list(endpoints: int) -> Topology:
     """Return a cached list of `endpoints` ready endpoints with ids from 1."""
-    entries = map(backend, range(1, endpoints + 1))
+    entries = map(listed_endpoint, range(1, endpoints + 1))
     return full_list(*entries, kind=ListKind.CACHED)
 
 
--- a/qos_gateway/server/action_executor.py
+++ b/qos_gateway/server/action_executor.py
@@ -26,7 +26,7 @@
 from ..units import SECOND
 from .counter.client import CounterClient
 from .endpoints.attempt import ProbeAttempt
-from .endpoints.connections import BackendConnections
+from .endpoints.connections import EndpointConnections
 from .event_dispatcher import EventDispatcher
 from .peers import Peers
 from .requests.open_requests import OpenRequests
@@ -41,7 +41,7 @@
 
     requests: OpenRequests
     attempts: RequestAttempts
-    backends: BackendConnections
+    endpoint_connections: EndpointConnections
     peers: Peers
     counter: CounterClient | None  # None where quotas go without one
 
@@ -57,7 +57,7 @@
         probe_timeout: int | None,
     ) -> None:
         """Take `probe_timeout` in ns; None means that endpoints answer no probes."""
-        self._backends = targets.backends
+        self._endpoint_connections = targets.endpoint_connections
         self._peers = targets.peers
         self._counter = targets.counter
         self._handle = dispatcher.handle
@@ -97,7 +97,7 @@
             self._counter.call(action.key, action.time_to_live, action.amount)
 
     def _close_idle_connections(self, action: CloseIdleConnections) -> None:
-        self._backends.close_idle_connections(action.endpoint)
+        self._endpoint_connections.close_idle_connections(action.endpoint)
 
     def _probe(self, action: Probe) -> None:
         if self._probe_timeout is None:
@@ -105,7 +105,7 @@
             return
         now = self._clock()
         attempt = ProbeAttempt(action.endpoint, now, now + self._probe_timeout)
-        self._backends.start_attempt(attempt, self._probe_timeout / SECOND)
+        self._endpoint_connections.start_attempt(attempt, self._probe_timeout / SECOND)
 
     def _log_line(self, action: LogLine) -> None:
         log.info("%s", action.text)
--- a/qos_gateway/server/admin/operations.py
+++ b/qos_gateway/server/admin/operations.py
@@ -21,7 +21,7 @@
 
     clients: ClientConnections
     requests: OpenRequests
-    endpoints: EndpointDirectory
+    endpoint_directory: EndpointDirectory
     metrics: Metrics
     dispatcher: EventDispatcher
     handover: Handover
@@ -43,13 +43,13 @@
         """Return all metrics in their text form."""
         targets = self._targets
         excluded = targets.dispatcher.engine.load_balancer.excluded_count(self._clock())
-        gauges = Gauges(targets.requests.unanswered(), targets.endpoints.listed_count(), excluded)
+        gauges = Gauges(targets.requests.unanswered(), targets.endpoint_directory.listed_count(), excluded)
         return render(targets.metrics, gauges)
 
     async def set_endpoint_disabled(self, name: str, disabled: bool) -> bool:
         """Disable an endpoint or enable it again, here and in the other process; False if it is not known."""
         endpoint = endpoint_id(name)
-        if not self._targets.endpoints.is_listed_or_disabled(endpoint):
+        if not self._targets.endpoint_directory.is_listed_or_disabled(endpoint):
             return False
         self._targets.handover.apply_admin_disabled(endpoint, disabled)
         if self._targets.handover_channel is not None:
--- a/qos_gateway/server/clients/connection.py
+++ b/qos_gateway/server/clients/connection.py
@@ -251,7 +251,7 @@
         self.close(CloseReason.VALUE_ABORTED)
 
     def pause_writing(self) -> None:
-        """Stop reading from the client, and from the backend whose value is being written."""
+        """Stop reading from the client, and from the endpoint whose value is being written."""
         self._write_progress.block(self._owner.time(), untaken_bytes(self._transport))
         self._update_reading()
         self._replies.set_stream_paused(True)
--- a/qos_gateway/server/clients/pending_replies.py
+++ b/qos_gateway/server/clients/pending_replies.py
@@ -32,7 +32,7 @@
     """A large value on its way to a client.
 
     It is written as it is received where its turn has come and no command waits behind it: a value that
-    breaks off after that ends the connection. Until then it is held as far as there is room; the backend is
+    breaks off after that ends the connection. Until then it is held as far as there is room; the endpoint is
     read no faster than that, and no faster than the client takes it.
     """
 
@@ -59,11 +59,11 @@
         self._reserve_room = reserve_room
         self._header = b"$%d\r\n" % length
         self._buffered: list[bytes] = []  # what is received before it is started
-        self.is_out_of_room = False  # it waits to be started, and the backend is paused
+        self.is_out_of_room = False  # it waits to be started, and the endpoint is paused
         self.started = False
 
     def write(self, data: bytes) -> None:
-        """Pass on a part of the value, or hold it; without room pause the backend until it is started."""
+        """Pass on a part of the value, or hold it; without room pause the endpoint until it is started."""
         if self.started:
             self._client.write(data)
             return
@@ -86,7 +86,7 @@
         return self.started or self.is_out_of_room
 
     def set_paused(self, paused: bool) -> None:
-        """Pause or resume reading from the backend."""
+        """Pause or resume reading from the endpoint."""
         if paused:
             self._flow_control.pause()
         else:
@@ -202,7 +202,7 @@
         return stream is not None and stream.started
 
     def set_stream_paused(self, paused: bool) -> None:
-        """Pause or resume the backend of the large value that is being written, if there is one."""
+        """Pause or resume the endpoint of the large value that is being written, if there is one."""
         stream = self.first_stream()
         if stream is not None and stream.started:
             stream.set_paused(paused)
--- a/qos_gateway/server/discovery/endpoint_directory.py
+++ b/qos_gateway/server/discovery/endpoint_directory.py
@@ -6,15 +6,15 @@
 
 from ...types import Endpoint, Health, ListKind
 from ..config import Address
-from ..endpoints.connections import BackendConnections
+from ..endpoints.connections import EndpointConnections
 from .endpoint_list import EndpointUpdate
 
 
 class EndpointDirectory:
     """Knows which endpoints are listed, where the ready ones are, and which are administratively disabled."""
 
-    def __init__(self, backends: BackendConnections) -> None:
-        self._backends = backends
+    def __init__(self, endpoint_connections: EndpointConnections) -> None:
+        self._endpoint_connections = endpoint_connections
         self._listed: dict[int, Endpoint] = {}
         self._addresses: dict[int, Address] = {}  # of those that are ready
         self._admin_disabled: set[int] = set()
@@ -58,7 +58,7 @@
     def _remove_unnamed(self, named: set[int]) -> None:
         for endpoint in self._listed.keys() - named:
             self._addresses.pop(endpoint, None)
-            self._backends.set_address(endpoint, None)
+            self._endpoint_connections.set_address(endpoint, None)
         self._listed = {}
 
     def _apply_entry(self, entry: Endpoint, addresses: dict[int, Address]) -> None:
@@ -75,4 +75,4 @@
     def _update_pool(self, endpoint: int) -> None:
         """Have new connections go to the listed address, or nowhere while the endpoint is disabled."""
         address = None if endpoint in self._admin_disabled else self._addresses.get(endpoint)
-        self._backends.set_address(endpoint, address)
+        self._endpoint_connections.set_address(endpoint, address)
--- a/qos_gateway/server/discovery/endpoint_feed.py
+++ b/qos_gateway/server/discovery/endpoint_feed.py
@@ -7,7 +7,7 @@
 
 from ...types import ListKind, Topology
 from ..config import Config
-from ..endpoints.connections import BackendConnections
+from ..endpoints.connections import EndpointConnections
 from ..event_dispatcher import EventDispatcher
 from .endpoint_directory import EndpointDirectory
 from .endpoint_list import EndpointUpdate, ListError, parse_update
@@ -54,9 +54,9 @@
         self._dispatcher.handle(Topology(ListKind.CACHED, 0, ()))
         return None
 
-    async def wait_for_first(self, backends: BackendConnections) -> None:
+    async def wait_for_first(self, endpoint_connections: EndpointConnections) -> None:
         """Give discovery a moment: a cached list breaks no rule, but the present one is near."""
-        timeout_s = CACHED_LIST_TIMEOUT_S if backends.has_usable() else FIRST_LIST_TIMEOUT_S
+        timeout_s = CACHED_LIST_TIMEOUT_S if endpoint_connections.has_usable() else FIRST_LIST_TIMEOUT_S
         try:
             async with asyncio.timeout(timeout_s):
                 await self._received.wait()
--- a/qos_gateway/server/endpoints/attempt.py
+++ b/qos_gateway/server/endpoints/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one backend, and the command that it sends."""
+"""One attempt of a request at one endpoint, and the command that it sends."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .responses import read_probe_response, read_response
 
 if TYPE_CHECKING:
-    from .connection import BackendConnection
+    from .connection import EndpointConnection
 
 CommandParts = tuple[tuple[bytes, ...], bytes, bytes, tuple[bytes, ...]]
 
@@ -30,13 +30,13 @@
 
 
 class Attempt:
-    """One attempt of one request at one backend; times are in ns on the gateway's clock."""
+    """One attempt of one request at one endpoint; times are in ns on the gateway's clock."""
 
     __slots__ = (
-        "backend",
         "command",
         "connection",
         "ended",
+        "endpoint",
         "expires_at",
         "number",
         "outcome",
@@ -53,7 +53,7 @@
         self,
         request: int,
         number: int,
-        backend: int,
+        endpoint: int,
         started_at: int,
         expires_at: int,
         command_parts: CommandParts,
@@ -62,7 +62,7 @@
         """Take `send_deadline` as the time from which on it must not be written; 0 for none."""
         self.request = request
         self.number = number
-        self.backend = backend
+        self.endpoint = endpoint
         self.started_at = started_at
         self.expires_at = expires_at
         self.send_deadline = send_deadline
@@ -70,7 +70,7 @@
         self.response_started_at = 0  # when a large value's first bytes came
         self.ended = False  # its result has been reported
         self.outcome: Outcome | None = None  # how it ended, None before
-        self.connection: BackendConnection | None = None
+        self.connection: EndpointConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
 
     def payload(self, now: int) -> bytes:
@@ -84,14 +84,14 @@
 
 
 class ProbeAttempt(Attempt):
-    """Asks a backend for its load, on a pooled connection like any attempt, but for no request."""
+    """Asks a endpoint for its load, on a pooled connection like any attempt, but for no request."""
 
     __slots__ = ()
 
     read_response = staticmethod(read_probe_response)
 
-    def __init__(self, backend: int, started_at: int, expires_at: int) -> None:
-        super().__init__(0, 0, backend, started_at, expires_at, _PROBE_COMMAND)
+    def __init__(self, endpoint: int, started_at: int, expires_at: int) -> None:
+        super().__init__(0, 0, endpoint, started_at, expires_at, _PROBE_COMMAND)
 
     def payload(self, now: int) -> bytes:  # noqa: ARG002  # a probe tells no deadline
         """Return the probe's command."""
--- a/qos_gateway/server/endpoints/connection.py
+++ b/qos_gateway/server/endpoints/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a backend: it carries one attempt at a time, and is idle in between."""
+"""One connection to a endpoint: it carries one attempt at a time, and is idle in between."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 STALE_RESET_WINDOW_S = 0.02  # after a request's last byte, over a round trip: a reset within it answers it
 
 
-class BackendConnection(asyncio.Protocol):
+class EndpointConnection(asyncio.Protocol):
     """A connection that is connecting, active with an attempt, idle in its pool, or closed.
 
     An attempt's bytes are known to be sent once the write buffer is empty.
@@ -79,7 +79,7 @@
         return self.transport is None or self.transport.is_closing()
 
     def is_expired(self, now: float) -> bool:
-        """Return whether it has been idle for so long that its backend may have dropped it."""
+        """Return whether it has been idle for so long that its endpoint may have dropped it."""
         return now - self.idle_since >= self.owner.keep_alive.idle_limit_s
 
     def is_clean(self) -> bool:
@@ -254,6 +254,6 @@
     def _fail_malformed(self, reason: str) -> None:
         """End the attempt, which may have been executed; nothing that follows here can be told apart."""
         attempt = cast(Attempt, self.attempt)
-        log.warning("response_malformed backend=%s:%d error=%s", *self.pool.address, reason)
+        log.warning("response_malformed endpoint=%s:%d error=%s", *self.pool.address, reason)
         self.close()
         self.owner.finish_attempt(attempt, AttemptResult.without_response(Outcome.RESET))
--- a/qos_gateway/server/endpoints/connection_pool.py
+++ b/qos_gateway/server/endpoints/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections to one backend: acquired by attempts, released to be reused, closed when they expire."""
+"""The connections to one endpoint: acquired by attempts, released to be reused, closed when they expire."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 from ..config import Address
 from ..networking.transient_errors import is_shortage
 from .attempt import Attempt
-from .connection import BackendConnection
+from .connection import EndpointConnection
 from .responses import AttemptResult
 
 if TYPE_CHECKING:
-    from .connections import BackendConnections
+    from .connections import EndpointConnections
 
 REUSE_DELAY_S = 0.005  # idle after a response where another connection is free: a repeat of it may follow
 
 
 class ConnectionPool:
-    """The connections to one backend at one address."""
+    """The connections to one endpoint at one address."""
 
-    def __init__(self, owner: BackendConnections, address: Address) -> None:
+    def __init__(self, owner: EndpointConnections, address: Address) -> None:
         """Create an empty pool whose connections count against the limit of `owner`."""
         self.owner = owner
         self.address = address
-        self.idle: list[BackendConnection] = []  # the one that has been idle longest comes first
-        self.connections: set[BackendConnection] = set()
+        self.idle: list[EndpointConnection] = []  # the one that has been idle longest comes first
+        self.connections: set[EndpointConnection] = set()
         self.drain_ends_at: float | None = None  # on the loop's clock; None while it is in service
 
     def is_draining(self) -> bool:
-        """Return whether the backend takes no new attempts at this address."""
+        """Return whether the endpoint takes no new attempts at this address."""
         return self.drain_ends_at is not None
 
     def is_drained(self, now: float) -> bool:
@@ -47,10 +47,10 @@
         elif self.owner.ensure_capacity():
             self._open(attempt)
         else:
-            # This gateway lacks the descriptors, whatever the backend does.
+            # This gateway lacks the descriptors, whatever the endpoint does.
             self.owner.loop.call_soon(self.owner.not_sent, attempt)
 
-    def acquire(self) -> BackendConnection | None:
+    def acquire(self) -> EndpointConnection | None:
         """Take the connection out that became idle last; close those on the way that can't be used."""
         now = self.owner.time()
         idle = self.idle
@@ -64,7 +64,7 @@
             connection.close()
         return None
 
-    def release(self, connection: BackendConnection) -> None:
+    def release(self, connection: EndpointConnection) -> None:
         """Put a connection back as the next to be reused: the others stay idle until they expire."""
         if connection.paused:
             connection.resume()
@@ -74,7 +74,7 @@
         connection.idle_since = self.owner.time()
         self.idle.append(connection)
 
-    def remove(self, connection: BackendConnection) -> None:
+    def remove(self, connection: EndpointConnection) -> None:
         """Forget a connection that is closed."""
         if connection not in self.connections:
             return
@@ -84,7 +84,7 @@
             self.idle.remove(connection)
 
     def drain(self, ends_at: float) -> None:
-        """Take the backend out of service; what still connects may be written until `ends_at`."""
+        """Take the endpoint out of service; what still connects may be written until `ends_at`."""
         if self.drain_ends_at is None:
             self.drain_ends_at = ends_at
             self.close_idle()
@@ -105,7 +105,7 @@
             connection.close()
 
     def _open(self, attempt: Attempt) -> None:
-        connection = BackendConnection(self, attempt)
+        connection = EndpointConnection(self, attempt)
         attempt.connection = connection
         self.connections.add(connection)
         owner = self.owner
@@ -113,17 +113,17 @@
         connection.timer = owner.loop.call_later(owner.connect_timeout_s, self._connect_failed, connection)
         connection.connect_task = owner.loop.create_task(self._connect(connection))
 
-    async def _connect(self, connection: BackendConnection) -> None:
+    async def _connect(self, connection: EndpointConnection) -> None:
         try:
             await self.owner.loop.create_connection(lambda: connection, *self.address)
         except OSError as error:
             self._close_unused(connection, Outcome.NOT_SENT if is_shortage(error) else Outcome.CONNECT_FAILED)
 
-    def _connect_failed(self, connection: BackendConnection) -> None:
+    def _connect_failed(self, connection: EndpointConnection) -> None:
         """End the attempt of a connection that was refused or too late: it was certainly not executed."""
         self._close_unused(connection, Outcome.CONNECT_FAILED)
 
-    def connected(self, connection: BackendConnection, /) -> None:
+    def connected(self, connection: EndpointConnection, /) -> None:
         """Send the attempt that the connection was opened for, if that is still allowed and wanted."""
         attempt = cast(Attempt, connection.attempt)
         connection.cancel_timer()
@@ -135,7 +135,7 @@
         else:
             self._send(connection, attempt, self._is_grace_over(), now)
 
-    def _send(self, connection: BackendConnection, attempt: Attempt, is_drained: bool, now: int) -> None:
+    def _send(self, connection: EndpointConnection, attempt: Attempt, is_drained: bool, now: int) -> None:
         """Write an attempt, or give the connection up where the guard refuses it."""
         if self.owner.allows_send(attempt, is_drained, now):
             connection.send(attempt, now)
@@ -155,7 +155,7 @@
     def _is_grace_over(self) -> bool:
         return self.drain_ends_at is not None and self.owner.time() >= self.drain_ends_at
 
-    def _close_unused(self, connection: BackendConnection, outcome: Outcome) -> None:
+    def _close_unused(self, connection: EndpointConnection, outcome: Outcome) -> None:
         attempt = connection.attempt
         connection.close()
         if attempt is not None:
--- a/qos_gateway/server/endpoints/connections.py
+++ b/qos_gateway/server/endpoints/connections.py
@@ -1,4 +1,4 @@
-"""The connection pools of all backends, bounded together, and the attempts that run on them."""
+"""The connection pools of all endpoints, bounded together, and the attempts that run on them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 __all__ = [
     "REUSE_DELAY_S",
     "Attempt",
-    "BackendConnections",
+    "EndpointConnections",
     "FlowControl",
     "LoadReport",
     "ProbeAttempt",
@@ -27,7 +27,7 @@
     "monotonic_unix_ns",
 ]
 
-KEEP_ALIVE_FRACTION = 0.5  # of the configured idle time: closed well before the backend does so
+KEEP_ALIVE_FRACTION = 0.5  # of the configured idle time: closed well before the endpoint does so
 MAX_HOLD_UP_S = 0.15  # for which a process may be held up between reading its clock and writing ...
 HOLD_UP_MARGIN_S = 0.02  # ... and what the loop adds: both come off the grace of a drain
 SWEEP_INTERVAL_S = 1.0  # the period that the keep-alive estimate decays by
@@ -45,7 +45,7 @@
     return True
 
 
-class BackendConnections:
+class EndpointConnections:
     """All connection pools, bounded together so that descriptors never run out.
 
     `time` is the event loop's clock in s, `clock` the gateway's in ns.
@@ -68,7 +68,7 @@
 
         `on_response_started` gives the sink of a large value, or None where nobody waits for it;
         `is_wanted` tells whether the client of an attempt about to be written still waits, and `allows_send`
-        is the guard that is asked last: given whether the backend is drained, and the time in ns.
+        is the guard that is asked last: given whether the endpoint is drained, and the time in ns.
         """
         self.loop = asyncio.get_running_loop()
         self.time = self.loop.time
@@ -89,15 +89,15 @@
 
     # Pools.
 
-    def set_address(self, backend: int, address: Address | None) -> None:
-        """Set where a backend is reached; None once it drains or is gone and gets nothing new."""
-        pool = self._pools.get(backend)
+    def set_address(self, endpoint: int, address: Address | None) -> None:
+        """Set where a endpoint is reached; None once it drains or is gone and gets nothing new."""
+        pool = self._pools.get(endpoint)
         if pool is not None:
             if pool.address == address and not pool.is_draining():
                 return
             pool.drain(self.time() + self._drain_grace_s)
         if address is not None:
-            self._pools[backend] = ConnectionPool(self, address)
+            self._pools[endpoint] = ConnectionPool(self, address)
 
     def limit(self, max_connections: int | None) -> None:
         """Bound the connections while another process has the rest; None for the configured limit."""
@@ -106,12 +106,12 @@
             configured if max_connections is None else min(configured, max(1, max_connections))
         )
 
-    def known_backends(self) -> list[int]:
-        """Return the numbers of all backends that have a pool."""
+    def known_endpoints(self) -> list[int]:
+        """Return the numbers of all endpoints that have a pool."""
         return list(self._pools)
 
     def has_usable(self) -> bool:
-        """Return whether any backend takes requests."""
+        """Return whether any endpoint takes requests."""
         return any(not pool.is_draining() for pool in self._pools.values())
 
     def idle_count(self) -> int:
@@ -126,9 +126,9 @@
                 fullest.idle[0].close()
         return self.open_connections < self.max_connections
 
-    def close_idle_connections(self, backend: int) -> None:
-        """Close a backend's idle connections."""
-        pool = self._pools.get(backend)
+    def close_idle_connections(self, endpoint: int) -> None:
+        """Close a endpoint's idle connections."""
+        pool = self._pools.get(endpoint)
         if pool is not None:
             pool.close_idle()
 
@@ -143,10 +143,10 @@
         self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         self.keep_alive.decay()
         now = self.time()
-        for backend, pool in list(self._pools.items()):
+        for endpoint, pool in list(self._pools.items()):
             pool.close_expired(now)
             if pool.is_drained(now):
-                del self._pools[backend]
+                del self._pools[endpoint]
 
     # Attempts.
 
@@ -154,7 +154,7 @@
         """Start an attempt; its end is reported exactly once, never before this returns."""
         if timeout_s is not None:
             attempt.timer = self.loop.call_later(timeout_s, self.expire_attempt, attempt)
-        pool = self._pools.get(attempt.backend)
+        pool = self._pools.get(attempt.endpoint)
         if pool is None:
             self.loop.call_soon(self.connect_failed, attempt)
         else:
@@ -188,7 +188,7 @@
         self.finish_attempt(attempt, AttemptResult.without_response(Outcome.CONNECT_FAILED))
 
     def not_sent(self, attempt: Attempt) -> None:
-        """End an attempt that this gateway did not make: nothing is known of the backend."""
+        """End an attempt that this gateway did not make: nothing is known of the endpoint."""
         self.finish_attempt(attempt, AttemptResult.without_response(Outcome.NOT_SENT))
 
     def finish_attempt(self, attempt: Attempt, result: AttemptResult) -> None:
--- a/qos_gateway/server/endpoints/keep_alive.py
+++ b/qos_gateway/server/endpoints/keep_alive.py
@@ -13,7 +13,7 @@
 class KeepAliveEstimator:
     """Estimates how long a connection may be idle and still be likely to serve.
 
-    A middlebox, or the backend itself, may drop an idle connection long before the configured time without
+    A middlebox, or the endpoint itself, may drop an idle connection long before the configured time without
     a notice: the next request on it is answered by a reset, and may have been executed.
     """
 
@@ -42,7 +42,7 @@
 
     def _update_limit(self) -> None:
         self.idle_limit_s = self.max_idle_s
-        # Never the first bucket: a backend that resets fresh connections does so whatever their age.
+        # Never the first bucket: a endpoint that resets fresh connections does so whatever their age.
         for bucket in range(1, len(self._reuses)):
             if self._is_stale(bucket):
                 self.idle_limit_s = min(self.max_idle_s, IDLE_AGE_BOUNDS_S[bucket - 1])
--- a/qos_gateway/server/endpoints/responses.py
+++ b/qos_gateway/server/endpoints/responses.py
@@ -1,4 +1,4 @@
-"""What a backend's response means: its outcome, value and load report."""
+"""What a endpoint's response means: its outcome, value and load report."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class AttemptResult(NamedTuple):
-    """How an attempt ended, with the value if it was served and the figures that the backend reported."""
+    """How an attempt ended, with the value if it was served and the figures that the endpoint reported."""
 
     outcome: Outcome
     value: bytes | None
--- a/qos_gateway/server/gateway.py
+++ b/qos_gateway/server/gateway.py
@@ -19,7 +19,7 @@
 from .discovery.endpoint_directory import EndpointDirectory
 from .discovery.endpoint_feed import FIRST_LIST_TIMEOUT_S, SOCKET_POLL_S, EndpointFeed
 from .discovery.endpoint_list import EndpointUpdate
-from .endpoints.connections import BackendConnections
+from .endpoints.connections import EndpointConnections
 from .event_dispatcher import EventDispatcher
 from .handover.channel import HandoverChannel
 from .handover.handover import Handover, SharedParts
@@ -41,9 +41,9 @@
 MAX_KILL_DEADLINE_NS = 3 * SECOND  # ... of which it counts so much at most
 KILL_MARGIN_NS = 100 * MILLISECOND  # before it, for answers on their way
 PEER_REPORT_TIME_S = 0.4  # over the longest deadline that a stopping gateway goes on to report to its peers
-RESERVED_DESCRIPTORS = 64  # neither a client's nor a backend's: listener, peers, discovery, files
-MIN_CONNECTIONS = 16  # of clients and backends together, however few descriptors there are
-BACKEND_CONNECTION_FRACTION = 0.5  # a request needs one connection on either side at most
+RESERVED_DESCRIPTORS = 64  # neither a client's nor a endpoint's: listener, peers, discovery, files
+MIN_CONNECTIONS = 16  # of clients and endpoints together, however few descriptors there are
+ENDPOINT_CONNECTION_FRACTION = 0.5  # a request needs one connection on either side at most
 
 
 class GatewayProcess:
@@ -63,15 +63,15 @@
             config.settings, self.clock, self.dispatcher, self.requests, self.activity, self.metrics
         )
         connections = max(MIN_CONNECTIONS, config.max_descriptors - RESERVED_DESCRIPTORS)
-        backend_connections = int(connections * BACKEND_CONNECTION_FRACTION)
-        self.backends = self._build_backends(backend_connections)
-        self.endpoints = EndpointDirectory(self.backends)
-        repeat_guard = RepeatGuard(config.settings, self.invariants, self.endpoints.find_listed)
-        self.requests.bind(self.backends, repeat_guard)
-        self.attempts.bind(self.backends, SendGuard(self.invariants), repeat_guard)
+        max_endpoint_connections = int(connections * ENDPOINT_CONNECTION_FRACTION)
+        self.endpoint_connections = self._build_endpoints(max_endpoint_connections)
+        self.endpoint_directory = EndpointDirectory(self.endpoint_connections)
+        repeat_guard = RepeatGuard(config.settings, self.invariants, self.endpoint_directory.find_listed)
+        self.requests.bind(self.endpoint_connections, repeat_guard)
+        self.attempts.bind(self.endpoint_connections, SendGuard(self.invariants), repeat_guard)
         close_guard = CloseGuard(self.invariants, self.metrics, self.requests.client_id)
         self.clients = ClientConnections(
-            config, self.requests, connections - backend_connections, close_guard
+            config, self.requests, connections - max_endpoint_connections, close_guard
         )
         self.peers = Peers(
             config.peers, config.peer_broadcast, config.settings.position, self.dispatcher.handle
@@ -79,15 +79,15 @@
         self.counter = self._build_counter()
         self.executor = self._build_executor()
         self.dispatcher.bind(self.executor.execute, self.requests.fail_after_fault)
-        self.endpoint_feed = EndpointFeed(self.endpoints, self.dispatcher)
+        self.endpoint_feed = EndpointFeed(self.endpoint_directory, self.dispatcher)
         self.discovery = self._build_discovery(self.endpoint_feed.apply_cached(config))
         self.handover = self._build_handover()
         self.handover_channel = self._build_handover_channel()
         self.operations = self._build_operations()
         self.admin_server = None if config.admin is None else AdminServer(config.admin, self.operations)
 
-    def _build_backends(self, max_connections: int) -> BackendConnections:
-        return BackendConnections(
+    def _build_endpoints(self, max_connections: int) -> EndpointConnections:
+        return EndpointConnections(
             max_connections,
             self.config.connect_timeout / SECOND,
             self.config.connection_idle / SECOND,
@@ -112,7 +112,9 @@
         )
 
     def _build_executor(self) -> ActionExecutor:
-        targets = ActionTargets(self.requests, self.attempts, self.backends, self.peers, self.counter)
+        targets = ActionTargets(
+            self.requests, self.attempts, self.endpoint_connections, self.peers, self.counter
+        )
         probe_timeout = self.config.connect_timeout if self.config.settings.may_probe else None
         return ActionExecutor(targets, self.dispatcher, self.clock, probe_timeout)
 
@@ -131,7 +133,7 @@
         return client
 
     def _build_handover(self) -> Handover:
-        parts = SharedParts(self.clients, self.backends, self.discovery, self.endpoints)
+        parts = SharedParts(self.clients, self.endpoint_connections, self.discovery, self.endpoint_directory)
         return Handover(parts, self.config.settings, self.clock, self.dispatcher, self.endpoint_feed.apply)
 
     def _build_handover_channel(self) -> HandoverChannel | None:
@@ -144,7 +146,7 @@
         targets = AdminTargets(
             self.clients,
             self.requests,
-            self.endpoints,
+            self.endpoint_directory,
             self.metrics,
             self.dispatcher,
             self.handover,
@@ -160,7 +162,7 @@
 
     def is_ready(self) -> bool:
         """Return whether any endpoint takes requests."""
-        return self.backends.has_usable()
+        return self.endpoint_connections.has_usable()
 
     async def start(self) -> None:
         """Open the sockets, the clients' last, when requests can be served.
@@ -175,8 +177,8 @@
         self.discovery.start()
         if self.counter is not None:
             self.counter.start()
-        self.activity.start(ActivitySources(self.requests, self.clients, self.backends))
-        await self.endpoint_feed.wait_for_first(self.backends)
+        self.activity.start(ActivitySources(self.requests, self.clients, self.endpoint_connections))
+        await self.endpoint_feed.wait_for_first(self.endpoint_connections)
         if self.handover_channel is not None:
             received = await self.handover_channel.request_state()
             if received is not None:
@@ -212,7 +214,7 @@
         check_stop(self.invariants, self.requests.unanswered())
         self.activity.stop()
         await self.discovery.close()
-        self.backends.close()
+        self.endpoint_connections.close()
         if settings.may_message and settings.gateway_count > 1:
             # The engine's timer goes on to report that nothing is used here. Peers, which the customers now
             # lean on, would hold this gateway's slices of the quotas back for one that fell silent.
--- a/qos_gateway/server/handover/handover.py
+++ b/qos_gateway/server/handover/handover.py
@@ -13,7 +13,7 @@
 from ..discovery.client import DiscoveryClient
 from ..discovery.endpoint_directory import EndpointDirectory
 from ..discovery.endpoint_list import EndpointUpdate
-from ..endpoints.connections import BackendConnections
+from ..endpoints.connections import EndpointConnections
 from ..event_dispatcher import EventDispatcher
 from .messages import HandoverState, ReceivedState
 
@@ -22,7 +22,7 @@
 FRACTIONS = HandoverFractions(OUTGOING_FRACTION, INCOMING_FRACTION)
 # What the old process may still add once the next one starts: it still accepts, and retries.
 EXTRA_CLIENT_CONNECTIONS = 4
-EXTRA_BACKEND_CONNECTIONS = 8
+EXTRA_ENDPOINT_CONNECTIONS = 8
 WHOLE_MEMORY = 1.0  # the fraction of a process that shares with no other
 
 
@@ -31,9 +31,9 @@
     """The parts of the process whose state or limits two processes share."""
 
     clients: ClientConnections
-    backends: BackendConnections
+    endpoint_connections: EndpointConnections
     discovery: DiscoveryClient
-    endpoints: EndpointDirectory
+    endpoint_directory: EndpointDirectory
 
 
 class Handover:
@@ -49,9 +49,9 @@
     ) -> None:
         """Take `apply_list` as the way of a list of endpoints into this process."""
         self._clients = parts.clients
-        self._backends = parts.backends
+        self._endpoint_connections = parts.endpoint_connections
         self._discovery = parts.discovery
-        self._endpoints = parts.endpoints
+        self._endpoint_directory = parts.endpoint_directory
         self._settings = settings
         self._clock = clock
         self._dispatcher = dispatcher
@@ -60,13 +60,13 @@
     def capture_state(self) -> HandoverState:
         """Return the state for the next process; connections open here stay so until this process ends."""
         client_connections = self._clients.connection_count() + EXTRA_CLIENT_CONNECTIONS
-        backend_connections = self._backends.open_connections + EXTRA_BACKEND_CONNECTIONS
+        max_endpoint_connections = self._endpoint_connections.open_connections + EXTRA_ENDPOINT_CONNECTIONS
         self._clients.limit(client_connections, FRACTIONS.outgoing)
-        self._backends.limit(backend_connections)
+        self._endpoint_connections.limit(max_endpoint_connections)
         return HandoverState(
             endpoint_list=self._discovery.current_list(),
             client_connections=client_connections,
-            backend_connections=backend_connections,
+            max_endpoint_connections=max_endpoint_connections,
             engine=capture(self._dispatcher.engine, self._clock(), FRACTIONS),
         )
 
@@ -83,17 +83,19 @@
             log.error("handover_state_invalid error=%s", error)  # noqa: TRY400  # the other side's fault
             return
         self._clients.limit(self._clients.max_connections - state.client_connections, FRACTIONS.incoming)
-        self._backends.limit(self._backends.max_connections - state.backend_connections)
-        self._endpoints.disable_all(engine.load_balancer.registry.admin_disabled)
-        log.info("handover_completed endpoints_disabled=%d", self._endpoints.admin_disabled_count())
+        self._endpoint_connections.limit(
+            self._endpoint_connections.max_connections - state.max_endpoint_connections
+        )
+        self._endpoint_directory.disable_all(engine.load_balancer.registry.admin_disabled)
+        log.info("handover_completed endpoints_disabled=%d", self._endpoint_directory.admin_disabled_count())
 
     def apply_admin_disabled(self, endpoint: int, disabled: bool) -> None:
         """Follow an operator's call, whichever process it came to."""
         self._dispatcher.handle(SetEndpointEnabled(endpoint, not disabled))
-        self._endpoints.set_admin_disabled(endpoint, disabled)
+        self._endpoint_directory.set_admin_disabled(endpoint, disabled)
 
     def on_other_process_ended(self) -> None:
         """Take the whole of what was shared."""
         self._clients.limit(None, WHOLE_MEMORY)
-        self._backends.limit(None)
+        self._endpoint_connections.limit(None)
         complete(self._dispatcher.engine)
--- a/qos_gateway/server/handover/messages.py
+++ b/qos_gateway/server/handover/messages.py
@@ -31,7 +31,7 @@
 
     endpoint_list: JsonObject | None  # in discovery's own form; None where nothing was received yet
     client_connections: int  # so many that the process may hold until it ends
-    backend_connections: int
+    max_endpoint_connections: int
     engine: EngineSnapshot
 
 
@@ -53,12 +53,12 @@
         endpoint_list = self.endpoint_list()
         try:
             client_connections = int(self.raw["clients"])
-            backend_connections = int(self.raw["backends"])
+            max_endpoint_connections = int(self.raw["backends"])
             raw_engine = self.raw["decisions"]
         except (KeyError, TypeError, ValueError) as error:
             raise SnapshotFormatError(f"handover state: {type(error).__name__}: {error}") from None
         engine = decode_snapshot(raw_engine, plan_count, class_count)
-        return HandoverState(endpoint_list, client_connections, backend_connections, engine)
+        return HandoverState(endpoint_list, client_connections, max_endpoint_connections, engine)
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,7 +114,7 @@
     return {
         "list": state.endpoint_list,
         "clients": state.client_connections,
-        "backends": state.backend_connections,
+        "backends": state.max_endpoint_connections,
         "decisions": encode_snapshot(state.engine),
     }
 
--- a/qos_gateway/server/networking/resp.py
+++ b/qos_gateway/server/networking/resp.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 MAX_BUFFERED_VALUE_BYTES = 64 << 10  # of one value that is held whole
-MAX_VALUE_BYTES = 4 << 20  # of a backend's value; a larger one than is buffered is streamed to the client
+MAX_VALUE_BYTES = 4 << 20  # of a endpoint's value; a larger one than is buffered is streamed to the client
 FRAMING_BYTES = 4096  # a command's names, other arguments and headers, beside its value
 MAX_COMMAND_BYTES = MAX_BUFFERED_VALUE_BYTES + FRAMING_BYTES
 MAX_ARGUMENTS = 16  # of a command; the longest that a client has a use for holds five
@@ -184,7 +184,7 @@
 
 
 class ResponseFrames(FrameScanner):
-    """Scan backends' responses: arrays of value, usage and load report; errors; answers to probes."""
+    """Scan endpoints' responses: arrays of value, usage and load report; errors; answers to probes."""
 
     __slots__ = ()
 
--- a/qos_gateway/server/observability/activity_log.py
+++ b/qos_gateway/server/observability/activity_log.py
@@ -9,7 +9,7 @@
 
 from ...types import Outcome
 from ..clients.connections import ClientConnections
-from ..endpoints.connections import BackendConnections
+from ..endpoints.connections import EndpointConnections
 from ..requests.open_requests import OpenRequests
 
 log = logging.getLogger(__name__)
@@ -23,7 +23,7 @@
 
     requests: OpenRequests
     clients: ClientConnections
-    backends: BackendConnections
+    endpoint_connections: EndpointConnections
 
 
 class ActivityLog:
@@ -48,13 +48,13 @@
         self.start(sources)
         log.info(
             "activity attempts=%s counter=%s requests=%d client_connections=%d "
-            "backend_connections=%d backend_connections_idle=%d",
+            "endpoint_connections=%d endpoint_connections_idle=%d",
             _format_outcomes(self.attempt_outcomes),
             _format_outcomes(self.counter_outcomes),
             len(sources.requests),
             sources.clients.connection_count(),
-            sources.backends.open_connections,
-            sources.backends.idle_count(),
+            sources.endpoint_connections.open_connections,
+            sources.endpoint_connections.idle_count(),
         )
         self.attempt_outcomes.clear()
         self.counter_outcomes.clear()
--- a/qos_gateway/server/observability/logs.py
+++ b/qos_gateway/server/observability/logs.py
@@ -1,4 +1,4 @@
-"""Limit the rate of log lines whose number clients, backends or operators determine."""
+"""Limit the rate of log lines whose number clients, endpoints or operators determine."""
 
 from __future__ import annotations
 
--- a/qos_gateway/server/requests/repeat_guard.py
+++ b/qos_gateway/server/requests/repeat_guard.py
@@ -86,7 +86,7 @@
     ) -> str | None:
         if now - first.started_at >= request_class.idempotency_window:
             return "idempotency_window"
-        before, after = self._find_endpoint(first.backend), self._find_endpoint(endpoint)
+        before, after = self._find_endpoint(first.endpoint), self._find_endpoint(endpoint)
         if before is None or after is None:
             return None  # one has left the list, and nobody can tell its zone or cell any more
         scope = request_class.idempotency_scope
--- a/qos_gateway/server/requests/request_attempts.py
+++ b/qos_gateway/server/requests/request_attempts.py
@@ -11,7 +11,7 @@
 from ...units import SECOND
 from ..clients.pending_replies import StreamedReply
 from ..endpoints.attempt import Attempt, ProbeAttempt
-from ..endpoints.connections import BackendConnections
+from ..endpoints.connections import EndpointConnections
 from ..endpoints.responses import LoadReport
 from ..event_dispatcher import EventDispatcher
 from ..networking.value_stream import FlowControl
@@ -48,13 +48,15 @@
         self._activity = activity
         self._metrics = metrics
         self._loop = asyncio.get_running_loop()
-        self._backends: BackendConnections
+        self._endpoint_connections: EndpointConnections
         self._send_guard: SendGuard
         self._repeat_guard: RepeatGuard
 
-    def bind(self, backends: BackendConnections, send_guard: SendGuard, repeat_guard: RepeatGuard) -> None:
+    def bind(
+        self, endpoint_connections: EndpointConnections, send_guard: SendGuard, repeat_guard: RepeatGuard
+    ) -> None:
         """Name the pools that attempts run on, and the guards; to be called before the first attempt."""
-        self._backends = backends
+        self._endpoint_connections = endpoint_connections
         self._send_guard = send_guard
         self._repeat_guard = repeat_guard
 
@@ -86,7 +88,9 @@
         )
         request.attempts.append(attempt)
         request.attempts_in_flight[index] = attempt
-        self._backends.start_attempt(attempt, action.timeout / SECOND if has_own_timeout else None)
+        self._endpoint_connections.start_attempt(
+            attempt, action.timeout / SECOND if has_own_timeout else None
+        )
 
     def _may_repeat(self, request: OpenRequest, endpoint: int, now: int) -> bool:
         """Count and log a further attempt with its cause, and return whether the guard allows it."""
@@ -104,7 +108,7 @@
     def _cancel_if_in_flight(self, attempt: Attempt) -> None:
         request = self._requests.get(attempt.request)
         if request is not None and attempt.number in request.attempts_in_flight:
-            self._backends.cancel_attempt(attempt)
+            self._endpoint_connections.cancel_attempt(attempt)
 
     def _report_not_sent(self, action: Send, index: int, request_finished: bool) -> None:
         event = AttemptEnded(
@@ -156,7 +160,7 @@
             attempt.timer.cancel()
         relay = request.slot.client.start_stream(request.slot, length, flow)
         elapsed = max(0, attempt.response_started_at - attempt.started_at)
-        self._handle(ResponseStarted(number, elapsed, attempt.number, attempt.backend), number)
+        self._handle(ResponseStarted(number, elapsed, attempt.number, attempt.endpoint), number)
         return None if request.closed else relay
 
     def on_attempt_ended(
@@ -166,7 +170,7 @@
         elapsed = max(0, self._clock() - attempt.started_at)
         load_report = self._load_report(report)
         if isinstance(attempt, ProbeAttempt):
-            self._handle(ProbeEnded(outcome, attempt.backend, elapsed, load_report))
+            self._handle(ProbeEnded(outcome, attempt.endpoint, elapsed, load_report))
             return
         self._activity.attempt_outcomes[outcome] += 1
         number = attempt.request
@@ -183,7 +187,7 @@
             request_id=number,
             request_finished=finished,
             actual_units=0,
-            endpoint=attempt.backend,
+            endpoint=attempt.endpoint,
             quota_usage=_quota_usage(report),
             outcome=outcome,
             elapsed=elapsed,
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -32,7 +32,7 @@
 from qos_gateway.server.discovery import endpoint_list
 from qos_gateway.server.discovery.watched_list import WatchedList
 from qos_gateway.server.endpoints.attempt import Attempt
-from qos_gateway.server.endpoints.connection import BackendConnection
+from qos_gateway.server.endpoints.connection import EndpointConnection
 from qos_gateway.server.endpoints.connection_pool import ConnectionPool
 from qos_gateway.server.gateway import GatewayProcess
 from qos_gateway.server.requests.open_requests import OpenRequests
@@ -197,7 +197,7 @@
 
 def wait_for_slow_values() -> None:
     """Wait for a large value that has begun, however long its client's time is over."""
-    _patch(BackendConnection, "limit_overtime", _nothing)
+    _patch(EndpointConnection, "limit_overtime", _nothing)
 
 
 def believe_older_lists() -> None:
--- a/tests/decisions/test_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -22,9 +22,9 @@
     SECOND,
     UNSAFE,
     arrival,
-    backend,
     ended,
     full_list,
+    listed_endpoint,
     plan,
     settings,
 )
@@ -52,7 +52,7 @@
 def test_keyed_retry_stays_in_its_cell_and_window() -> None:
     engine = DecisionEngine(settings(), 7, 0)
     cells = {1: 1, 2: 1, 3: 2, 4: 2}
-    engine.handle(0, full_list(*(backend(i, cell=c) for i, c in cells.items())))
+    engine.handle(0, full_list(*(listed_endpoint(i, cell=c) for i, c in cells.items())))
     for request in range(8):
         (send,) = sends(engine.handle(MS, arrival(request, MS, KEYED)))
         (again,) = sends(engine.handle(2 * MS, ended(request, send.endpoint, Outcome.ERROR)))
@@ -61,7 +61,7 @@
         late = ended(request, again.endpoint, Outcome.ERROR, attempt=1)
         assert engine.handle(3 * SECOND, late) == [Fail(request)]
         engine = DecisionEngine(settings(), request, 0)
-        engine.handle(0, full_list(*(backend(i, cell=c) for i, c in cells.items())))
+        engine.handle(0, full_list(*(listed_endpoint(i, cell=c) for i, c in cells.items())))
 
 
 @pytest.mark.parametrize("cls", [SAFE, KEYED])
@@ -144,7 +144,7 @@
 
 def test_attempts_time_out_only_once_responses_were_lost() -> None:
     g = DecisionEngine(settings(plans=(plan(rate=1000.0, burst=1000.0),)), 7, 0)
-    g.handle(0, full_list(*(backend(i) for i in range(1, 5))))
+    g.handle(0, full_list(*(listed_endpoint(i) for i in range(1, 5))))
     (first,) = [a for a in g.handle(MS, arrival(1, MS)) if isinstance(a, Send)]
     assert first.timeout == 0
     again = g.handle(SECOND, ended(1, first.endpoint, Outcome.TIMEOUT))
--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -11,7 +11,7 @@
 
 from qos_gateway.decisions.load_balancing.load_balancer import LoadBalancer
 from qos_gateway.types import Endpoint, Health, ListKind
-from tests.support.builders import SECOND, backend, full_list, settings
+from tests.support.builders import SECOND, full_list, listed_endpoint, settings
 
 START = 1_000 * SECOND
 STARTS = st.sampled_from([0, 990, 999, 1_000])  # s
@@ -36,7 +36,9 @@
     now = START
     for entries, kind, operators_call in changes:
         now += SECOND
-        reported = {number: backend(number, health, booted * SECOND) for number, health, booted in entries}
+        reported = {
+            number: listed_endpoint(number, health, booted * SECOND) for number, health, booted in entries
+        }
         listed = reported if kind is ListKind.FULL else listed | reported
         load_balancer.update_list(now, full_list(*reported.values(), kind=kind))
         load_balancer.set_enabled(now, 3, operators_call != 1)
@@ -55,7 +57,7 @@
     """Count the lines of code run for one change of a list of so many endpoints."""
     load_balancer = LoadBalancer(settings(gateway_count=size // 10), random.Random(1))
     lines = 0
-    load_balancer.update_list(START, full_list(*map(backend, range(1, size + 1))))
+    load_balancer.update_list(START, full_list(*map(listed_endpoint, range(1, size + 1))))
 
     def trace(_frame: object, event: str, _argument: object) -> object:
         nonlocal lines
@@ -65,7 +67,7 @@
     sys.settrace(trace)  # type: ignore[arg-type]
     try:
         load_balancer.update_list(
-            START + SECOND, full_list(backend(size // 2, Health.DRAINING), kind=ListKind.DELTA)
+            START + SECOND, full_list(listed_endpoint(size // 2, Health.DRAINING), kind=ListKind.DELTA)
         )
     finally:
         sys.settrace(None)
--- a/tests/decisions/test_engine.py
+++ b/tests/decisions/test_engine.py
@@ -20,7 +20,7 @@
     PeerMessage,
     TimerFired,
 )
-from tests.support.builders import MS, SECOND, arrival, backend, ended, full_list, settings
+from tests.support.builders import MS, SECOND, arrival, ended, full_list, listed_endpoint, settings
 from tests.support.engines import (
     engine_alone,
     sends,
@@ -34,7 +34,9 @@
     sizes = []
     for second in range(240):
         now = second * SECOND
-        new = full_list(backend(100 + second), backend(99 + second, Health.REMOVED), kind=ListKind.DELTA)
+        new = full_list(
+            listed_endpoint(100 + second), listed_endpoint(99 + second, Health.REMOVED), kind=ListKind.DELTA
+        )
         engine.handle(now, new)
         for i in range(20):
             number = second * 20 + i
@@ -116,7 +118,7 @@
 def test_work_of_an_event_does_not_grow_with_the_gateways() -> None:
     def calls(gateways: int) -> int:
         g = DecisionEngine(settings(gateway_count=gateways, messages_per_s=1.0), 7, 0)
-        g.handle(0, full_list(*(backend(i) for i in range(1, 9))))
+        g.handle(0, full_list(*(listed_endpoint(i) for i in range(1, 9))))
         seen = 0
 
         def note(_frame: object, what: str, _arg: object) -> None:
--- a/tests/decisions/test_gossip.py
+++ b/tests/decisions/test_gossip.py
@@ -18,9 +18,9 @@
     MS,
     SECOND,
     arrival,
-    backend,
     ended,
     full_list,
+    listed_endpoint,
     plan,
     settings,
 )
@@ -39,7 +39,7 @@
     sent = 0
     for position in range(2):
         engine = DecisionEngine(settings(plans=(capped,), position=position), 7, 0)
-        engine.handle(0, full_list(backend(1), backend(2)))
+        engine.handle(0, full_list(listed_endpoint(1), listed_endpoint(2)))
         for i in range(1000):
             now = i * 10 * MS
             for send in sends(engine.handle(now, arrival(i, now))):
@@ -51,7 +51,7 @@
 def test_gossiped_usage_is_taken_from_the_bucket() -> None:
     here, there = (DecisionEngine(settings(position=p), p + 7, 0) for p in range(2))
     for engine in (here, there):
-        engine.handle(0, full_list(backend(1), backend(2)))
+        engine.handle(0, full_list(listed_endpoint(1), listed_endpoint(2)))
         engine.handle(0, arrival(1000, 0))
     for i in range(19):
         there.handle(MS, arrival(i, MS))
@@ -125,7 +125,7 @@
 
 def test_restarted_gateway_starts_its_buckets_with_a_slice() -> None:
     young, old = engine_alone(), DecisionEngine(settings(position=1), 8, 0)
-    old.handle(0, full_list(backend(1)))
+    old.handle(0, full_list(listed_endpoint(1)))
     told = [a for a in old.handle(9 * SECOND, TimerFired(TICK_TIMER)) if isinstance(a, SendPeerMessage)]
     young.handle(MS, arrival(1, MS))
     assert young.quota.accounts[1].buckets.tokens == 19.0
--- a/tests/decisions/test_late_requests.py
+++ b/tests/decisions/test_late_requests.py
@@ -24,9 +24,9 @@
     SECOND,
     UNSAFE,
     arrival,
-    backend,
     ended,
     full_list,
+    listed_endpoint,
     settings,
 )
 
@@ -38,7 +38,7 @@
 ) -> tuple[DecisionEngine, list[Action]]:
     """Request 1 went out an aim ago; what the next tick gives."""
     g = DecisionEngine(settings(may_message=False, gateway_count=1), 7, 0)
-    g.handle(0, full_list(backend(1)))
+    g.handle(0, full_list(listed_endpoint(1)))
     assert isinstance(g.handle(START, arrival(1, START, cls))[0], Send)
     if answered:
         g.handle(START + 8 * TICK_INTERVAL_NS, arrival(2, START + 8 * TICK_INTERVAL_NS, customer_id=2))
@@ -76,7 +76,7 @@
 
 def test_answer_that_has_begun_to_flow_is_never_called_off() -> None:
     g = DecisionEngine(settings(may_message=False, gateway_count=1), 7, 0)
-    g.handle(0, full_list(backend(1), backend(2)))
+    g.handle(0, full_list(listed_endpoint(1), listed_endpoint(2)))
     (first,) = (a for a in g.handle(START, arrival(1, START)) if isinstance(a, Send))
     second = g.dispatcher.send(START + MS, g.request_table.open[1], untried_only=True)
     assert second is not None
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -24,7 +24,7 @@
 )
 from qos_gateway.server.config import MAX_LEASE_S, ConfigError, parse
 from qos_gateway.types import Action, AddToCounter, CounterReplied, ListKind, Outcome, Reject, Send, Settings
-from tests.support.builders import MS, SECOND, arrival, backend, ended, full_list, plan, settings
+from tests.support.builders import MS, SECOND, arrival, ended, full_list, listed_endpoint, plan, settings
 from tests.support.handover import capture_json, restore_json
 from tests.support.servers import raw_config
 
@@ -38,7 +38,7 @@
 def gateway(position: int, now: int = 0, seed: int = 0, **changes: object) -> DecisionEngine:
     changes = {"gateway_count": SET, "position": position, "plans": (PLAN,), "lease_term": TERM, **changes}
     made = DecisionEngine(settings(has_counter=True, may_message=False, **changes), seed or position + 7, now)
-    made.handle(now, full_list(*map(backend, range(1, 9)), kind=ListKind.CACHED))
+    made.handle(now, full_list(*map(listed_endpoint, range(1, 9)), kind=ListKind.CACHED))
     return made
 
 
--- a/tests/decisions/test_load_balancer.py
+++ b/tests/decisions/test_load_balancer.py
@@ -18,9 +18,9 @@
     SECOND,
     UNSAFE,
     arrival,
-    backend,
     ended,
     full_list,
+    listed_endpoint,
     plan,
     settings,
 )
@@ -36,18 +36,18 @@
 ) -> None:
     fleet = engine_alone().load_balancer
     for i in range(80):
-        for backend_id in range(1, 5):
+        for endpoint_id in range(1, 5):
             # Everywhere: one in three, two in a row. Of one alone: all.
-            bad = backend_id in broken and (i % 6 in (3, 4) or left_out)
+            bad = endpoint_id in broken and (i % 6 in (3, 4) or left_out)
             outcome = Outcome.RESET if bad else Outcome.OK
-            fleet.attempt_ended(i * 100 * MS, ended(i, backend_id, outcome), (SAFE, 0), 1.0)
+            fleet.attempt_ended(i * 100 * MS, ended(i, endpoint_id, outcome), (SAFE, 0), 1.0)
     assert {i for i, server in fleet.registry.endpoints.items() if server.ejected_until > 0} == left_out
 
 
 def test_draining_and_removed_endpoints_get_nothing() -> None:
     engine = engine_alone()
-    engine.handle(MS, full_list(backend(1, Health.DRAINING), kind=ListKind.DELTA))
-    engine.handle(MS, full_list(backend(1, Health.DRAINING), backend(3), backend(4)))
+    engine.handle(MS, full_list(listed_endpoint(1, Health.DRAINING), kind=ListKind.DELTA))
+    engine.handle(MS, full_list(listed_endpoint(1, Health.DRAINING), listed_endpoint(3), listed_endpoint(4)))
     used = {s.endpoint for i in range(10) for s in sends(engine.handle(2 * MS, arrival(i, 2 * MS)))}
     assert used
     assert used <= {3, 4}
@@ -55,7 +55,7 @@
 
 def test_endpoint_in_slow_start_gets_a_limited_rate() -> None:
     engine = DecisionEngine(settings(plans=(plan(rate=1000.0, burst=1000.0),)), 7, 0)
-    engine.handle(0, full_list(*(backend(i) for i in range(1, 4)), backend(9, booted=1)))
+    engine.handle(0, full_list(*(listed_endpoint(i) for i in range(1, 4)), listed_endpoint(9, booted=1)))
     cold = total = 0
     for i in range(200):
         now = i * 10 * MS
@@ -71,9 +71,9 @@
     engine = engine_alone()
     (send,) = sends(engine.handle(MS, arrival(1, MS)))
     used, others = send.endpoint, {1, 2, 3, 4} - {send.endpoint}
-    engine.handle(MS, full_list(backend(used, Health.REMOVED), kind=ListKind.DELTA))
+    engine.handle(MS, full_list(listed_endpoint(used, Health.REMOVED), kind=ListKind.DELTA))
     assert set(engine.load_balancer.registry.endpoints) == {1, 2, 3, 4}
-    engine.handle(MS, full_list(backend(5), backend(min(others), Health.DRAINING)))
+    engine.handle(MS, full_list(listed_endpoint(5), listed_endpoint(min(others), Health.DRAINING)))
     assert set(engine.load_balancer.registry.endpoints) == {used, 5, min(others)}
     engine.handle(2 * MS, ended(1, used))
     engine.handle(TICK_INTERVAL_NS, TimerFired(TICK_TIMER))
@@ -125,7 +125,7 @@
     multiple: float, part: float
 ) -> None:
     engine = DecisionEngine(settings(overload_multiple=multiple), 7, 0)
-    engine.handle(0, full_list(backend(1, booted=1), backend(2)))
+    engine.handle(0, full_list(listed_endpoint(1, booted=1), listed_endpoint(2)))
     engine.load_balancer.slow_start.warm_completions.add(SECOND, 3.0, 3.0)
     cold = engine.load_balancer.registry.endpoints[1]
     bucket = cold.slow_start_bucket
--- a/tests/decisions/test_many_gateways.py
+++ b/tests/decisions/test_many_gateways.py
@@ -16,7 +16,17 @@
     Send,
     TimerFired,
 )
-from tests.support.builders import MS, SECOND, UNSAFE, arrival, backend, ended, full_list, plan, settings
+from tests.support.builders import (
+    MS,
+    SECOND,
+    UNSAFE,
+    arrival,
+    ended,
+    full_list,
+    listed_endpoint,
+    plan,
+    settings,
+)
 from tests.support.fleet import MANY, Fleet
 
 
@@ -24,7 +34,7 @@
     fleet = Fleet(
         plans=(plan(rate=10000.0, burst=10000.0),), has_counter=False, may_message=False, gateway_count=MANY
     )
-    cold = [backend(i) for i in range(1, 9)] + [backend(99, booted=1)]
+    cold = [listed_endpoint(i) for i in range(1, 9)] + [listed_endpoint(99, booted=1)]
     for g in fleet.gateways:
         g.handle(MS, full_list(*cold))
     for i in range(4000):
@@ -41,14 +51,14 @@
 
 
 def gateways_by_endpoint(gone: set[int], gateways: int = 40, servers: int = 60) -> dict[int, int]:
-    """By backend, how many gateways hold it once those that are gone have shown symptoms everywhere."""
+    """By endpoint, how many gateways hold it once those that are gone have shown symptoms everywhere."""
     numbers = random.Random(5).sample(range(1 << 32), servers)
     count = dict.fromkeys(numbers, 0)
     for position in range(gateways):
         g = DecisionEngine(
             settings(position=position, gateway_count=gateways, may_message=False), position, 0
         )
-        g.handle(0, full_list(*(backend(number) for number in numbers)))
+        g.handle(0, full_list(*(listed_endpoint(number) for number in numbers)))
         for at in gone:
             g.load_balancer.registry.endpoints[numbers[at]].ejected_until = SECOND
         for server in g.load_balancer.subset(0):
@@ -64,7 +74,7 @@
 
 def test_endpoint_in_slow_start_saves_no_tokens_outside_the_subset() -> None:
     g = DecisionEngine(settings(gateway_count=40, may_message=False), 7, 0)
-    g.handle(0, full_list(backend(1, booted=1), backend(2)))
+    g.handle(0, full_list(listed_endpoint(1, booted=1), listed_endpoint(2)))
     slow_start = g.load_balancer.slow_start
     for i in range(400):
         slow_start.warm_completions.add(i * 5 * MS, 1.0)
@@ -80,7 +90,7 @@
 def engine_with_two_zones(silent: int, cls: int = 0) -> tuple[DecisionEngine, dict[int, int], list[Action]]:
     """Answers come from zone 0, none from zone 1; where each went, and what the next beat does."""
     g = DecisionEngine(settings(gateway_count=2, plans=(plan(rate=1e3, burst=1e3),)), 7, 0)
-    g.handle(0, full_list(*(replace(backend(i), zone=i % 2) for i in range(1, 13))))
+    g.handle(0, full_list(*(replace(listed_endpoint(i), zone=i % 2) for i in range(1, 13))))
     for latency in g.model.class_latency:
         latency.add(0, 100 * MS, 20.0)
     sent = {}
--- a/tests/decisions/test_quota_by_counter.py
+++ b/tests/decisions/test_quota_by_counter.py
@@ -19,7 +19,7 @@
     Send,
     TimerFired,
 )
-from tests.support.builders import MS, SECOND, arrival, backend, ended, full_list, plan, settings
+from tests.support.builders import MS, SECOND, arrival, ended, full_list, listed_endpoint, plan, settings
 from tests.support.fleet import MANY, Fleet
 
 
@@ -27,7 +27,7 @@
     g = DecisionEngine(
         settings(gateway_count=2, may_message=False, has_counter=True, plans=(plan(**changes),)), 7, 0
     )
-    g.handle(0, full_list(backend(1)))
+    g.handle(0, full_list(listed_endpoint(1)))
     return g
 
 
@@ -71,7 +71,7 @@
     outcome: Outcome, slower: bool
 ) -> None:
     g = DecisionEngine(settings(gateway_count=MANY, may_message=False, has_counter=True), 7, 0)
-    g.handle(0, full_list(backend(1)))
+    g.handle(0, full_list(listed_endpoint(1)))
     (call,) = [a for a in g.handle(MS, arrival(1, MS, gateway_spread=MANY)) if isinstance(a, AddToCounter)]
     g.handle(80 * MS, CounterReplied(79 * MS, outcome, call.key, 0.0))
     assert (g.quota.counter.call_rate < 1.0) is slower
@@ -159,7 +159,7 @@
         7,
         0,
     )
-    g.handle(0, full_list(backend(1)))
+    g.handle(0, full_list(listed_endpoint(1)))
     (call,) = [a for a in g.handle(MS, arrival(1, MS, gateway_spread=MANY)) if isinstance(a, AddToCounter)]
     g.request_table.open.pop(1)
     back = g.handle(2 * MS, CounterReplied(MS, Outcome.OK, call.key, call.amount))
@@ -174,7 +174,7 @@
         7,
         0,
     )
-    g.handle(0, full_list(backend(1)))
+    g.handle(0, full_list(listed_endpoint(1)))
     (call,) = [a for a in g.handle(MS, arrival(1, MS, gateway_spread=MANY)) if isinstance(a, AddToCounter)]
     g.handle(2 * MS, CounterReplied(MS, Outcome.OK, call.key, call.amount))
     (back,) = [a for a in g.handle(3 * MS, ended(1, 1)) if isinstance(a, AddToCounter)]
--- a/tests/decisions/test_quota_by_owner.py
+++ b/tests/decisions/test_quota_by_owner.py
@@ -21,7 +21,7 @@
     SendPeerMessage,
     TimerFired,
 )
-from tests.support.builders import MS, SECOND, arrival, backend, ended, full_list, plan, settings
+from tests.support.builders import MS, SECOND, arrival, ended, full_list, listed_endpoint, plan, settings
 from tests.support.fleet import MANY, Fleet
 
 
@@ -75,7 +75,7 @@
 
 def test_unresponsive_owner_costs_a_short_wait_and_no_answer_is_missing() -> None:
     g = DecisionEngine(settings(gateway_count=MANY, messages_per_s=40.0), 7, 0)
-    g.handle(0, full_list(backend(1)))
+    g.handle(0, full_list(listed_endpoint(1)))
     asked = [a for i in range(5) for a in g.handle(MS, arrival(i, MS, customer_id=i, gateway_spread=MANY))]
     held = len(g.admission.awaiting_reservation)
     assert held == sum(isinstance(a, SendPeerMessage) for a in asked) > 0
@@ -125,7 +125,7 @@
 @pytest.mark.parametrize(("spread", "first"), [(0, 0), (MANY + 50, 3), (1, 17), (3, MANY - 1), (-4, -9)])
 def test_implausible_spreads_neither_fault_nor_admit_everything(spread: int, first: int) -> None:
     g = DecisionEngine(settings(gateway_count=MANY, may_message=False), 7, 0)
-    g.handle(0, full_list(backend(1)))
+    g.handle(0, full_list(listed_endpoint(1)))
     taken = 0
     for i in range(200):
         actions = g.handle(MS + i, arrival(i, MS, gateway_spread=spread, first_gateway=first))
--- a/tests/decisions/test_quota_over_gateways.py
+++ b/tests/decisions/test_quota_over_gateways.py
@@ -19,7 +19,7 @@
     SetTimer,
     TimerFired,
 )
-from tests.support.builders import MS, SECOND, arrival, backend, ended, full_list, plan, settings
+from tests.support.builders import MS, SECOND, arrival, ended, full_list, listed_endpoint, plan, settings
 
 GATEWAYS, CUSTOMERS, SECONDS = 20, 60, 30
 PLAN = plan(rate=1.0, burst=4.0, excess_cost=0.5)
@@ -65,7 +65,7 @@
     numbers, events = dict[int, float](), list[tuple[int, int, int, Event]]()
     order, sent, served = count(), list[tuple[int, int]](), [0] * (SECONDS + 60)
     for position in range(GATEWAYS):
-        listed = full_list(*map(backend, range(1, 9)), kind=ListKind.CACHED)
+        listed = full_list(*map(listed_endpoint, range(1, 9)), kind=ListKind.CACHED)
         heappush(events, (0, next(order), position, listed))
     for number, (now, customer, position) in enumerate(requests):
         a = arrival(
--- a/tests/decisions/test_quota_slices.py
+++ b/tests/decisions/test_quota_slices.py
@@ -15,7 +15,7 @@
     Reject,
     Send,
 )
-from tests.support.builders import MS, SECOND, arrival, backend, ended, full_list, plan, settings
+from tests.support.builders import MS, SECOND, arrival, ended, full_list, listed_endpoint, plan, settings
 from tests.support.engines import engine_among_many
 from tests.support.fleet import MANY
 
@@ -47,7 +47,7 @@
 
 def test_each_counted_request_stands_for_those_not_counted() -> None:
     g = DecisionEngine(settings(gateway_count=MANY, may_message=False, has_counter=True), 7, 0)
-    g.handle(0, full_list(backend(1)))
+    g.handle(0, full_list(listed_endpoint(1)))
     g.quota.counter.call_rate = 0.25
     for i in range(20):
         g.quota.account(0, i, 0, MANY, 0).demand.long_term.add(0, 1.0, 5.0)  # seen often: in doubt
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -27,7 +27,7 @@
     TimerFired,
     Topology,
 )
-from tests.support.builders import MS, SECOND, arrival, backend, ended, plan, settings
+from tests.support.builders import MS, SECOND, arrival, ended, listed_endpoint, plan, settings
 
 START = 100 * SECOND  # when endpoints start; list times of 0 mean a long time ago
 LEAD, WARM_UP, WINDOW = SECOND, 5 * SECOND, 2 * SECOND
@@ -134,7 +134,7 @@
 
     def topology(self, kind: ListKind) -> Topology:
         entries = tuple(
-            backend(i, Health.REMOVED if s.failed else Health.READY, s.booted, cell=i % 4)
+            listed_endpoint(i, Health.REMOVED if s.failed else Health.READY, s.booted, cell=i % 4)
             for i, s in self.endpoints.items()
         )
         return Topology(kind, 1, entries)
--- a/tests/server/test_admin.py
+++ b/tests/server/test_admin.py
@@ -240,7 +240,7 @@
             client = await harness.connect_client()
             for number, ending in enumerate((success_reply(b"v"), b"-ERR failed\r\n")):
                 client.send(call_command("charge", number))
-                connection, _ = await harness.backend.next_command()
+                connection, _ = await harness.endpoint.next_command()
                 assert metric_values(harness.gateway.operations.render_metrics())["in_progress"] == 1
                 assert (
                     metric_values(harness.gateway.operations.render_metrics())["upstream_tries"] == number + 1
@@ -269,7 +269,7 @@
             assert not await gateway.operations.set_endpoint_disabled("nobody", False)
             client = await harness.connect_client()
             client.send(call_command(number=1))
-            connection, _ = await harness.backend.next_command()
+            connection, _ = await harness.endpoint.next_command()
             for _ in range(2):
                 assert await gateway.operations.set_endpoint_disabled("s-1", True)
             assert metric_values(gateway.operations.render_metrics())["skipped_order_servers"] == 1
@@ -281,7 +281,7 @@
             agent = harness.discovery
             for seq, words in enumerate((("terminating", 0), ("terminated", 0), ("in_service", 7)), 2):
                 agent.send_update(
-                    endpoint_list(seq, endpoint_entry("s-1", harness.backend.port, *words), whole=False)
+                    endpoint_list(seq, endpoint_entry("s-1", harness.endpoint.port, *words), whole=False)
                 )
             await wait_until(lambda: gateway.discovery._list.version == 4)
             client.send(call_command(number=3))
@@ -290,14 +290,14 @@
             assert await gateway.operations.set_endpoint_disabled("s-1", False)
             assert await gateway.operations.set_endpoint_disabled("s-1", False)
             assert metric_values(gateway.operations.render_metrics())["skipped_order_servers"] == 0
-            while not harness.backend.commands.qsize():
+            while not harness.endpoint.commands.qsize():
                 client.send(call_command(number=4))
                 answered = asyncio.ensure_future(client.next_message())
                 await asyncio.wait(
                     (answered, asyncio.ensure_future(asyncio.sleep(0.1))), return_when=asyncio.FIRST_COMPLETED
                 )
                 if not answered.done():
-                    connection, _ = await harness.backend.next_command()
+                    connection, _ = await harness.endpoint.next_command()
                     connection.send(success_reply(b"back"))
                     assert await answered == b"back"
                     break
--- a/tests/server/test_attempts_given_up.py
+++ b/tests/server/test_attempts_given_up.py
@@ -10,7 +10,7 @@
 
 from qos_gateway.server.endpoints.connection_pool import REUSE_DELAY_S
 from qos_gateway.types import Outcome
-from tests.support.backend_harness import backend_harness
+from tests.support.endpoint_harness import endpoint_harness
 from tests.support.servers import LOOPBACK, run_on_loop, success_reply, with_timeout
 
 
@@ -22,7 +22,7 @@
         loop = asyncio.get_running_loop()
         with closing(socket.create_server((LOOPBACK, 0))) as listener:
             listener.setblocking(False)
-            async with backend_harness(port=listener.getsockname()[1]) as b:
+            async with endpoint_harness(port=listener.getsockname()[1]) as b:
                 attempt = b.start(1)
                 accepted, _ = await with_timeout(loop.sock_accept(listener))
                 with closing(accepted):
@@ -44,7 +44,7 @@
         with closing(socket.create_server((LOOPBACK, 0))) as listener:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             listener.setblocking(False)
-            async with backend_harness(port=listener.getsockname()[1]) as b:
+            async with endpoint_harness(port=listener.getsockname()[1]) as b:
                 b.start(1)
                 accepted, _ = await with_timeout(loop.sock_accept(listener))
                 with closing(accepted):
--- a/tests/server/test_client_connections.py
+++ b/tests/server/test_client_connections.py
@@ -18,7 +18,7 @@
     RejectReason,
     Send,
 )
-from tests.support.scripted_engine import only_backend, script_engine
+from tests.support.scripted_engine import only_endpoint, script_engine
 from tests.support.servers import (
     CUSTOMER,
     GatewayHarness,
@@ -40,7 +40,7 @@
         async with gateway_harness() as harness:
             client = await harness.connect_client()
             client.send(call_command())
-            connection, _ = await harness.backend.next_command()
+            connection, _ = await harness.endpoint.next_command()
             harness.gateway.clients.closing = True
             connection.send(success_reply(b"v"))
             assert [await client.next_message(), await client.next_message()] == [b"v", None]
@@ -189,10 +189,10 @@
         async with gateway_harness() as harness:
             client = await harness.connect_client()
             client.send(call_command() + b"?" + b"x" * 200_000)
-            connection, _ = await harness.backend.next_command()
+            connection, _ = await harness.endpoint.next_command()
             value = b"v" * 60_000
             connection.send(success_reply(value))
-            await wait_until(lambda: harness.gateway.backends.idle_count() == 1)
+            await wait_until(lambda: harness.gateway.endpoint_connections.idle_count() == 1)
             for _ in range(20):
                 client.send(b"x" * 10_000)
                 await asyncio.sleep(0)
@@ -232,13 +232,13 @@
 
     async def test() -> None:
         async with gateway_harness() as harness:
-            backend = only_backend(harness)
+            endpoint = only_endpoint(harness)
             request_count = 600  # some 40 MB of replies, far over the sockets' buffers
-            engine = script_engine(harness, *[lambda a: [Send(a.request_id, backend, 0)]] * request_count)
+            engine = script_engine(harness, *[lambda a: [Send(a.request_id, endpoint, 0)]] * request_count)
 
             async def answer() -> None:
                 while True:
-                    connection, _ = await harness.backend.commands.get()
+                    connection, _ = await harness.endpoint.commands.get()
                     connection.send(success_reply(b"v" * 65_000))
 
             answering = asyncio.create_task(answer())
@@ -393,7 +393,7 @@
         async with gateway_harness() as harness:
             client = await harness.connect_client()
             client.send(call_command() + b"?\r\n")
-            connection, _ = await harness.backend.next_command()
+            connection, _ = await harness.endpoint.next_command()
             connection.send(success_reply(b"v"))
             assert await client.next_message() == b"v"
             assert str(await client.next_message()).startswith("ERR Protocol error")
--- a/tests/server/test_client_disconnects.py
+++ b/tests/server/test_client_disconnects.py
@@ -11,10 +11,10 @@
 import pytest
 
 from qos_gateway.server.clients import connection as client_connection
-from qos_gateway.server.endpoints import connections as backends
+from qos_gateway.server.endpoints import connections as endpoints
 from qos_gateway.server.gateway import GatewayProcess
 from qos_gateway.types import Action, Arrival, AttemptEnded, ClientDisconnected, Outcome, Reject, Send
-from tests.support.scripted_engine import ScriptedEngine, only_backend, script_engine
+from tests.support.scripted_engine import ScriptedEngine, only_endpoint, script_engine
 from tests.support.servers import (
     FakeCounter,
     GatewayHarness,
@@ -49,11 +49,11 @@
     """A client that comes now is served, and the order server got nothing else meanwhile."""
     other = await harness.connect_client()
     other.send(call_command(number=99))
-    connection, words = await harness.backend.next_command()
+    connection, words = await harness.endpoint.next_command()
     assert words[2] == b"%016x" % 99
     connection.send(success_reply(b"v"))
     assert await other.next_message() == b"v"
-    assert harness.backend.commands.empty()
+    assert harness.endpoint.commands.empty()
 
 
 def ignore_deadlines(harness: GatewayHarness) -> None:
@@ -67,7 +67,7 @@
 
 def delay_connects(gateway: GatewayProcess) -> DelayedConnects:
     delayed = DelayedConnects(asyncio.get_running_loop())
-    gateway.backends.loop = delayed  # type: ignore[assignment]
+    gateway.endpoint_connections.loop = delayed  # type: ignore[assignment]
     return delayed
 
 
@@ -83,14 +83,14 @@
             await wait_until(lambda: harness.gateway.clients.connection_count() == 1)
             delayed.allowed.set()
             staying.send(call_command(number=2))
-            connection, words = await harness.backend.next_command()
+            connection, words = await harness.endpoint.next_command()
             assert words[2] == b"%016x" % 2
             connection.send(success_reply(b"two"))
             assert await staying.next_message() == b"two"
-            assert harness.backend.commands.empty()
+            assert harness.endpoint.commands.empty()
             assert not harness.gateway.requests._requests
             assert harness.gateway.dispatcher.engine.request_table.in_flight == 0
-            assert harness.gateway.backends.open_connections == 1
+            assert harness.gateway.endpoint_connections.open_connections == 1
 
     run_on_loop(test)
 
@@ -101,7 +101,7 @@
 
     async def test() -> None:
         async with gateway_harness() as harness:
-            backend, taken = only_backend(harness), list[int]()
+            endpoint, taken = only_endpoint(harness), list[int]()
 
             def leave_open(a: Arrival) -> list[Action]:
                 taken.append(a.request_id)
@@ -111,7 +111,7 @@
             engine = script_engine(
                 harness,
                 *[leave_open] * client_connection.MAX_PIPELINED,
-                *[lambda a: [Send(a.request_id, backend, 0)]] * 9,
+                *[lambda a: [Send(a.request_id, endpoint, 0)]] * 9,
             )
             client = await harness.connect_client()
             client.send(b"".join(call_command(number=n) for n in range(client_connection.MAX_PIPELINED + 8)))
@@ -163,11 +163,11 @@
             assert harness.gateway.dispatcher.engine.request_table.in_flight == 0
             assert not harness.gateway.requests._requests
             staying.send(call_command(number=2))
-            connection, words = await harness.backend.next_command()
+            connection, words = await harness.endpoint.next_command()
             assert words[2] == b"%016x" % 2
             connection.send(success_reply(b"two"))
             assert await staying.next_message() == b"two"
-            assert harness.backend.commands.empty()
+            assert harness.endpoint.commands.empty()
 
     run_on_loop(test)
 
@@ -178,17 +178,17 @@
             client = await harness.connect_client()
             staying = await harness.connect_client()
             client.send(call_command(number=1))
-            connection, _ = await harness.backend.next_command()
+            connection, _ = await harness.endpoint.next_command()
             client.abort()
             await wait_until(lambda: harness.gateway.clients.connection_count() == 1)
             connection.send(b"-BUSY\r\n")
             await wait_until(lambda: not harness.gateway.requests._requests)
             staying.send(call_command(number=2))
-            connection, words = await harness.backend.next_command()
+            connection, words = await harness.endpoint.next_command()
             assert words[2] == b"%016x" % 2
             connection.send(success_reply(b"two"))
             assert await staying.next_message() == b"two"
-            assert harness.backend.commands.empty()
+            assert harness.endpoint.commands.empty()
 
     run_on_loop(test)
 
@@ -225,29 +225,29 @@
     client.send(1)
     await wait_until(lambda: len(engine.events_of(Arrival)) == 1)
     client.leave(how)
-    harness.gateway.executor.execute(Send(engine.events_of(Arrival)[0].request_id, only_backend(harness), 0))
+    harness.gateway.executor.execute(Send(engine.events_of(Arrival)[0].request_id, only_endpoint(harness), 0))
     return 0
 
 
 async def retry(harness: GatewayHarness, engine: ScriptedEngine, client: BlockingClient, how: str) -> int:
-    backend = only_backend(harness)
-    engine.plans[:] = [lambda a: [Send(a.request_id, backend, 0)]]
+    endpoint = only_endpoint(harness)
+    engine.plans[:] = [lambda a: [Send(a.request_id, endpoint, 0)]]
     client.send(1)
-    connection, _ = await harness.backend.next_command()
+    connection, _ = await harness.endpoint.next_command()
     connection.send(b"-BUSY\r\n")
     await wait_until(lambda: len(engine.events_of(AttemptEnded)) == 1)
     client.leave(how)
-    harness.gateway.executor.execute(Send(engine.events_of(Arrival)[0].request_id, backend, 0))
+    harness.gateway.executor.execute(Send(engine.events_of(Arrival)[0].request_id, endpoint, 0))
     return 1
 
 
 async def hedged(harness: GatewayHarness, engine: ScriptedEngine, client: BlockingClient, how: str) -> int:
-    backend = only_backend(harness)
-    engine.plans[:] = [lambda a: [Send(a.request_id, backend, 0)]]
+    endpoint = only_endpoint(harness)
+    engine.plans[:] = [lambda a: [Send(a.request_id, endpoint, 0)]]
     client.send(1)
-    await harness.backend.next_command()
+    await harness.endpoint.next_command()
     client.leave(how)
-    harness.gateway.executor.execute(Send(engine.events_of(Arrival)[0].request_id, backend, 0))
+    harness.gateway.executor.execute(Send(engine.events_of(Arrival)[0].request_id, endpoint, 0))
     return 1
 
 
@@ -255,19 +255,20 @@
     harness: GatewayHarness, engine: ScriptedEngine, client: BlockingClient, how: str
 ) -> int:
     """Its connection is made in the turn of the loop in which the client has left."""
-    backend = only_backend(harness)
+    endpoint = only_endpoint(harness)
     delayed = delay_connects(harness.gateway)
-    engine.plans[:] = [lambda a: [Send(a.request_id, backend, 0)]]
+    engine.plans[:] = [lambda a: [Send(a.request_id, endpoint, 0)]]
     client.send(1)
     await with_timeout(delayed.requested.wait())
-    connected = harness.gateway.backends._pools[backend].connected
+    pool = harness.gateway.endpoint_connections._pools[endpoint]
+    connected = pool.connected
 
     def leave_first(link: Any) -> None:
-        harness.gateway.backends._pools[backend].connected = connected  # type: ignore[method-assign]
+        pool.connected = connected  # type: ignore[method-assign]
         client.leave(how)
         connected(link)
 
-    harness.gateway.backends._pools[backend].connected = leave_first  # type: ignore[method-assign]
+    pool.connected = leave_first  # type: ignore[method-assign]
     delayed.allowed.set()
     return 0
 
@@ -275,9 +276,9 @@
 async def queued(harness: GatewayHarness, engine: ScriptedEngine, client: BlockingClient, how: str) -> int:
     """Behind as many commands as are served at once, in deferred input: they are answered, and the deferred
     commands would be served, in the turn of the loop in which the client has left."""
-    backend = only_backend(harness)
+    endpoint = only_endpoint(harness)
     max_pipelined = client_connection.MAX_PIPELINED
-    engine.plans[:] = [leave_open] * max_pipelined + [lambda a: [Send(a.request_id, backend, 0)]] * 8
+    engine.plans[:] = [leave_open] * max_pipelined + [lambda a: [Send(a.request_id, endpoint, 0)]] * 8
     client.send(*range(1, max_pipelined + 9))
     await wait_until(
         lambda: len(engine.events_of(Arrival)) == max_pipelined and harness.gateway.clients.deferred_bytes > 0
@@ -295,19 +296,22 @@
 
 async def warm(harness: GatewayHarness, engine: ScriptedEngine) -> None:
     """Two connections to the order server at rest, so that an attempt is written in the turn of its start."""
-    backend, others = only_backend(harness), [await harness.connect_client() for _ in range(2)]
-    engine.plans[:] = [lambda a: [Send(a.request_id, backend, 0)]] * 2
+    endpoint, others = only_endpoint(harness), [await harness.connect_client() for _ in range(2)]
+    engine.plans[:] = [lambda a: [Send(a.request_id, endpoint, 0)]] * 2
     for number, other in enumerate(others):
         other.send(call_command(number=100 + number))
-    for connection, _ in [await harness.backend.next_command() for _ in others]:
+    for connection, _ in [await harness.endpoint.next_command() for _ in others]:
         connection.send(success_reply(b"v"))
     for other in others:
         assert await other.next_message() == b"v"
         other.abort()
     await wait_until(
-        lambda: harness.gateway.backends.idle_count() == 2 and harness.gateway.clients.connection_count() == 0
+        lambda: (
+            harness.gateway.endpoint_connections.idle_count() == 2
+            and harness.gateway.clients.connection_count() == 0
+        )
     )
-    await asyncio.sleep(2 * backends.REUSE_DELAY_S)
+    await asyncio.sleep(2 * endpoints.REUSE_DELAY_S)
     engine.events.clear()
 
 
@@ -318,7 +322,7 @@
 ) -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            engine, backend = script_engine(harness), only_backend(harness)
+            engine, endpoint = script_engine(harness), only_endpoint(harness)
             ignore_deadlines(harness)
             if moment is not connecting:
                 await warm(harness, engine)
@@ -331,7 +335,7 @@
                 for e in engine.events_of(AttemptEnded)
                 if e.attempt >= expected_attempts
             )
-            engine.plans.append(lambda a: [Send(a.request_id, backend, 0)])
+            engine.plans.append(lambda a: [Send(a.request_id, endpoint, 0)])
             await only_another_is_written(harness)
             client.sock.close()
 
--- a/tests/server/test_connection_ends.py
+++ b/tests/server/test_connection_ends.py
@@ -35,7 +35,7 @@
                 sock.setblocking(False)
                 await loop.sock_connect(sock, ("127.0.0.1", harness.gateway.clients.port))
                 await loop.sock_sendall(sock, call_command())
-                connection, _ = await harness.backend.next_command()
+                connection, _ = await harness.endpoint.next_command()
                 (client,) = harness.gateway.clients.connections()
                 client._transport.get_extra_info("socket").setsockopt(
                     socket.SOL_SOCKET, socket.SO_SNDBUF, 4096
@@ -65,7 +65,7 @@
                 clients.max_connections = 1
                 sock.sendall(command[30:])  # the loop has not turned since
                 assert not clients._has_capacity()
-                connection, _ = await harness.backend.next_command()
+                connection, _ = await harness.endpoint.next_command()
                 connection.send(success_reply(b"v"))
                 assert await asyncio.to_thread(sock.recv, 100) == b"$1\r\nv\r\n"
 
--- a/tests/server/test_counter.py
+++ b/tests/server/test_counter.py
@@ -239,9 +239,9 @@
             client.send(call_command(number=1))
             asked = await fake.next_call()
             assert asked.amount >= 1.0
-            assert harness.backend.commands.empty()
+            assert harness.endpoint.commands.empty()
             asked.answer(b"ok %d" % asked.amount)
-            connection, _ = await harness.backend.next_command()
+            connection, _ = await harness.endpoint.next_command()
             connection.send(success_reply(b"v"))
             assert await client.next_message() == b"v"
 
--- a/tests/server/test_descriptor_limits.py
+++ b/tests/server/test_descriptor_limits.py
@@ -21,9 +21,9 @@
 from tests.support.servers import (
     LOOPBACK,
     Connection,
-    FakeBackend,
     FakeCounter,
     FakeDiscovery,
+    FakeEndpoint,
     call_command,
     endpoint_entry,
     endpoint_list,
@@ -100,17 +100,17 @@
 def test_idle_clients_that_fill_the_descriptors_while_discovery_is_down_keep_nobody_out(
     data: bytes, reconnects: bool, tmp_path: Path
 ) -> None:
-    """Once discovery is back, it, the counter and a new backend are connected to, and a new client is served
+    """Once discovery is back, it, the counter and a new endpoint are connected to, and a new client is served
     on its first connection."""
 
     async def test() -> None:
         agent = FakeDiscovery()
-        old_backend = FakeBackend()
-        new_backend = FakeBackend()
-        async with listening(old_backend), listening(new_backend):
+        old_endpoint = FakeEndpoint()
+        new_endpoint = FakeEndpoint()
+        async with listening(old_endpoint), listening(new_endpoint):
             discovery = await asyncio.start_server(agent.serve, LOOPBACK, 0)
             agent.port = discovery.sockets[0].getsockname()[1]
-            agent.first_update = endpoint_list(1, endpoint_entry("s-1", old_backend.port))
+            agent.first_update = endpoint_list(1, endpoint_entry("s-1", old_endpoint.port))
             with socket.socket() as free:
                 free.bind((LOOPBACK, 0))
                 counter_port = free.getsockname()[1]
@@ -128,14 +128,14 @@
                 await asyncio.sleep(0.5)
                 while not agent.requests.empty():
                     agent.requests.get_nowait()
-                agent.first_update = endpoint_list(2, endpoint_entry("s-2", new_backend.port))
+                agent.first_update = endpoint_list(2, endpoint_entry("s-2", new_endpoint.port))
                 counter = FakeCounter(counter_port)
                 async with listening(agent), listening(counter):
                     await with_timeout(agent.requests.get())
                     await wait_until(lambda: len(counter.connections) > 0)
                     new_client = Connection(*await with_timeout(asyncio.open_connection(LOOPBACK, port)))
                     new_client.send(call_command(wait_ms=20_000))
-                    connection, _ = await new_backend.next_command()
+                    connection, _ = await new_endpoint.next_command()
                     connection.send(success_reply(b"v"))
                     assert await new_client.next_message() == b"v"
                 for task in idle_clients:
@@ -148,9 +148,9 @@
     """The limit is lower than the configuration says: to accept fails."""
 
     async def test() -> None:
-        agent, backend = FakeDiscovery(), FakeBackend()
-        async with listening(agent), listening(backend):
-            agent.first_update = endpoint_list(1, endpoint_entry("s-1", backend.port))
+        agent, endpoint = FakeDiscovery(), FakeEndpoint()
+        async with listening(agent), listening(endpoint):
+            agent.first_update = endpoint_list(1, endpoint_entry("s-1", endpoint.port))
             async with limited(tmp_path, raw_config(agent.port), 40) as port:
                 idle_clients = [
                     Connection(*await with_timeout(asyncio.open_connection(LOOPBACK, port)))
@@ -161,7 +161,7 @@
                     idle.abort()
                 client = Connection(*await with_timeout(asyncio.open_connection(LOOPBACK, port)))
                 client.send(call_command(wait_ms=20_000))
-                connection, _ = await backend.next_command()
+                connection, _ = await endpoint.next_command()
                 connection.send(success_reply(b"v"))
                 assert await client.next_message() == b"v"
 
--- a/tests/server/test_backends.py
+++ b/tests/server/test_endpoint_connections.py
@@ -14,11 +14,11 @@
 from qos_gateway.server.networking.clock import monotonic_unix_ns
 from qos_gateway.server.networking.resp import ResponseFrames
 from qos_gateway.types import Outcome
-from tests.support.backend_harness import backend_harness
+from tests.support.endpoint_harness import endpoint_harness
 from tests.support.servers import (
     LOOPBACK,
     Connection,
-    FakeBackend,
+    FakeEndpoint,
     bulk_string,
     listening,
     run_on_loop,
@@ -57,10 +57,10 @@
     answer: bytes, outcome: Outcome, value: bytes | None, report: LoadReport
 ) -> None:
     async def test() -> None:
-        backend = FakeBackend()
-        async with backend_harness(backend) as b:
+        endpoint = FakeEndpoint()
+        async with endpoint_harness(endpoint) as b:
             b.start(1)
-            connection, words = await backend.next_command()
+            connection, words = await endpoint.next_command()
             assert words[:3] == [b"CALL.POST", b"c", b"i"]
             assert words[4] == b"B"
             left = words[3].removeprefix(b"c=x,d=").removesuffix(b",k=y")
@@ -117,16 +117,16 @@
     monkeypatch.setattr(response_receiver, "RESPONSE_STALL_TIMEOUT_S", 0.05)
 
     async def test() -> None:
-        backend = FakeBackend()
-        async with backend_harness(backend) as b:
+        endpoint = FakeEndpoint()
+        async with endpoint_harness(endpoint) as b:
             b.start(1)
-            connection, _ = await backend.next_command()
+            connection, _ = await endpoint.next_command()
             head = answer[:3] if pieces else b""
             connection.send(head)
             await asyncio.sleep(0)
             connection.send(answer[len(head) :])
             assert await b.end() == (1, Outcome.RESET, None, {})
-            await wait_until(lambda: backend.closed_connections == 1)
+            await wait_until(lambda: endpoint.closed_connections == 1)
             assert b.pools.open_connections == 0
             assert b.ends.empty()
 
@@ -139,10 +139,10 @@
     async def test() -> None:
         faults: list[object] = []
         asyncio.get_running_loop().set_exception_handler(lambda _loop, context: faults.append(context))
-        backend = FakeBackend()
-        async with backend_harness(backend) as b:
+        endpoint = FakeEndpoint()
+        async with endpoint_harness(endpoint) as b:
             attempt = b.start(1)
-            connection, _ = await backend.next_command()
+            connection, _ = await endpoint.next_command()
             connection.send(b"*3\r\n$5\r\nhal")
             pooled = attempt.connection
             assert pooled is not None
@@ -180,10 +180,10 @@
             fed.append(data)
 
     async def test() -> None:
-        backend = FakeBackend()
-        async with backend_harness(backend) as b:
+        endpoint = FakeEndpoint()
+        async with endpoint_harness(endpoint) as b:
             attempt = b.start(1)
-            connection, _ = await backend.next_command()
+            connection, _ = await endpoint.next_command()
             assert attempt.connection is not None
             monkeypatch.setattr(attempt.connection.responses, "parser", FeedRecorder())
             connection.send(b"*3\r\n$1\r\nv\r\n*100000000\r\n")
@@ -197,7 +197,7 @@
     async def test() -> None:
         with closing(socket.create_server((LOOPBACK, 0))) as unused:
             port = unused.getsockname()[1]
-        async with backend_harness(port=port) as b:
+        async with endpoint_harness(port=port) as b:
             b.start(1)
             assert (await b.end())[:2] == (1, Outcome.CONNECT_FAILED)
             assert b.pools.open_connections == 0
@@ -218,7 +218,7 @@
                 one.setblocking(False)
                 one.connect_ex(address)
             late = given_up_by == "connect time-out"
-            async with backend_harness(port=address[1], connect=0.05 if late else 20.0) as b:
+            async with endpoint_harness(port=address[1], connect=0.05 if late else 20.0) as b:
                 b.start(1, timeout=None if late else 0.05)
                 assert (await b.end())[:2] == (1, Outcome.CONNECT_FAILED)
                 assert b.pools.open_connections == 0
@@ -231,10 +231,10 @@
 @pytest.mark.parametrize("how", ["reset", "end", "time-out", "cancel"])
 def test_after_the_last_byte_it_may_have_been_executed(how: str) -> None:
     async def test() -> None:
-        backend = FakeBackend()
-        async with backend_harness(backend) as b:
+        endpoint = FakeEndpoint()
+        async with endpoint_harness(endpoint) as b:
             attempt = b.start(1)
-            connection, _ = await backend.next_command()
+            connection, _ = await endpoint.next_command()
             wanted = Outcome.RESET
             if how == "reset":
                 connection.abort()
@@ -248,7 +248,7 @@
                 wanted = Outcome.CANCELLED
             assert await b.end() == (1, wanted, None, {})
             # The connection is closed too: a response that still comes belongs to no attempt.
-            await wait_until(lambda: backend.closed_connections == 1)
+            await wait_until(lambda: endpoint.closed_connections == 1)
             assert b.pools.open_connections == 0
             assert b.ends.empty()
 
@@ -259,7 +259,7 @@
 def test_break_before_the_last_byte_is_not_executed(how: str) -> None:
     async def test() -> None:
         with closing(socket.create_server((LOOPBACK, 0))) as server:
-            async with backend_harness(port=server.getsockname()[1]) as b:
+            async with endpoint_harness(port=server.getsockname()[1]) as b:
                 # More than both socket buffers hold, so that some of it stays behind.
                 attempt = b.start(1, body=b"x" * (32 << 20))
                 loop = asyncio.get_running_loop()
@@ -287,7 +287,7 @@
 
     async def test() -> None:
         with closing(socket.create_server((LOOPBACK, 0))) as server:
-            async with backend_harness(port=server.getsockname()[1]) as b:
+            async with endpoint_harness(port=server.getsockname()[1]) as b:
                 loop = asyncio.get_running_loop()
                 server.setblocking(False)
                 b.start(1, body=b"x" * (size - 1) + b"y")
@@ -308,13 +308,13 @@
     """A repeat decided within the window, on a connection that comes up when the window is over."""
 
     async def test() -> None:
-        backend = FakeBackend()
-        async with backend_harness(backend) as b:
+        endpoint = FakeEndpoint()
+        async with endpoint_harness(endpoint) as b:
             b.start(1, send_deadline=CLOCK())
             assert (await b.end())[:2] == (1, Outcome.CONNECT_FAILED)
             b.start(2, send_deadline=CLOCK() + 60 * SECOND)
-            assert (await backend.next_command())[1][2] == b"i"
-            assert backend.commands.empty()
+            assert (await endpoint.next_command())[1][2] == b"i"
+            assert endpoint.commands.empty()
             assert b.pools.open_connections == 1
 
     run_on_loop(test)
@@ -322,10 +322,10 @@
 
 def test_attempt_ends_once_though_it_is_cancelled_while_its_failure_is_scheduled() -> None:
     async def test() -> None:
-        async with backend_harness(port=1) as b:
-            attempt = b.start(1, backend=99)
+        async with endpoint_harness(port=1) as b:
+            attempt = b.start(1, endpoint=99)
             b.pools.cancel_unsent(attempt)
-            b.start(2, backend=99)
+            b.start(2, endpoint=99)
             assert (await b.end())[:2] == (1, Outcome.NOT_SENT)
             assert (await b.end())[:2] == (2, Outcome.CONNECT_FAILED)
             assert b.ends.empty()
@@ -333,10 +333,10 @@
     run_on_loop(test)
 
 
-def test_attempt_at_an_unknown_backend_is_not_executed() -> None:
+def test_attempt_at_an_unknown_endpoint_is_not_executed() -> None:
     async def test() -> None:
-        async with backend_harness(port=1) as b:
-            b.start(1, backend=99)
+        async with endpoint_harness(port=1) as b:
+            b.start(1, endpoint=99)
             assert b.ends.empty()  # reported in a later turn of the loop
             assert (await b.end())[:2] == (1, Outcome.CONNECT_FAILED)
 
@@ -358,12 +358,12 @@
 
 def test_connection_helper_reads_whole_responses() -> None:
     async def test() -> None:
-        backend = FakeBackend()
-        async with listening(backend):
-            client = Connection(*await asyncio.open_connection(LOOPBACK, backend.port))
+        endpoint = FakeEndpoint()
+        async with listening(endpoint):
+            client = Connection(*await asyncio.open_connection(LOOPBACK, endpoint.port))
             client.send(b"*1\r\n$4\r\nPI")
             client.send(b"NG\r\n")
-            connection, words = await backend.next_command()
+            connection, words = await endpoint.next_command()
             assert words == [b"PING"]
             connection.send(bulk_string(b"x"))
             assert await client.next_message() == b"x"
--- a/tests/server/test_endpoint_directory.py
+++ b/tests/server/test_endpoint_directory.py
@@ -7,9 +7,9 @@
 from qos_gateway.server.config import Address
 from qos_gateway.server.discovery.endpoint_directory import EndpointDirectory
 from qos_gateway.server.discovery.endpoint_list import EndpointUpdate
-from qos_gateway.server.endpoints.connections import BackendConnections
+from qos_gateway.server.endpoints.connections import EndpointConnections
 from qos_gateway.types import Health, ListKind, Topology
-from tests.support.builders import backend
+from tests.support.builders import listed_endpoint
 
 HERE: Address = ("127.0.0.1", 1)
 MOVED: Address = ("127.0.0.1", 2)
@@ -21,18 +21,18 @@
     def __init__(self) -> None:
         self.addresses: dict[int, Address | None] = {}
 
-    def set_address(self, backend: int, address: Address | None) -> None:
-        self.addresses[backend] = address
+    def set_address(self, endpoint: int, address: Address | None) -> None:
+        self.addresses[endpoint] = address
 
 
 def update(kind: ListKind, *entries: tuple[int, Health], address: Address = HERE) -> EndpointUpdate:
-    listed = tuple(backend(number, health) for number, health in entries)
+    listed = tuple(listed_endpoint(number, health) for number, health in entries)
     return EndpointUpdate(Topology(kind, 1, listed), {number: address for number, _ in entries})
 
 
 def registry() -> tuple[EndpointDirectory, FakePools]:
     pools = FakePools()
-    return EndpointDirectory(cast(BackendConnections, pools)), pools
+    return EndpointDirectory(cast(EndpointConnections, pools)), pools
 
 
 def test_whole_list_ends_the_endpoints_that_it_no_longer_names() -> None:
--- a/tests/server/test_endpoint_feed.py
+++ b/tests/server/test_endpoint_feed.py
@@ -14,8 +14,8 @@
 from qos_gateway.server.gateway import GatewayProcess
 from tests.support.servers import (
     LOOPBACK,
-    FakeBackend,
     FakeDiscovery,
+    FakeEndpoint,
     call_command,
     endpoint_entry,
     endpoint_list,
@@ -94,7 +94,7 @@
             client = await harness.connect_client()
             client.send(b"*1\r\n$4\r\nPING\r\n")
             assert str(await client.next_message()).startswith("LOADING")
-            harness.discovery.send_update(endpoint_list(3, endpoint_entry("s-1", harness.backend.port)))
+            harness.discovery.send_update(endpoint_list(3, endpoint_entry("s-1", harness.endpoint.port)))
             await wait_until(harness.gateway.is_ready)
             client.send(b"*1\r\n$4\r\nPING\r\n")
             assert await client.next_message() == b"PONG"
@@ -102,22 +102,24 @@
     run_on_loop(test)
 
 
-def test_drained_backend_gets_nothing_new_and_a_whole_list_takes_away_what_it_lacks() -> None:
+def test_drained_endpoint_gets_nothing_new_and_a_whole_list_takes_away_what_it_lacks() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             client = await harness.connect_client()
             client.send(call_command(number=1))
-            connection, _ = await harness.backend.next_command()
+            connection, _ = await harness.endpoint.next_command()
             connection.send(success_reply(b"v"))
             assert await client.next_message() == b"v"
             harness.discovery.send_update(
-                endpoint_list(2, endpoint_entry("s-1", harness.backend.port, "terminating"), whole=False)
+                endpoint_list(2, endpoint_entry("s-1", harness.endpoint.port, "terminating"), whole=False)
             )
-            await wait_until(lambda: harness.backend.closed_connections == 1)  # the idle connection is closed
+            await wait_until(
+                lambda: harness.endpoint.closed_connections == 1
+            )  # the idle connection is closed
             client.send(call_command(number=2))
             assert str(await client.next_message()).startswith("BUSY")
             harness.discovery.send_update(
-                endpoint_list(3, endpoint_entry("s-1", harness.backend.port), whole=False)
+                endpoint_list(3, endpoint_entry("s-1", harness.endpoint.port), whole=False)
             )
             await wait_until(
                 lambda: (
@@ -127,11 +129,11 @@
                 )
             )
             client.send(call_command(number=3))
-            connection, _ = await harness.backend.next_command()
+            connection, _ = await harness.endpoint.next_command()
             connection.send(success_reply(b"w"))
             assert await client.next_message() == b"w"
-            harness.discovery.send_update(endpoint_list(4, endpoint_entry("s-2", harness.backend.port)))
-            await wait_until(lambda: harness.backend.closed_connections == 2)
+            harness.discovery.send_update(endpoint_list(4, endpoint_entry("s-2", harness.endpoint.port)))
+            await wait_until(lambda: harness.endpoint.closed_connections == 2)
             assert (
                 endpoint_id("s-1") not in harness.gateway.dispatcher.engine.load_balancer.registry.endpoints
             )
@@ -143,9 +145,9 @@
     """A read may fail for a moment, or the list come in the last one before the start."""
 
     async def test() -> None:
-        discovery, backend = FakeDiscovery(), FakeBackend()
-        async with listening(discovery), listening(backend):
-            discovery.first_update = endpoint_list(1, endpoint_entry("s-1", backend.port))
+        discovery, endpoint = FakeDiscovery(), FakeEndpoint()
+        async with listening(discovery), listening(endpoint):
+            discovery.first_update = endpoint_list(1, endpoint_entry("s-1", endpoint.port))
             gateway = GatewayProcess(make_config(discovery.port))
             looks = [True, True, False, False]
             monkeypatch.setattr(gateway.discovery, "has_unread_data", lambda: looks.pop(0))
@@ -153,7 +155,7 @@
             assert looks == []
             assert not gateway.invariants.violations
             await gateway.discovery.close()
-            gateway.backends.close()
+            gateway.endpoint_connections.close()
             gateway.clients.abort()
 
     run_on_loop(test)
--- a/tests/server/test_graceful_shutdown.py
+++ b/tests/server/test_graceful_shutdown.py
@@ -17,10 +17,10 @@
 from qos_gateway.server.clients.listener import Listener
 from qos_gateway.types import Arrival, Send
 from tests.support.processes import launched, running
-from tests.support.scripted_engine import only_backend, script_engine
+from tests.support.scripted_engine import only_endpoint, script_engine
 from tests.support.servers import (
-    FakeBackend,
     FakeDiscovery,
+    FakeEndpoint,
     call_command,
     gateway_harness,
     listening,
@@ -47,7 +47,7 @@
             harness.gateway.clients._max_drain_s = -1.0
             client = await harness.connect_client()
             client.send(call_command(number=1))
-            connection, _ = await harness.backend.next_command()
+            connection, _ = await harness.endpoint.next_command()
             stopping = asyncio.create_task(harness.gateway.stop())
             await wait_until(lambda: harness.gateway.clients.closing)
             connection.send(success_reply(b"v"))
@@ -78,7 +78,7 @@
             assert listener is not None
             await wait_until(lambda: listener.connecting_count == 1)
             draining = asyncio.create_task(clients.drain())
-            connection, _ = await harness.backend.next_command()
+            connection, _ = await harness.endpoint.next_command()
             assert not draining.done()
             connection.send(success_reply(b"v"))
             assert [await client.next_message(), await client.next_message()] == [b"v", None]
@@ -105,7 +105,7 @@
             assert await client.next_message() is None
             client.writer.close()
             await wait_until(lambda: harness.gateway.clients.connection_count() == 0)
-            assert harness.backend.commands.empty()
+            assert harness.endpoint.commands.empty()
             stopping.cancel()
 
     run_on_loop(test)
@@ -120,16 +120,16 @@
 
     async def test() -> None:
         async with gateway_harness() as harness:
-            backend = only_backend(harness)
-            engine = script_engine(harness, *[lambda a: [Send(a.request_id, backend, 0)]] * 2)
+            endpoint = only_endpoint(harness)
+            engine = script_engine(harness, *[lambda a: [Send(a.request_id, endpoint, 0)]] * 2)
             client = await harness.connect_client()
             client.send(call_command(number=1))
-            first, _ = await harness.backend.next_command()
+            first, _ = await harness.endpoint.next_command()
             stopping = asyncio.create_task(harness.gateway.stop())
             await wait_until(lambda: harness.gateway.clients.closing)
             killed = harness.gateway.clock() + SECOND // 2 + 7 * SECOND // 10
             client.send(call_command(number=2))
-            second, _ = await harness.backend.next_command()
+            second, _ = await harness.endpoint.next_command()
             assert [a.deadline < killed for a in engine.events_of(Arrival)] == [False, True]
             first.send(success_reply(b"1"))
             second.send(success_reply(b"2"))
@@ -144,7 +144,7 @@
         async with running(tmp_path) as p:
             client = await p.client()
             client.send(call_command(number=1))
-            connection, _ = await p.backend.next_command()
+            connection, _ = await p.endpoint.next_command()
             for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGTERM):
                 p.process.send_signal(number)
             await p.logged(b"stopping")
@@ -162,8 +162,8 @@
 
     async def test() -> None:
         agent = FakeDiscovery()
-        backend = FakeBackend()
-        async with listening(agent), listening(backend), launched(tmp_path, agent) as process:
+        endpoint = FakeEndpoint()
+        async with listening(agent), listening(endpoint), launched(tmp_path, agent) as process:
             await with_timeout(agent.requests.get())
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGTERM)
--- a/tests/server/test_guards.py
+++ b/tests/server/test_guards.py
@@ -13,8 +13,8 @@
 from qos_gateway.server.start_guard import check_start, check_stop
 from qos_gateway.types import Action, Arrival, Health, Outcome, Reject, Send, Topology
 from qos_gateway.types.settings import IdempotencyScope, Settings
-from tests.support.builders import backend as listed_backend
-from tests.support.scripted_engine import only_backend, script_engine
+from tests.support.builders import listed_endpoint as listed_endpoint
+from tests.support.scripted_engine import only_endpoint, script_engine
 from tests.support.servers import (
     call_command,
     gateway_harness,
@@ -45,9 +45,9 @@
 
 
 def attempt_at(
-    backend: int = 1, started_at: int = 0, outcome: Outcome | None = None, expires_at: int = 2 * SECOND
+    endpoint: int = 1, started_at: int = 0, outcome: Outcome | None = None, expires_at: int = 2 * SECOND
 ) -> Attempt:
-    attempt = Attempt(1, 0, backend, started_at, expires_at, PARTS)
+    attempt = Attempt(1, 0, endpoint, started_at, expires_at, PARTS)
     attempt.ended = outcome is not None
     attempt.outcome = outcome
     return attempt
@@ -84,7 +84,7 @@
 
 
 ENDPOINTS = {
-    number: listed_backend(number, cell=cell, zone=zone)
+    number: listed_endpoint(number, cell=cell, zone=zone)
     for number, zone, cell in ((1, 0, 1), (2, 0, 2), (3, 1, 1))
 }
 
@@ -177,18 +177,18 @@
         async with gateway_harness() as harness:
 
             def send(arrival: Arrival) -> list[Action]:
-                return [Send(arrival.request_id, only_backend(harness), 0)]
+                return [Send(arrival.request_id, only_endpoint(harness), 0)]
 
             engine = script_engine(harness, send)
             client = await harness.connect_client()
             client.send(call_command("charge", 1))
-            connection, _ = await harness.backend.next_command()
+            connection, _ = await harness.endpoint.next_command()
             number = engine.events_of(Arrival)[0].request_id
-            harness.gateway.executor.execute(Send(number, only_backend(harness), 0))
+            harness.gateway.executor.execute(Send(number, only_endpoint(harness), 0))
             harness.gateway.executor.execute(Reject(number, 0))
             assert str(await client.next_message()) == "ERR failed"
             assert harness.gateway.invariants.violations == {Invariant.REPEAT: 2}
-            assert harness.backend.commands.empty()
+            assert harness.endpoint.commands.empty()
             connection.send(success_reply(b"late"))
 
     run_on_loop(test)
@@ -197,20 +197,20 @@
 def test_send_to_an_endpoint_whose_drain_the_engine_missed_is_refused() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            backend = only_backend(harness)
-            script_engine(harness, *[lambda a: [Send(a.request_id, backend, 0)]] * 2)
+            endpoint = only_endpoint(harness)
+            script_engine(harness, *[lambda a: [Send(a.request_id, endpoint, 0)]] * 2)
             client = await harness.connect_client()
             client.send(call_command(number=1))
-            connection, _ = await harness.backend.next_command()
+            connection, _ = await harness.endpoint.next_command()
             connection.send(success_reply(b"v"))
             assert await client.next_message() == b"v"
-            entry = listed_backend(backend, Health.DRAINING)
-            harness.gateway.backends.set_address(backend, None)
+            entry = listed_endpoint(endpoint, Health.DRAINING)
+            harness.gateway.endpoint_connections.set_address(endpoint, None)
             harness.gateway.dispatcher.handle(Topology(0, 2, (entry,)))  # type: ignore[arg-type]
             client.send(call_command(number=2, wait_ms=100))
             assert str(await client.next_message()) == "ERR out of time"
             assert harness.gateway.invariants.violations == {Invariant.SEND: 1}
-            assert harness.backend.commands.empty()
+            assert harness.endpoint.commands.empty()
 
     run_on_loop(test)
 
--- a/tests/server/test_handover.py
+++ b/tests/server/test_handover.py
@@ -9,8 +9,8 @@
 import pytest
 
 from qos_gateway.server.handover.handover import (
-    EXTRA_BACKEND_CONNECTIONS,
     EXTRA_CLIENT_CONNECTIONS,
+    EXTRA_ENDPOINT_CONNECTIONS,
     FRACTIONS,
 )
 from qos_gateway.server.handover.messages import ReceivedState, StateResponse, encode_message
@@ -28,7 +28,7 @@
 async def serve_one(harness: GatewayHarness) -> None:
     client = await harness.connect_client()
     client.send(call_command())
-    connection, _ = await harness.backend.next_command()
+    connection, _ = await harness.endpoint.next_command()
     connection.send(success_reply(b"v"))
     assert await client.next_message() == b"v"
 
@@ -44,23 +44,27 @@
     async def test() -> None:
         async with gateway_harness() as old, gateway_harness() as new:
             await serve_one(old)
-            max_clients, max_backends = (
+            max_clients, max_endpoints = (
                 old.gateway.clients.max_connections,
-                old.gateway.backends.max_connections,
+                old.gateway.endpoint_connections.max_connections,
             )
             memory = old.gateway.clients.buffer_memory
             raw = captured(old)
             assert raw["clients"] == old.gateway.clients.max_connections == 1 + EXTRA_CLIENT_CONNECTIONS
-            assert raw["backends"] == old.gateway.backends.max_connections == 1 + EXTRA_BACKEND_CONNECTIONS
+            assert (
+                raw["backends"]
+                == old.gateway.endpoint_connections.max_connections
+                == 1 + EXTRA_ENDPOINT_CONNECTIONS
+            )
             new.gateway.handover.restore_state(ReceivedState(raw), list_is_current=True)
             assert new.gateway.clients.max_connections == max_clients - raw["clients"]
-            assert new.gateway.backends.max_connections == max_backends - raw["backends"]
+            assert new.gateway.endpoint_connections.max_connections == max_endpoints - raw["backends"]
             assert old.gateway.clients.buffer_memory == int(memory * FRACTIONS.outgoing)
             assert new.gateway.clients.buffer_memory == int(memory * FRACTIONS.incoming)
             for harness in (old, new):
                 harness.gateway.handover.on_other_process_ended()
                 assert harness.gateway.clients.max_connections == max_clients
-                assert harness.gateway.backends.max_connections == max_backends
+                assert harness.gateway.endpoint_connections.max_connections == max_endpoints
                 assert harness.gateway.clients.buffer_memory == memory
                 assert harness.gateway.dispatcher.engine.quota.handover_fraction == 1.0
 
@@ -76,7 +80,7 @@
             raw = captured(old)
             raw["list"] = endpoint_list(9, *(endpoint_entry(f"s-{n}", 1) for n in range(3)))
             new.gateway.handover.restore_state(ReceivedState(raw), list_is_current)
-            assert new.gateway.endpoints.listed_count() == (1 if list_is_current else 3)
+            assert new.gateway.endpoint_directory.listed_count() == (1 if list_is_current else 3)
 
     run_on_loop(test)
 
@@ -89,16 +93,19 @@
         async with gateway_harness() as old, gateway_harness() as new:
             raw = captured(old)
             del raw[key]
-            max_clients, max_backends = (
+            max_clients, max_endpoints = (
                 new.gateway.clients.max_connections,
-                new.gateway.backends.max_connections,
+                new.gateway.endpoint_connections.max_connections,
             )
             with caplog.at_level(logging.ERROR):
                 new.gateway.handover.restore_state(ReceivedState(raw), list_is_current=True)
             assert "handover_state_invalid" in caplog.text
-            assert (new.gateway.clients.max_connections, new.gateway.backends.max_connections) == (
+            assert (
+                new.gateway.clients.max_connections,
+                new.gateway.endpoint_connections.max_connections,
+            ) == (
                 max_clients,
-                max_backends,
+                max_endpoints,
             )
             assert new.gateway.dispatcher.engine.quota.handover_fraction == 1.0
 
--- a/tests/server/test_held_values.py
+++ b/tests/server/test_held_values.py
@@ -22,10 +22,10 @@
 
 
 async def forwarded(harness: GatewayHarness, number: int) -> dict[int, Connection]:
-    """Wait until so many requests are forwarded; return the backend's connection of each, by its number."""
+    """Wait until so many requests are forwarded; return the endpoint's connection of each, by its number."""
     connections = {}
     for _ in range(number):
-        connection, words = await harness.backend.next_command()
+        connection, words = await harness.endpoint.next_command()
         connections[int(words[2], 16)] = connection
     return connections
 
@@ -46,7 +46,7 @@
             if room:
                 assert isinstance(await client.next_message(), hiredis.ReplyError)
                 client.send(call_command(number=3))
-                connection, _ = await harness.backend.next_command()
+                connection, _ = await harness.endpoint.next_command()
                 connection.send(success_reply(b"w"))
                 assert await client.next_message() == b"w"
             else:
@@ -76,7 +76,7 @@
             await asyncio.sleep(0.02)
             if order == "half a command behind":
                 client.send(behind[30:])
-                connection, _ = await harness.backend.next_command()
+                connection, _ = await harness.endpoint.next_command()
                 held[2] = connection
             held[large].abort()
             await wait_until(lambda: harness.gateway.activity.attempt_outcomes[Outcome.RESET] == 1)
@@ -96,17 +96,17 @@
         async with gateway_harness() as harness:
             client = await harness.connect_client()
             client.send(call_command(number=1))
-            connection, _ = await harness.backend.next_command()
+            connection, _ = await harness.endpoint.next_command()
             answer = success_reply(value(100_000))
             connection.send(answer[:80_000])
             head = await with_timeout(client.reader.readexactly(1000))
             client.send(call_command(number=2))
             await asyncio.sleep(0.05)
-            assert harness.backend.commands.empty()
+            assert harness.endpoint.commands.empty()
             connection.send(answer[80_000:])
             rest = await with_timeout(client.reader.readexactly(100_011 - 1000))
             assert head + rest == b"$100000\r\n" + value(100_000) + b"\r\n"
-            connection, words = await harness.backend.next_command()
+            connection, words = await harness.endpoint.next_command()
             assert int(words[2], 16) == 2
             connection.send(success_reply(b"v"))
             assert await client.next_message() == b"v"
--- a/tests/server/test_large_values.py
+++ b/tests/server/test_large_values.py
@@ -8,7 +8,7 @@
 import pytest
 
 from qos_gateway.server.clients import connections, timeouts
-from qos_gateway.server.endpoints import connection as backend_connection
+from qos_gateway.server.endpoints import connection as endpoint_connection
 from qos_gateway.server.endpoints import response_receiver
 from qos_gateway.server.networking.resp import (
     MAX_BUFFERED_VALUE_BYTES,
@@ -18,7 +18,7 @@
 )
 from qos_gateway.types import AttemptEnded, ClientDisconnected, Outcome, ResponseStarted, Send
 from tests.support.builders import SECOND
-from tests.support.scripted_engine import only_backend, pass_deadline, script_engine
+from tests.support.scripted_engine import only_endpoint, pass_deadline, script_engine
 from tests.support.servers import (
     LOOPBACK,
     GatewayHarness,
@@ -46,7 +46,7 @@
             client = await harness.connect_client()
             for number in range(2):
                 client.send(call_command(number=number))
-                connection, _ = await harness.backend.next_command()
+                connection, _ = await harness.endpoint.next_command()
                 answer = success_reply(value(size))
                 for at in range(0, len(answer), piece):
                     connection.send(answer[at : at + piece])
@@ -54,10 +54,10 @@
                 assert await client.next_message() == value(size)
             client.send(call_command(number=2) + call_command(number=3))
             for _ in range(2):  # on a connection each, so either may come first
-                connection, words = await harness.backend.next_command()
+                connection, words = await harness.endpoint.next_command()
                 connection.send(success_reply(b"small %d" % int(words[2], 16)))
             assert [await client.next_message(), await client.next_message()] == [b"small 2", b"small 3"]
-            assert harness.backend.closed_connections == 0
+            assert harness.endpoint.closed_connections == 0
             assert figures(harness) == (4, 0, 0)
             assert harness.gateway.clients.active_streams == 0
             assert not harness.gateway.requests._requests
@@ -69,16 +69,16 @@
 def test_large_value_goes_out_before_its_last_byte_has_come_and_outlasts_the_clients_time() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            backend = only_backend(harness)
-            engine = script_engine(harness, lambda a: [Send(a.request_id, backend, SECOND // 50)])
+            endpoint = only_endpoint(harness)
+            engine = script_engine(harness, lambda a: [Send(a.request_id, endpoint, SECOND // 50)])
             client = await harness.connect_client()
             client.send(call_command())
-            connection, _ = await harness.backend.next_command()
+            connection, _ = await harness.endpoint.next_command()
             answer = success_reply(value(200_000))
             connection.send(answer[:100_000])
             assert (await with_timeout(client.reader.readexactly(9_000)))[:9] == b"$200000\r\n"
             (begun,) = engine.events_of(ResponseStarted)
-            assert begun.endpoint == backend
+            assert begun.endpoint == endpoint
             assert begun.attempt == 0
             pass_deadline(harness, engine)
             await asyncio.sleep(0.05)  # the attempt's own time-out is over by then, too
@@ -104,7 +104,7 @@
             client = await harness.connect_client()
             client.send(call_command(wait_ms=300))
             sent_at = asyncio.get_running_loop().time()
-            connection, _ = await harness.backend.next_command()
+            connection, _ = await harness.endpoint.next_command()
             connection.send(success_reply(value(100_000))[:80_000])
             assert len(await with_timeout(client.reader.read(1 << 20)))
             while await with_timeout(client.reader.read(1 << 20)):
@@ -124,7 +124,7 @@
         async with gateway_harness() as harness:
             client = await harness.connect_client()
             client.send(call_command(wait_ms=300))
-            connection, _ = await harness.backend.next_command()
+            connection, _ = await harness.endpoint.next_command()
             connection.send(success_reply(value(100_000))[:50_000])
             end = asyncio.ensure_future(client.reader.read())
             for _ in range(1000):
@@ -138,14 +138,14 @@
 
 
 def test_value_in_flow_ends_before_a_stopping_process_is_killed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(backend_connection, "MAX_OVERTIME_S", 10.0)
+    monkeypatch.setattr(endpoint_connection, "MAX_OVERTIME_S", 10.0)
 
     async def test() -> None:
         async with gateway_harness() as harness:
             requests = harness.gateway.requests
             client = await harness.connect_client()
             client.send(call_command(wait_ms=200))
-            connection, _ = await harness.backend.next_command()
+            connection, _ = await harness.endpoint.next_command()
             requests.latest_deadline = requests.clock() + SECOND * 4 // 10
             connection.send(success_reply(value(100_000))[:50_000])
             end = asyncio.ensure_future(client.reader.read())
@@ -156,7 +156,7 @@
                 await asyncio.sleep(0.02)
             await with_timeout(end)
             late = requests.clock() - requests.latest_deadline
-            assert 0 < late < backend_connection.MAX_OVERTIME_S * SECOND // 2
+            assert 0 < late < endpoint_connection.MAX_OVERTIME_S * SECOND // 2
 
     run_on_loop(test)
 
@@ -172,7 +172,7 @@
         async with gateway_harness() as harness:
             client, other = await harness.connect_client(), await harness.connect_client()
             client.send(call_command(number=1))
-            connection, _ = await harness.backend.next_command()
+            connection, _ = await harness.endpoint.next_command()
             connection.send(success_reply(value(100_000))[:80_000])
             await with_timeout(client.reader.readexactly(1000))
             if how == "break":
@@ -182,10 +182,10 @@
             assert (
                 len(await with_timeout(client.reader.read())) < 100_011 - 1000
             )  # told by the end of the connection
-            assert harness.backend.commands.empty()
+            assert harness.endpoint.commands.empty()
             assert figures(harness) == (0, 0, 1)
             other.send(call_command(number=2))
-            again, _ = await harness.backend.next_command()
+            again, _ = await harness.endpoint.next_command()
             again.send(success_reply(b"v"))
             assert await other.next_message() == b"v"
             assert harness.gateway.clients.active_streams == 0
@@ -203,14 +203,14 @@
             loop = asyncio.get_running_loop()
             await loop.sock_connect(sock, (LOOPBACK, harness.gateway.clients.port))
             await loop.sock_sendall(sock, call_command(wait_ms=60_000))
-            connection, _ = await harness.backend.next_command()
+            connection, _ = await harness.endpoint.next_command()
             whole = value(MAX_VALUE_BYTES)
             connection.send(success_reply(whole))
             (client,) = harness.gateway.clients._connections
             await wait_until(lambda: client.blocked)
             transport = client._transport
             assert transport is not None
-            most = harness.gateway.clients.write_buffer_bytes + 4 * backend_connection.RECEIVE_BUFFER_BYTES
+            most = harness.gateway.clients.write_buffer_bytes + 4 * endpoint_connection.RECEIVE_BUFFER_BYTES
             got = bytearray()
             while len(got) < len(whole) + 12:
                 assert transport.get_write_buffer_size() <= most
@@ -226,12 +226,12 @@
         async with gateway_harness() as harness:
             client = await harness.connect_client()
             client.send(call_command())
-            connection, _ = await harness.backend.next_command()
+            connection, _ = await harness.endpoint.next_command()
             connection.send(success_reply(value(1 << 20))[:500_000])
             await with_timeout(client.reader.readexactly(1000))
             client.abort()
             await wait_until(
-                lambda: harness.backend.closed_connections == 1 and not harness.gateway.requests._requests
+                lambda: harness.endpoint.closed_connections == 1 and not harness.gateway.requests._requests
             )
             assert harness.gateway.clients.active_streams == 0
             assert not harness.gateway.dispatcher.engine.request_table.in_flight
@@ -247,7 +247,7 @@
             client.send(call_command(number=1) + call_command(number=2))
             held = {}
             for _ in range(2):
-                connection, words = await harness.backend.next_command()
+                connection, words = await harness.endpoint.next_command()
                 held[words[2]] = connection
             held[b"%016x" % 2].send(success_reply(value(1 << 20)))
             await wait_until(
@@ -263,14 +263,14 @@
 def test_of_two_large_values_for_one_request_only_one_is_passed_on() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            backend = only_backend(harness)
+            endpoint = only_endpoint(harness)
             engine = script_engine(
-                harness, lambda a: [Send(a.request_id, backend, 0), Send(a.request_id, backend, 0)]
+                harness, lambda a: [Send(a.request_id, endpoint, 0), Send(a.request_id, endpoint, 0)]
             )
             client = await harness.connect_client()
             client.send(call_command())
-            first, _ = await harness.backend.next_command()
-            second, _ = await harness.backend.next_command()
+            first, _ = await harness.endpoint.next_command()
+            second, _ = await harness.endpoint.next_command()
             answer = success_reply(value(100_000))
             first.send(answer[:90_000])
             await wait_until(lambda: bool(engine.events_of(ResponseStarted)))
@@ -291,11 +291,11 @@
         async with gateway_harness() as harness:
             client = await harness.connect_client()
             client.send(call_command())
-            connection, _ = await harness.backend.next_command()
+            connection, _ = await harness.endpoint.next_command()
             answer, last_data_at = success_reply(b"v" * 30), 0.0
             for at in range(0, len(answer) - 9, 9):
                 connection.send(answer[at : at + 9])
-                (pooled,) = harness.gateway.backends._pools[only_backend(harness)].connections
+                (pooled,) = harness.gateway.endpoint_connections._pools[only_endpoint(harness)].connections
                 await wait_until(lambda pooled=pooled: pooled.last_data_at > 0.0)  # type: ignore[misc]
                 last_data_at = pooled.last_data_at
                 pooled.last_data_at = last_data_at - 59.0  # a piece a minute, as it were
--- a/tests/server/test_log_rate_limit.py
+++ b/tests/server/test_log_rate_limit.py
@@ -1,4 +1,4 @@
-"""Rate limits on log lines that clients and backends cause."""
+"""Rate limits on log lines that clients and endpoints cause."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 
 from qos_gateway.server.clients.connection import log as clients_log
-from qos_gateway.server.endpoints.connection import log as backends_log
+from qos_gateway.server.endpoints.connection import log as endpoint_connections_log
 from qos_gateway.server.observability.logs import MAX_LINES, WINDOW_S, RateLimitFilter
 
 
@@ -26,6 +26,6 @@
     assert caplog.messages[MAX_LINES:] == [f"malformed number=next suppressed_lines={500 - MAX_LINES}"]
 
 
-def test_logs_of_clients_and_backends_are_bounded() -> None:
-    for log in (backends_log, clients_log):
+def test_logs_of_clients_and_endpoints_are_bounded() -> None:
+    for log in (endpoint_connections_log, clients_log):
         assert any(isinstance(one, RateLimitFilter) for one in log.filters)
--- a/tests/server/test_momentary_failures.py
+++ b/tests/server/test_momentary_failures.py
@@ -27,8 +27,8 @@
 from tests.support.processes import running
 from tests.support.servers import (
     LOOPBACK,
-    FakeBackend,
     FakeDiscovery,
+    FakeEndpoint,
     endpoint_entry,
     endpoint_list,
     listening,
@@ -71,14 +71,14 @@
     monkeypatch.setattr(socket, "create_server", fail_for_a_moment)
 
     async def test() -> None:
-        discovery, backend = FakeDiscovery(), FakeBackend()
-        async with listening(discovery), listening(backend):
-            discovery.first_update = endpoint_list(1, endpoint_entry("s-1", backend.port))
+        discovery, endpoint = FakeDiscovery(), FakeEndpoint()
+        async with listening(discovery), listening(endpoint):
+            discovery.first_update = endpoint_list(1, endpoint_entry("s-1", endpoint.port))
             gateway = GatewayProcess(make_config(discovery.port))
             await with_timeout(gateway.start())
             assert gateway.clients.port > 0
             await gateway.discovery.close()
-            gateway.backends.close()
+            gateway.endpoint_connections.close()
             gateway.clients.abort()
 
     run_on_loop(test)
--- a/tests/server/test_periodic_checks.py
+++ b/tests/server/test_periodic_checks.py
@@ -35,7 +35,7 @@
             assert gateway.counter is not None
             checked: Any = {
                 "clients": gateway.clients,
-                "backends": gateway.backends,
+                "backends": gateway.endpoint_connections,
                 "counter": gateway.counter,
                 "hangup monitor": gateway.clients.hangup_monitor,
             }[owner]
@@ -48,7 +48,7 @@
                 "hangup monitor": ("_timer", "_check"),
             }[owner]
             monkeypatch.setattr(client_connections, "enforce_timeouts", fail)
-            monkeypatch.setattr(gateway.backends.keep_alive, "decay", fail)
+            monkeypatch.setattr(gateway.endpoint_connections.keep_alive, "decay", fail)
             monkeypatch.setattr(gateway.counter._connections, "check", fail)
             monkeypatch.setattr(type(client), "has_hung_up", fail)
             getattr(checked, name).cancel()
--- a/tests/server/test_process.py
+++ b/tests/server/test_process.py
@@ -16,8 +16,8 @@
 from tests.support.servers import (
     LOOPBACK,
     Connection,
-    FakeBackend,
     FakeDiscovery,
+    FakeEndpoint,
     call_command,
     endpoint_entry,
     endpoint_list,
@@ -38,7 +38,7 @@
             idle.send(b"*1\r\n$4\r\nPING\r\n")
             assert await idle.next_message() == b"PONG"
             taken.send(call_command(number=1))
-            first, _ = await p.backend.next_command()
+            first, _ = await p.endpoint.next_command()
             # Held still, so that all of this waits in socket and accept queue at the gateway's SIGTERM.
             p.process.send_signal(signal.SIGSTOP)
             late = await p.client()
@@ -49,7 +49,7 @@
             p.process.send_signal(signal.SIGCONT)
             held: dict[bytes, Connection] = {}
             for _ in range(2):
-                connection, words = await p.backend.next_command()
+                connection, words = await p.endpoint.next_command()
                 held[words[2]] = connection
             held[b"%016x" % 3].send(success_reply(b"3"))
             held[b"%016x" % 2].send(success_reply(b"2"))
@@ -74,7 +74,7 @@
             await with_timeout(late.writer.drain())
             await asyncio.sleep(ACCEPT_DRAIN_QUIET_S + 0.1)  # its time to close the door passes meanwhile
             p.process.send_signal(signal.SIGCONT)
-            connection, _ = await p.backend.next_command()
+            connection, _ = await p.endpoint.next_command()
             connection.send(success_reply(b"v"))
             assert await late.next_message() == b"v"
             assert await with_timeout(p.process.wait()) == 0
@@ -104,12 +104,12 @@
 
 def test_sighup_moves_discovery_and_keeps_the_rest_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
     async def test() -> None:
-        agent, second = FakeDiscovery(), FakeBackend()
+        agent, second = FakeDiscovery(), FakeEndpoint()
         async with listening(agent), listening(second), running(tmp_path) as p:
             agent.first_update = endpoint_list(2, endpoint_entry("s-2", second.port), whole=False)
             client = await p.client()
             client.send(call_command(number=1))
-            before, _ = await p.backend.next_command()
+            before, _ = await p.endpoint.next_command()
             whole = json.dumps(raw_config(agent.port) | {"name": "other"})
             for bad in (whole[:-9], json.dumps({"discovery": f"{LOOPBACK}:{agent.port}"})):
                 p.path.write_text(bad)
@@ -125,10 +125,10 @@
             assert await client.next_message() == b"one"
             # The list in use stays, and what the new agent tells is added to it.
             agent.send_update(
-                endpoint_list(3, endpoint_entry("s-1", p.backend.port, "terminating"), whole=False)
+                endpoint_list(3, endpoint_entry("s-1", p.endpoint.port, "terminating"), whole=False)
             )
             await wait_until(
-                lambda: p.backend.closed_connections == 1
+                lambda: p.endpoint.closed_connections == 1
             )  # its connection at rest goes with the drain
             client.send(call_command(number=2))
             connection, _ = await second.next_command()
@@ -149,7 +149,7 @@
             async with running(tmp_path) as p:
                 client = await p.client()
                 client.send(call_command(number=number))
-                connection, words = await p.backend.next_command()
+                connection, words = await p.endpoint.next_command()
                 assert words[2] == b"%016x" % number
                 connection.send(success_reply(b"v"))
                 assert await client.next_message() == b"v"
--- a/tests/server/test_requests.py
+++ b/tests/server/test_requests.py
@@ -28,7 +28,7 @@
     TimerFired,
     Topology,
 )
-from tests.support.scripted_engine import ScriptedEngine, only_backend, pass_deadline, script_engine
+from tests.support.scripted_engine import ScriptedEngine, only_endpoint, pass_deadline, script_engine
 from tests.support.servers import (
     CUSTOMER,
     bulk_string,
@@ -53,7 +53,7 @@
             assert await client.next_message() == b"PONG"
             body = b"\x00\r\n$5\r\n" * 100
             client.send(call_command("submit", 0x9B1F, wait_ms=1500, body=body, extra=",r=1,odd=\xff"))
-            connection, words = await harness.backend.next_command()
+            connection, words = await harness.endpoint.next_command()
             left = int(words[3].split(b",d=")[1].split(b",")[0])
             assert 500 < left < 1500
             assert words == [
@@ -119,7 +119,7 @@
             harness.gateway.dispatcher.engine.handle = spy  # type: ignore[method-assign]
             client = await harness.connect_client()
             client.send(call_command())
-            connection, _ = await harness.backend.next_command()
+            connection, _ = await harness.endpoint.next_command()
             connection.send(b"*3\r\n" + bulk_string(b"v") + quota_report + b"$-1\r\n")
             assert await client.next_message() == b"v"
             assert reported == [quota_usage]
@@ -133,7 +133,7 @@
     async def test() -> None:
         async with gateway_harness() as harness:
             engine = harness.gateway.dispatcher.engine
-            backends = harness.gateway.backends
+            endpoints = harness.gateway.endpoint_connections
             endings = [
                 success_reply(b"v"),
                 b"-ERR failed\r\n",
@@ -147,8 +147,8 @@
             for number, ending in enumerate(endings):
                 client = await harness.connect_client()
                 client.send(call_command("charge", number, wait_ms=1500))
-                connection, _ = await harness.backend.next_command()
-                busy = backends.open_connections - backends.idle_count()
+                connection, _ = await harness.endpoint.next_command()
+                busy = endpoints.open_connections - endpoints.idle_count()
                 assert (
                     engine.request_table.in_flight
                     == busy
@@ -157,29 +157,29 @@
                 )
                 if number == len(endings) - 1:
                     harness.discovery.send_update(
-                        endpoint_list(2, endpoint_entry("s-1", harness.backend.port, "terminating"))
+                        endpoint_list(2, endpoint_entry("s-1", harness.endpoint.port, "terminating"))
                     )
-                    await wait_until(lambda: not backends.has_usable())
+                    await wait_until(lambda: not endpoints.has_usable())
                 if ending is None:
                     client.abort()
                     await wait_until(lambda: not engine.request_table.open)
                     ending = success_reply(b"for nobody")
                 if ending == b"-BUSY\r\n":
-                    # Never ran, so it is tried again; there is but one backend to do so.
+                    # Never ran, so it is tried again; there is but one endpoint to do so.
                     connection.send(ending)
-                    connection, _ = await harness.backend.next_command()
+                    connection, _ = await harness.endpoint.next_command()
                     assert engine.request_table.in_flight == 1
                 connection.send(ending) if ending else connection.abort()
                 await wait_until(lambda: engine.request_table.in_flight == 0)
                 assert not engine.request_table.attempts
                 assert not engine.request_table.open
                 assert not harness.gateway.requests._requests
-                assert backends.open_connections == backends.idle_count()
+                assert endpoints.open_connections == endpoints.idle_count()
                 assert not harness.gateway.requests._open_ids
                 assert all(each.in_flight == 0 for each in engine.load_balancer.registry.endpoints.values())
                 for endpoint in engine.load_balancer.registry.endpoints.values():
                     endpoint.ejected_until = 0  # the symptoms would have it ejected
-            await wait_until(lambda: backends.open_connections == 0)
+            await wait_until(lambda: endpoints.open_connections == 0)
             assert all(each.in_flight == 0 for each in engine.quota.accounts.values())
 
     run_on_loop(test)
@@ -192,11 +192,11 @@
             client.send(call_command(number=1) + call_command(number=2) + b"*1\r\n$4\r\nPING\r\n")
             by_id = {}
             for _ in range(2):
-                connection, words = await harness.backend.next_command()
+                connection, words = await harness.endpoint.next_command()
                 by_id[words[2]] = connection
             by_id[b"%016x" % 2].send(success_reply(b"two"))
             await wait_until(
-                lambda: harness.gateway.backends.idle_count() == 1
+                lambda: harness.gateway.endpoint_connections.idle_count() == 1
             )  # the second's answer has been taken in
             by_id[b"%016x" % 1].send(success_reply(b"one"))
             assert [await client.next_message() for _ in range(3)] == [b"one", b"two", b"PONG"]
@@ -221,13 +221,13 @@
 def test_attempt_at_the_end_of_its_time_is_a_time_out_and_its_late_answer_goes_nowhere() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            backend = only_backend(harness)
+            endpoint = only_endpoint(harness)
             client = await harness.connect_client()
             engine = script_engine(
-                harness, lambda a: [Send(a.request_id, backend, 0)], lambda a: [Fail(a.request_id)]
+                harness, lambda a: [Send(a.request_id, endpoint, 0)], lambda a: [Fail(a.request_id)]
             )
             client.send(call_command())
-            connection, _ = await harness.backend.next_command()
+            connection, _ = await harness.endpoint.next_command()
             pass_deadline(harness, engine)
             assert str(await client.next_message()).startswith("ERR")
             outcomes = [e.outcome for e in engine.events_of(AttemptEnded)]
@@ -259,17 +259,17 @@
 def test_attempt_for_a_closed_request_is_reported_as_not_sent() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            backend = only_backend(harness)
+            endpoint = only_endpoint(harness)
             engine = script_engine(
                 harness,
-                lambda a: [Fail(a.request_id), Send(a.request_id, backend, 0)],
-                lambda a: [Send(a.request_id, backend, 0)],
+                lambda a: [Fail(a.request_id), Send(a.request_id, endpoint, 0)],
+                lambda a: [Send(a.request_id, endpoint, 0)],
             )
             client = await harness.connect_client()
             client.send(call_command(number=1))
             assert str(await client.next_message()) == "ERR failed"
             client.send(call_command(number=2))
-            _, words = await harness.backend.next_command()
+            _, words = await harness.endpoint.next_command()
             assert words[2] == b"%016x" % 2  # the first was never written
             assert not engine.events_of(ClientDisconnected)
 
@@ -279,11 +279,11 @@
 def test_disconnect_of_a_client_is_one_event() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            backend = only_backend(harness)
-            engine = script_engine(harness, lambda a: [Send(a.request_id, backend, 0)])
+            endpoint = only_endpoint(harness)
+            engine = script_engine(harness, lambda a: [Send(a.request_id, endpoint, 0)])
             client = await harness.connect_client()
             client.send(call_command())
-            connection, _ = await harness.backend.next_command()
+            connection, _ = await harness.endpoint.next_command()
             client.abort()
             await wait_until(lambda: bool(engine.events_of(ClientDisconnected)))
             connection.send(success_reply(b"for nobody"))
@@ -313,15 +313,15 @@
 
 
 def test_attempt_whose_client_disconnected_ends_at_its_deadline() -> None:
-    """A backend that vanished sends nothing: its connection would stay open and counted for good."""
+    """A endpoint that vanished sends nothing: its connection would stay open and counted for good."""
 
     async def test() -> None:
         async with gateway_harness() as harness:
-            backend = only_backend(harness)
-            engine = script_engine(harness, lambda a: [Send(a.request_id, backend, 0)])
+            endpoint = only_endpoint(harness)
+            engine = script_engine(harness, lambda a: [Send(a.request_id, endpoint, 0)])
             client = await harness.connect_client()
             client.send(call_command())
-            await harness.backend.next_command()
+            await harness.endpoint.next_command()
             client.abort()
             await wait_until(lambda: bool(engine.events_of(ClientDisconnected)))
             assert not engine.events_of(AttemptEnded)
@@ -331,8 +331,8 @@
             pass_deadline(harness, engine)
             (ended,) = engine.events_of(AttemptEnded)
             assert (ended.outcome, ended.request_finished) == (Outcome.TIMEOUT, True)
-            await wait_until(lambda: harness.backend.closed_connections == 1)
-            assert harness.gateway.backends.open_connections == 0
+            await wait_until(lambda: harness.endpoint.closed_connections == 1)
+            assert harness.gateway.endpoint_connections.open_connections == 0
 
     run_on_loop(test)
 
@@ -371,9 +371,9 @@
             def start(_attempt: Attempt, _timeout: float | None) -> None:
                 raise OSError("no descriptor")
 
-            monkeypatch.setattr(harness.gateway.backends, "start_attempt", start)
-            backend = only_backend(harness)
-            engine = script_engine(harness, lambda a: [Send(a.request_id, backend, 0)])
+            monkeypatch.setattr(harness.gateway.endpoint_connections, "start_attempt", start)
+            endpoint = only_endpoint(harness)
+            engine = script_engine(harness, lambda a: [Send(a.request_id, endpoint, 0)])
             client = await harness.connect_client()
             client.send(call_command())
             assert str(await client.next_message()) == "ERR internal fault"
@@ -414,7 +414,7 @@
             engine = Faulty()
             harness.gateway.dispatcher.engine = engine  # type: ignore[assignment]
             await with_timeout(harness.discovery.requests.get())
-            drain = endpoint_list(2, endpoint_entry("s-1", harness.backend.port, "terminating"), whole=False)
+            drain = endpoint_list(2, endpoint_entry("s-1", harness.endpoint.port, "terminating"), whole=False)
             harness.discovery.send_update(drain)
             harness.discovery.first_update = drain
             assert b"index=1 " in await with_timeout(harness.discovery.requests.get())
@@ -428,13 +428,13 @@
 def test_probe_is_sent_only_where_allowed(allowed: bool) -> None:
     async def test() -> None:
         async with gateway_harness(limits__probes=allowed) as harness:
-            backend = only_backend(harness)
-            engine = script_engine(harness, lambda a: [Probe(backend), Send(a.request_id, backend, 0)])
+            endpoint = only_endpoint(harness)
+            engine = script_engine(harness, lambda a: [Probe(endpoint), Send(a.request_id, endpoint, 0)])
             client = await harness.connect_client()
             client.send(call_command())
             commands = {}
             for _ in range(1 + allowed):
-                connection, words = await harness.backend.next_command()
+                connection, words = await harness.endpoint.next_command()
                 commands[words[0]] = connection
             if allowed:
                 commands[b"INFO"].send(bulk_string(b"load_share=0.25,concurrent=4"))
@@ -442,12 +442,12 @@
                 (probed,) = engine.events_of(ProbeEnded)
                 assert (probed.outcome, probed.endpoint, probed.load_report) == (
                     Outcome.OK,
-                    backend,
+                    endpoint,
                     (0.25, 4.0),
                 )
             commands[b"CALL.GET"].send(success_reply(b"v"))
             assert await client.next_message() == b"v"
-            assert harness.backend.commands.empty()
+            assert harness.endpoint.commands.empty()
             assert len(engine.events_of(ProbeEnded)) == allowed
 
     run_on_loop(test)
@@ -456,8 +456,8 @@
 def test_load_reports_reach_the_engine_in_the_order_of_the_settings_even_from_error_lines() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            backend = only_backend(harness)
-            engine = script_engine(harness, *[lambda a: [Send(a.request_id, backend, 0)]] * 3)
+            endpoint = only_endpoint(harness)
+            engine = script_engine(harness, *[lambda a: [Send(a.request_id, endpoint, 0)]] * 3)
             client = await harness.connect_client()
             reports = {
                 b"-ERR failed concurrent=9,load_share=0.5\r\n": (0.5, 9.0),
@@ -466,7 +466,7 @@
             }
             for number, line in enumerate(reports):
                 client.send(call_command(number=number))
-                connection, _ = await harness.backend.next_command()
+                connection, _ = await harness.endpoint.next_command()
                 connection.send(line)
                 await wait_until(lambda: len(engine.events_of(AttemptEnded)) > number)  # noqa: B023
             assert [event.load_report for event in engine.events_of(AttemptEnded)] == list(reports.values())
@@ -478,17 +478,17 @@
 def test_cancelled_attempt_closes_its_connection() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            backend = only_backend(harness)
+            endpoint = only_endpoint(harness)
             engine = script_engine(
                 harness,
-                lambda a: [Send(a.request_id, backend, 0)],
+                lambda a: [Send(a.request_id, endpoint, 0)],
                 lambda a: [CancelAttempt(a.request_id - 1, 0), Reject(a.request_id, 0)],
             )
             client = await harness.connect_client()
             client.send(call_command(number=1) + call_command(number=2))
             await wait_until(lambda: bool(engine.events_of(AttemptEnded)))
             assert engine.events_of(AttemptEnded)[0].outcome is Outcome.CANCELLED
-            assert harness.gateway.backends.open_connections == 0
+            assert harness.gateway.endpoint_connections.open_connections == 0
 
     run_on_loop(test)
 
@@ -496,19 +496,19 @@
 def test_idle_connections_close_when_the_engine_asks_for_it() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            backend = only_backend(harness)
+            endpoint = only_endpoint(harness)
             script_engine(
                 harness,
-                lambda a: [Send(a.request_id, backend, 0)],
-                lambda a: [CloseIdleConnections(backend), Reject(a.request_id, 0)],
+                lambda a: [Send(a.request_id, endpoint, 0)],
+                lambda a: [CloseIdleConnections(endpoint), Reject(a.request_id, 0)],
             )
             client = await harness.connect_client()
             client.send(call_command(number=1))
-            connection, _ = await harness.backend.next_command()
+            connection, _ = await harness.endpoint.next_command()
             connection.send(success_reply(b"v"))
             assert await client.next_message() == b"v"
             client.send(call_command(number=2))
             assert str(await client.next_message()) == "BUSY"
-            await wait_until(lambda: harness.backend.closed_connections == 1)
+            await wait_until(lambda: harness.endpoint.closed_connections == 1)
 
     run_on_loop(test)
--- a/tests/server/test_upgrade.py
+++ b/tests/server/test_upgrade.py
@@ -11,8 +11,8 @@
 
 from tests.support.processes import inherited_socket, operate, running, serving
 from tests.support.servers import (
-    FakeBackend,
     FakeDiscovery,
+    FakeEndpoint,
     call_command,
     endpoint_entry,
     endpoint_list,
@@ -26,23 +26,23 @@
 
 def test_upgrade_on_an_inherited_socket_answers_all_and_leaves_new_ones_to_the_next(tmp_path: Path) -> None:
     async def test() -> None:
-        agent, backend = FakeDiscovery(), FakeBackend()
-        async with listening(agent), listening(backend), inherited_socket() as sock:
-            agent.first_update = endpoint_list(1, endpoint_entry("s-1", backend.port))
-            async with serving(tmp_path, agent, backend, sock) as old:
+        agent, endpoint = FakeDiscovery(), FakeEndpoint()
+        async with listening(agent), listening(endpoint), inherited_socket() as sock:
+            agent.first_update = endpoint_list(1, endpoint_entry("s-1", endpoint.port))
+            async with serving(tmp_path, agent, endpoint, sock) as old:
                 taken, idle = await old.client(), await old.client()
                 idle.send(b"*1\r\n$4\r\nPING\r\n")
                 assert await idle.next_message() == b"PONG"
                 taken.send(call_command(number=1))
-                first, _ = await backend.next_command()
-                async with serving(tmp_path, agent, backend, sock) as new:
+                first, _ = await endpoint.next_command()
+                async with serving(tmp_path, agent, endpoint, sock) as new:
                     old.process.send_signal(signal.SIGTERM)
                     await old.logged(b"stopping")
                     assert await idle.next_message() is None
                     for number in range(2, 12):  # the old accepts no more
                         client = await new.client()
                         client.send(call_command(number=number))
-                        connection, words = await backend.next_command()
+                        connection, words = await endpoint.next_command()
                         assert words[2] == b"%016x" % number
                         connection.send(success_reply(b"new"))
                         assert await client.next_message() == b"new"
@@ -53,7 +53,7 @@
                     assert await with_timeout(old.process.wait()) == 0
                     client = await new.client()
                     client.send(call_command(number=20))
-                    connection, _ = await backend.next_command()
+                    connection, _ = await endpoint.next_command()
                     connection.send(success_reply(b"still"))
                     assert await client.next_message() == b"still"
 
@@ -64,7 +64,7 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        agent, one, two = FakeDiscovery(), FakeBackend(), FakeBackend()
+        agent, one, two = FakeDiscovery(), FakeEndpoint(), FakeEndpoint()
         async with listening(agent), listening(one), listening(two), inherited_socket() as sock:
             agent.first_update = endpoint_list(
                 1, endpoint_entry("s-1", one.port), endpoint_entry("s-2", two.port)
@@ -106,11 +106,11 @@
 
 def test_old_process_gets_its_shares_back_when_the_new_one_dies(tmp_path: Path) -> None:
     async def test() -> None:
-        agent, backend = FakeDiscovery(), FakeBackend()
-        async with listening(agent), listening(backend), inherited_socket() as sock:
-            agent.first_update = endpoint_list(1, endpoint_entry("s-1", backend.port))
-            async with serving(tmp_path, agent, backend, sock) as old:
-                async with serving(tmp_path, agent, backend, sock) as new:
+        agent, endpoint = FakeDiscovery(), FakeEndpoint()
+        async with listening(agent), listening(endpoint), inherited_socket() as sock:
+            agent.first_update = endpoint_list(1, endpoint_entry("s-1", endpoint.port))
+            async with serving(tmp_path, agent, endpoint, sock) as old:
+                async with serving(tmp_path, agent, endpoint, sock) as new:
                     new.process.kill()
                     await new.process.wait()
                 await old.logged(b"handover_other_process_ended")
@@ -151,14 +151,14 @@
 
         asked: list[bytes] = []
         server = await asyncio.start_unix_server(answer, tmp_path / "upgrade-n0.sock")
-        agent, backend = FakeDiscovery(), FakeBackend()
-        async with listening(agent), listening(backend), inherited_socket() as sock:
-            agent.first_update = endpoint_list(1, endpoint_entry("s-1", backend.port))
-            async with serving(tmp_path, agent, backend, sock) as p:
+        agent, endpoint = FakeDiscovery(), FakeEndpoint()
+        async with listening(agent), listening(endpoint), inherited_socket() as sock:
+            agent.first_update = endpoint_list(1, endpoint_entry("s-1", endpoint.port))
+            async with serving(tmp_path, agent, endpoint, sock) as p:
                 assert json.loads(asked[0]) == {"v": 1, "want": "state"}
                 client = await p.client()
                 client.send(call_command())
-                connection, _ = await backend.next_command()
+                connection, _ = await endpoint.next_command()
                 connection.send(success_reply(b"v"))
                 assert await client.next_message() == b"v"
         server.close()
@@ -170,15 +170,15 @@
     async def test() -> None:
         folder = tmp_path / ("long" * 30)
         folder.mkdir()
-        agent, backend = FakeDiscovery(), FakeBackend()
-        async with listening(agent), listening(backend), inherited_socket() as sock:
-            agent.first_update = endpoint_list(1, endpoint_entry("s-1", backend.port))
-            async with serving(folder, agent, backend, sock) as killed:
+        agent, endpoint = FakeDiscovery(), FakeEndpoint()
+        async with listening(agent), listening(endpoint), inherited_socket() as sock:
+            agent.first_update = endpoint_list(1, endpoint_entry("s-1", endpoint.port))
+            async with serving(folder, agent, endpoint, sock) as killed:
                 killed.process.kill()
                 await killed.process.wait()
-            async with serving(folder, agent, backend, sock) as p:  # finds the name, and nobody there
+            async with serving(folder, agent, endpoint, sock) as p:  # finds the name, and nobody there
                 assert await operate(p, "/ops/order-servers/down", b"s-1") == 200
-                async with serving(folder, agent, backend, sock) as new:
+                async with serving(folder, agent, endpoint, sock) as new:
                     assert b"handover_completed endpoints_disabled=1" in new.read
 
     run_on_loop(test)
--- a/tests/simulator/test_protocol.py
+++ b/tests/simulator/test_protocol.py
@@ -79,9 +79,9 @@
     return struct.pack("<HQI", 1000, 7, len(raw)) + raw
 
 
-def listed(*backends: int) -> bytes:
-    entries = b"".join(struct.pack("<IBBHBfQ", b, 0, 0, 0, 1, 1.0, 0) for b in backends)
-    return struct.pack("<HBQI", 1010, 2, 1, len(backends)) + entries
+def listed(*endpoints: int) -> bytes:
+    entries = b"".join(struct.pack("<IBBHBfQ", b, 0, 0, 0, 1, 1.0, 0) for b in endpoints)
+    return struct.pack("<HBQI", 1010, 2, 1, len(endpoints)) + entries
 
 
 def inbound(request: int) -> bytes:
--- a/tests/state/test_earlier_versions.py
+++ b/tests/state/test_earlier_versions.py
@@ -18,7 +18,7 @@
     encode_reservation,
     encode_totals,
 )
-from tests.support.builders import SECOND, backend, full_list, plan, settings
+from tests.support.builders import SECOND, full_list, listed_endpoint, plan, settings
 from tests.support.handover import capture_json, restore_json
 
 FIXTURES = Path(__file__).parent.parent / "fixtures"
@@ -33,7 +33,9 @@
         may_message=False, has_counter=True, gateway_count=2, lease_term=10 * SECOND, plans=(plan(), ceiling)
     )
     gateway = DecisionEngine(made, 7, 0)
-    gateway.handle(0, full_list(backend(1), backend(2, booted=START - SECOND), backend(3)))
+    gateway.handle(
+        0, full_list(listed_endpoint(1), listed_endpoint(2, booted=START - SECOND), listed_endpoint(3))
+    )
     restore_json(gateway, START + SECOND, states["written"], made)
     captured = capture_json(gateway, START + SECOND)
     # As text, for the order of the keys belongs to the form too.
--- a/tests/state/test_handover_snapshot.py
+++ b/tests/state/test_handover_snapshot.py
@@ -10,7 +10,7 @@
 from qos_gateway.decisions.handover import complete
 from qos_gateway.decisions.snapshot import SnapshotFormatError
 from qos_gateway.types import CounterReplied, Outcome, Send, SetEndpointEnabled
-from tests.support.builders import SECOND, arrival, backend, ended, full_list, plan, settings
+from tests.support.builders import SECOND, arrival, ended, full_list, listed_endpoint, plan, settings
 from tests.support.handover import capture_json, restore_json
 
 START = 100 * SECOND
@@ -24,7 +24,9 @@
 
 def new_engine() -> DecisionEngine:
     made = DecisionEngine(SETTINGS, 7, 0)
-    made.handle(0, full_list(backend(1), backend(2, booted=START - SECOND), backend(3)))
+    made.handle(
+        0, full_list(listed_endpoint(1), listed_endpoint(2, booted=START - SECOND), listed_endpoint(3))
+    )
     return made
 
 
@@ -99,7 +101,7 @@
     old = used_engine()
     old.load_balancer.registry.endpoints[1].ejected_until = START + SECOND
     new = new_engine()
-    new.handle(START, full_list(backend(1, booted=START)))
+    new.handle(START, full_list(listed_endpoint(1, booted=START)))
     restore_json(new, START, capture_json(old, START), SETTINGS)
     assert new.load_balancer.registry.endpoints[1].ejected_until == 0
 
--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -106,7 +106,7 @@
     return replace(PLAN, **changes)
 
 
-def backend(
+def listed_endpoint(
     number: int, health: Health = Health.READY, booted: int = 0, cell: int = 0, zone: int = 0
 ) -> Endpoint:
     return Endpoint(
--- a/tests/support/backend_harness.py
+++ b/tests/support/endpoint_harness.py
@@ -1,4 +1,4 @@
-"""Connections to backends, driven by a test attempt by attempt."""
+"""Connections to endpoints, driven by a test attempt by attempt."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from contextlib import asynccontextmanager
 
 from qos_gateway.server.endpoints.attempt import Attempt
-from qos_gateway.server.endpoints.connections import BackendConnections
+from qos_gateway.server.endpoints.connections import EndpointConnections
 from qos_gateway.server.endpoints.responses import LoadReport
 from qos_gateway.server.networking.clock import monotonic_unix_ns
 from qos_gateway.server.networking.value_stream import ResponseSink
@@ -15,7 +15,7 @@
 from qos_gateway.types import Outcome
 from tests.support.servers import (
     LOOPBACK,
-    FakeBackend,
+    FakeEndpoint,
     listening,
     with_timeout,
 )
@@ -29,13 +29,13 @@
 EndedAttempt = tuple[int, Outcome, bytes | None, LoadReport]
 
 
-class BackendHarness:
-    """Pools to one fake backend (number 7), and how attempts ended."""
+class EndpointHarness:
+    """Pools to one fake endpoint (number 7), and how attempts ended."""
 
     def __init__(self, most: int, connect: float, idle: float, grace: float) -> None:
         self.ends: asyncio.Queue[EndedAttempt] = asyncio.Queue()
         self.metrics = Metrics(())
-        self.pools = BackendConnections(
+        self.pools = EndpointConnections(
             most,
             connect,
             idle,
@@ -52,12 +52,12 @@
         request: int,
         body: bytes = b"B",
         timeout: float | None = None,
-        backend: int = 7,
+        endpoint: int = 7,
         send_deadline: int = 0,
     ) -> Attempt:
         now = CLOCK()
         command_parts = ((b"CALL.POST", b"c", b"i"), b"c=x,", b",k=y", (body,))
-        attempt = Attempt(request, 0, backend, now, now + 3 * SECOND, command_parts, send_deadline)
+        attempt = Attempt(request, 0, endpoint, now, now + 3 * SECOND, command_parts, send_deadline)
         self.pools.start_attempt(attempt, timeout)
         return attempt
 
@@ -66,22 +66,22 @@
 
 
 @asynccontextmanager
-async def backend_harness(
-    backend: FakeBackend | None = None,
+async def endpoint_harness(
+    endpoint: FakeEndpoint | None = None,
     most: int = 100,
     connect: float = 20.0,
     idle: float = 30.0,
     grace: float = 20.0,
     port: int = 0,
-) -> AsyncIterator[BackendHarness]:
-    made = BackendHarness(most, connect, idle, grace)
+) -> AsyncIterator[EndpointHarness]:
+    made = EndpointHarness(most, connect, idle, grace)
     try:
-        if backend is None:
+        if endpoint is None:
             made.pools.set_address(7, (LOOPBACK, port))
             yield made
         else:
-            async with listening(backend):
-                made.pools.set_address(7, (LOOPBACK, backend.port))
+            async with listening(endpoint):
+                made.pools.set_address(7, (LOOPBACK, endpoint.port))
                 yield made
     finally:
         made.pools.close()
--- a/tests/support/engines.py
+++ b/tests/support/engines.py
@@ -15,9 +15,9 @@
     MS,
     SECOND,
     arrival,
-    backend,
     ended,
     full_list,
+    listed_endpoint,
     plan,
     settings,
 )
@@ -34,7 +34,7 @@
 def engine_alone(**changes: Any) -> DecisionEngine:
     """An engine with four endpoints from a cached list."""
     made = DecisionEngine(settings(**changes), 7, 0)
-    made.handle(0, full_list(*(backend(i) for i in range(1, 5)), kind=ListKind.CACHED))
+    made.handle(0, full_list(*(listed_endpoint(i) for i in range(1, 5)), kind=ListKind.CACHED))
     return made
 
 
@@ -60,5 +60,5 @@
         position + 7,
         0,
     )
-    made.handle(0, full_list(*(backend(i) for i in range(1, 9))))
+    made.handle(0, full_list(*(listed_endpoint(i) for i in range(1, 9))))
     return made
--- a/tests/support/event_fuzzer.py
+++ b/tests/support/event_fuzzer.py
@@ -24,9 +24,9 @@
     SAFE,
     UNSAFE,
     arrival,
-    backend,
     ended,
     full_list,
+    listed_endpoint,
     settings,
 )
 
@@ -73,7 +73,7 @@
 
     def play(self, steps: list[tuple[str, int, Outcome, int, int]]) -> None:
         now = 0
-        self.feed(now, full_list(*(backend(i, cell=i % 2) for i in range(4)), kind=ListKind.CACHED))
+        self.feed(now, full_list(*(listed_endpoint(i, cell=i % 2) for i in range(4)), kind=ListKind.CACHED))
         for number, (what, pick, outcome, wait, cls) in enumerate(steps):
             now += wait * MS
             if what == "arrive":
@@ -90,7 +90,9 @@
                 self.feed(now, TimerFired(TICK_TIMER))
             elif what == "list":
                 health = list(Health)[pick % 3]
-                self.feed(now, full_list(backend(pick % 5, health, booted=now * cls), kind=ListKind.DELTA))
+                self.feed(
+                    now, full_list(listed_endpoint(pick % 5, health, booted=now * cls), kind=ListKind.DELTA)
+                )
             elif what == "mail":
                 self.feed(now, PeerMessage(1, bytes([pick]) * (4 + 11 * (wait % 3))))
         while self.out:
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -21,7 +21,7 @@
     SendPeerMessage,
     TimerFired,
 )
-from tests.support.builders import SECOND, arrival, backend, ended, full_list, settings
+from tests.support.builders import SECOND, arrival, ended, full_list, listed_endpoint, settings
 
 MANY = 200
 
@@ -37,12 +37,12 @@
         self.rejected = 0
         self.loss = 0.0
         self.counter_ok = True
-        self.backends = [backend(i) for i in range(1, 9)]
+        self.endpoints = [listed_endpoint(i) for i in range(1, 9)]
         self.gateways = [self.start(p, 0) for p in range(self.changes["gateway_count"])]
 
     def start(self, position: int, now: int) -> DecisionEngine:
         made = DecisionEngine(settings(position=position, **self.changes), position + 7, now)
-        self.play(now, position, made.handle(now, full_list(*self.backends, kind=ListKind.CACHED)))
+        self.play(now, position, made.handle(now, full_list(*self.endpoints, kind=ListKind.CACHED)))
         return made
 
     def give(self, now: int, position: int, event: Event) -> None:
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -14,8 +14,8 @@
 from tests.support.servers import (
     LOOPBACK,
     Connection,
-    FakeBackend,
     FakeDiscovery,
+    FakeEndpoint,
     endpoint_entry,
     endpoint_list,
     listening,
@@ -30,9 +30,9 @@
     """A gateway in a process of its own."""
 
     def __init__(
-        self, process: asyncio.subprocess.Process, port: int, backend: FakeBackend, path: Path
+        self, process: asyncio.subprocess.Process, port: int, endpoint: FakeEndpoint, path: Path
     ) -> None:
-        self.process, self.port, self.backend, self.path = process, port, backend, path
+        self.process, self.port, self.endpoint, self.path = process, port, endpoint, path
         self.door = 0
         self.read = b""  # of the log: what was read past on the way to lines asked for
 
@@ -58,7 +58,7 @@
 
 @asynccontextmanager
 async def serving(
-    folder: Path, agent: FakeDiscovery, backend: FakeBackend, sock: socket.socket
+    folder: Path, agent: FakeDiscovery, endpoint: FakeEndpoint, sock: socket.socket
 ) -> AsyncIterator[Process]:
     """A gateway on a listening socket that the platform holds."""
     path = folder / "config.json"
@@ -76,7 +76,7 @@
         },
     )
     try:
-        made = Process(process, sock.getsockname()[1], backend, path)
+        made = Process(process, sock.getsockname()[1], endpoint, path)
         made.door = int((await made.logged(b"admin_started")).rsplit(b":", 1)[1])
         await made.logged(b"listening on")
         yield made
@@ -123,11 +123,11 @@
 
 @asynccontextmanager
 async def running(folder: Path, **more: str) -> AsyncIterator[Process]:
-    agent, backend = FakeDiscovery(), FakeBackend()
-    async with listening(agent), listening(backend):
-        agent.first_update = endpoint_list(1, endpoint_entry("s-1", backend.port))
+    agent, endpoint = FakeDiscovery(), FakeEndpoint()
+    async with listening(agent), listening(endpoint):
+        agent.first_update = endpoint_list(1, endpoint_entry("s-1", endpoint.port))
         async with launched(folder, agent, **more) as process:
             assert process.stderr is not None
             while b"listening on" not in (line := await with_timeout(process.stderr.readline())):
                 assert line, "ended before it listened"
-            yield Process(process, int(line.rsplit(b":", 1)[1]), backend, folder / "config.json")
+            yield Process(process, int(line.rsplit(b":", 1)[1]), endpoint, folder / "config.json")
--- a/tests/support/scripted_engine.py
+++ b/tests/support/scripted_engine.py
@@ -52,5 +52,5 @@
     requests.clock = clock
 
 
-def only_backend(harness: GatewayHarness) -> int:
-    return harness.gateway.backends.known_backends()[0]
+def only_endpoint(harness: GatewayHarness) -> int:
+    return harness.gateway.endpoint_connections.known_endpoints()[0]
--- a/tests/support/servers.py
+++ b/tests/support/servers.py
@@ -199,7 +199,7 @@
         self.writer.transport.abort()
 
 
-class FakeBackend:
+class FakeEndpoint:
     """Hands every command to the test as (connection, words)."""
 
     def __init__(self) -> None:
@@ -253,7 +253,7 @@
 
 
 @asynccontextmanager
-async def listening(server: FakeDiscovery | FakeBackend | FakeCounter) -> AsyncIterator[None]:
+async def listening(server: FakeDiscovery | FakeEndpoint | FakeCounter) -> AsyncIterator[None]:
     tasks: set[asyncio.Task[None]] = set()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -278,12 +278,12 @@
 
 
 class GatewayHarness:
-    """A gateway with one backend and its discovery, and clients for it."""
+    """A gateway with one endpoint and its discovery, and clients for it."""
 
-    def __init__(self, gateway: GatewayProcess, discovery: FakeDiscovery, backend: FakeBackend) -> None:
+    def __init__(self, gateway: GatewayProcess, discovery: FakeDiscovery, endpoint: FakeEndpoint) -> None:
         self.gateway = gateway
         self.discovery = discovery
-        self.backend = backend
+        self.endpoint = endpoint
 
     async def connect_client(self) -> Connection:
         return Connection(*await with_timeout(asyncio.open_connection(LOOPBACK, self.gateway.clients.port)))
@@ -292,16 +292,16 @@
 @asynccontextmanager
 async def gateway_harness(counter: str | None = None, **changes: Any) -> AsyncIterator[GatewayHarness]:
     discovery = FakeDiscovery()
-    backend = FakeBackend()
-    async with listening(discovery), listening(backend):
-        discovery.first_update = endpoint_list(1, endpoint_entry("s-1", backend.port))
+    endpoint = FakeEndpoint()
+    async with listening(discovery), listening(endpoint):
+        discovery.first_update = endpoint_list(1, endpoint_entry("s-1", endpoint.port))
         gateway = GatewayProcess(make_config(discovery.port, None, counter, **changes))
         await with_timeout(gateway.start())
         try:
-            yield GatewayHarness(gateway, discovery, backend)
+            yield GatewayHarness(gateway, discovery, endpoint)
         finally:
             await gateway.discovery.close()
-            gateway.backends.close()
+            gateway.endpoint_connections.close()
             gateway.peers.close()
             if gateway.counter is not None:
                 gateway.counter.close()
@@ -324,7 +324,7 @@
 
 
 def success_reply(value: bytes, report: bytes | None = b"load_share=0.5,concurrent=3") -> bytes:
-    """A backend's good answer."""
+    """A endpoint's good answer."""
     return (
         b"*3\r\n" + bulk_string(value) + b"$-1\r\n" + (b"$-1\r\n" if report is None else bulk_string(report))
     )
--- a/tests/support/values.py
+++ b/tests/support/values.py
@@ -1,4 +1,4 @@
-"""Values that a backend answers with."""
+"""Values that a endpoint answers with."""
 
 from __future__ import annotations
 
