--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -70,7 +70,7 @@
     "promise_too_much_time": (Rule.DEADLINE, ()),
     "alter_commands": (Rule.ALTERED, ()),
     "repeat_everything": (Rule.DUPLICATE, (trouble(KIND.RESET),)),
-    "invite_every_repeat": (Rule.FALSE_REFUSAL, (trouble(KIND.RESET),)),
+    "invite_every_repeat": (Rule.FALSE_REFUSAL, (trouble(KIND.RESET, 1.0, 6.0),)),
     "try_without_end": (
         Rule.TOO_MANY_ATTEMPTS,
         (trouble(KIND.BUSY, 1.0, 6.0), trouble(KIND.UNACCEPTING, 1.0, 6.0)),
