--- a/qos_gateway/decisions/admission/commitment.py
+++ b/qos_gateway/decisions/admission/commitment.py
@@ -55,11 +55,12 @@
         slice's.
         """
         account = self.account
-        part = quota_share / (account.demand.value or 1.0)
+        requested = account.demand.short_term
+        part = quota_share / (requested.value or 1.0)
         rate = account.plan.rate * part
         burst = account.plan.burst * part
         concurrency = ceil(rate * self.latency_objective / SECOND + burst)
-        return Demand(max(MIN_CONCURRENCY, concurrency), min(rate, account.demand.rate(now)))
+        return Demand(max(MIN_CONCURRENCY, concurrency), min(rate, requested.rate(now)))
 
     def grant(self, now: int, cap: int) -> None:
         """Set the cap that an evaluation at `now` chose."""
--- a/qos_gateway/decisions/engine.py
+++ b/qos_gateway/decisions/engine.py
@@ -127,8 +127,8 @@
 
     def _resend_releases(self, now: int) -> list[Action]:
         """Release in-flight slots of active customers that the counter still counts."""
-        active = self.commitments.active.values()
-        return self.quota.resend_releases(now, (commitment.account for commitment in active))
+        accounts = [commitment.account for commitment in self.commitments.active.values()]
+        return self.quota.resend_releases(now, accounts)
 
     def _fit_model(self, now: int) -> None:
         """Refit the queue model to the attempts without a response, except for those presumed lost."""
