--- a/qos_gateway/server/clients/close_guard.py
+++ b/qos_gateway/server/clients/close_guard.py
@@ -2,12 +2,14 @@
 
 from __future__ import annotations
 
+import logging
 from collections.abc import Callable, Sequence
 
 from ..observability.close_reasons import CLIENT_CAUSED, CloseReason
 from ..observability.invariants import Invariant, InvariantMonitor
 from ..observability.metrics import Metrics
-from ..requests.request_log import log_client_close
+
+log = logging.getLogger(__name__)
 
 
 class CloseGuard:
@@ -22,9 +24,9 @@
         self._client_id = client_id
 
     def check(self, reason: CloseReason, unanswered: Sequence[int], has_deferred_input: bool) -> None:
-        """Look at a connection that the gateway is about to close."""
+        """Log a connection that is about to end; report what the gateway leaves unanswered."""
         request_ids = [self._client_id(number) for number in unanswered]
-        log_client_close(reason, request_ids)
+        _log_close(reason, request_ids)
         if reason in CLIENT_CAUSED:
             return
         for request_id in request_ids:
@@ -35,3 +37,13 @@
     def connection_ended(self, reason: CloseReason) -> None:
         """Count the end of a connection."""
         self._metrics.client_closes[reason] += 1
+
+
+def _log_close(reason: CloseReason, unanswered: Sequence[bytes]) -> None:
+    """Log the end of a connection at debug level, as there is one for each client."""
+    if log.isEnabledFor(logging.DEBUG):
+        log.debug(
+            "client_closed reason=%s unanswered=%s",
+            reason.value,
+            b",".join(unanswered).decode() or "none",
+        )
--- a/qos_gateway/server/requests/request_log.py
+++ b/qos_gateway/server/requests/request_log.py
@@ -1,4 +1,4 @@
-"""The log of requests: why each was rejected or sent once more, and why each client's connection ended.
+"""The log of requests: why each was rejected or sent once more.
 
 The lines are at debug level, as there is one for each event; the metrics count the same reasons at any level.
 """
@@ -10,7 +10,6 @@
 
 from ...types import RejectReason
 from ..endpoints.attempt import Attempt
-from ..observability.close_reasons import CloseReason
 from ..observability.retry_causes import CAUSE_OF_OUTCOME, RetryCause
 
 log = logging.getLogger(__name__)
@@ -44,13 +43,3 @@
         log.debug(
             "request_rejected request=%s reason=%s attempts=%d", request_id.decode(), reason.value, attempts
         )
-
-
-def log_client_close(reason: CloseReason, unanswered: Sequence[bytes]) -> None:
-    """Log the end of a client's connection, with the requests that it leaves without an answer."""
-    if log.isEnabledFor(logging.DEBUG):
-        log.debug(
-            "client_closed reason=%s unanswered=%s",
-            reason.value,
-            b",".join(unanswered).decode() or "none",
-        )
