--- a/qos_gateway/server/clients/accept_drain.py
+++ b/qos_gateway/server/clients/accept_drain.py
@@ -1,48 +1,106 @@
-"""Graceful shutdown of the client side: connections are still accepted for a while, then all are drained."""
+"""Graceful shutdown of the client side: connections are accepted for a short time, then all are drained."""
 
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING
+from collections.abc import Sequence
+from typing import Protocol
 
 from ..observability.close_reasons import CloseReason
 
-if TYPE_CHECKING:
-    from .connections import ClientConnections
+ACCEPT_DRAIN_QUIET_S = 0.5  # without a new connection; the load balancer in front needs 0.4 s to notice
+ACCEPT_DRAIN_MAX_S = 0.9  # as some clients connect without regard to the load balancer
+FIRST_COMMAND_GRACE_S = 0.5  # within which a new client may still send its first command
+DRAIN_CHECK_INTERVAL_S = 0.02
 
-ACCEPT_DRAIN_QUIET_S = 0.5  # without a new connection, then the socket closes; the front needs 0.4 to notice
-ACCEPT_DRAIN_MAX_S = 0.9  # then it closes all the same: not all who connect heed the front
-FIRST_COMMAND_GRACE_S = 0.5  # in which a client that connected before that may still send its first command
-DRAIN_CHECK_INTERVAL_S = 0.02  # between two looks for connections that became idle
+
+class DrainState:
+    """How far the graceful shutdown has come."""
+
+    __slots__ = ("closes_idle", "is_draining")
+
+    def __init__(self) -> None:
+        self.is_draining = False  # the process is stopping
+        self.closes_idle = False  # connections are closed as soon as they are idle
+
+
+class DrainedConnection(Protocol):
+    """What the shutdown needs of a connection."""
+
+    @property
+    def has_sent_command(self) -> bool:
+        """Whether the client has sent a complete command."""
+
+    @property
+    def idle_since(self) -> float:
+        """The time in seconds at which the connection was opened, or last became idle."""
+
+    def is_idle(self) -> bool:
+        """Return whether it may be closed without loss."""
+
+    def close(self, reason: CloseReason) -> None:
+        """Close once all replies are written."""
+
+    def finish(self) -> None:
+        """Reply to an incomplete command, and execute no further one."""
+
+
+class DrainedClients(Protocol):
+    """What the shutdown needs of the client side."""
+
+    @property
+    def last_connected_at(self) -> float:
+        """The time in seconds at which the last connection was opened."""
+
+    def time(self) -> float:
+        """Return the time in seconds on the event loop's clock."""
+
+    def is_listening(self) -> bool:
+        """Return whether the listening socket is open."""
+
+    def stop_listening(self) -> None:
+        """Close the listening socket."""
+
+    def has_waiting_connection(self) -> bool:
+        """Return whether a connection waits to be accepted."""
+
+    def has_connections(self) -> bool:
+        """Return whether any connection is open."""
+
+    def connections(self) -> Sequence[DrainedConnection]:
+        """Return all connections."""
 
 
 class AcceptDrain:
-    """Ends accepting, then closes each connection once it is idle.
+    """Stops accepting, then closes each connection once it is idle.
 
-    A listening socket that the platform holds is left at once: what is not accepted yet is the next
-    process's. One of this process's own is kept open until new connections cease.
+    A listening socket that the platform holds is closed at once: the next process accepts what waits on it.
+    A socket of this process stays open until no new connection arrives for `ACCEPT_DRAIN_QUIET_S`.
     """
 
-    def __init__(self, clients: ClientConnections, owns_socket: bool, max_drain_s: float) -> None:
+    def __init__(
+        self, clients: DrainedClients, state: DrainState, owns_socket: bool, max_drain_s: float
+    ) -> None:
         now = clients.time()
         self._clients = clients
+        self._state = state
         self._owns_socket = owns_socket
         self._closing_from = now + ACCEPT_DRAIN_QUIET_S if owns_socket else now  # idle connections close then
         self._accept_until = now + ACCEPT_DRAIN_MAX_S if owns_socket else now
         self._finish_from = self._closing_from + max_drain_s  # incomplete commands end then
 
     async def run(self) -> None:
-        """Return once nothing listens any more and no connection is left.
+        """Return once the listening socket is closed and no connection is left.
 
-        Clients with open requests are waited for: each request ends with its deadline.
+        Clients with open requests keep their connections: each request ends with its deadline.
         """
         clients = self._clients
         while clients.is_listening() or clients.has_connections():
             now = clients.time()
             if clients.is_listening() and self._is_accepting_over(now):
                 self._stop_listening()
-            clients.closing = now >= self._closing_from
-            if clients.closing:
+            self._state.closes_idle = now >= self._closing_from
+            if self._state.closes_idle:
                 self._close_connections(now)
             await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
 
--- a/qos_gateway/server/clients/command_reader.py
+++ b/qos_gateway/server/clients/command_reader.py
@@ -1,20 +1,17 @@
-"""What a client has sent: its bytes split into commands, and those that may not be taken yet."""
+"""Input of one client: its bytes split into commands, and bytes that are deferred."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
 import hiredis
 
 from ..networking.resp import CommandFrames, FrameError
-
-if TYPE_CHECKING:
-    from .connections import ClientConnections
+from .buffer_budgets import BufferBudget
 
 
 class CommandSyntaxError(ValueError):
-    """Bytes that are no command: where the next one begins cannot be known any more."""
+    """Bytes that are no command; where the next command begins is unknown."""
 
 
 class CommandReader:
@@ -26,8 +23,8 @@
         self._time = time
         self._frames = CommandFrames()
         self._reader = hiredis.Reader()
-        self.end = 0  # where in its data the command ended that was read last
-        self.partial_since = 0.0  # when the first byte of an incomplete command came, 0 where there is none
+        self.end = 0  # position behind the last command in the data that it was read from
+        self.partial_since = 0.0  # when the first byte of an incomplete command was received; 0 without one
 
     @property
     def is_midway(self) -> bool:
@@ -35,15 +32,15 @@
         return self._frames.midway
 
     def restart_timeout(self) -> None:
-        """Count the time of an incomplete command from now on: its bytes were not read before."""
+        """Restart the time of an incomplete command: the gateway was not reading."""
         if self.partial_since:
             self.partial_since = self._time()
 
     def next_command(self, data: bytes, start: int) -> list[bytes] | None:
-        """Read `data` from `start` on, and return the arguments of the command that ends in it first.
+        """Read `data` from `start` on, and return the arguments of the first command that ends in it.
 
-        `end` is then the position behind it. None says that the command is incomplete; what there is of it is
-        kept for the next call. Raise `CommandSyntaxError` where the data is no command.
+        Sets `end` to the position behind that command. Returns None where the command is incomplete, and
+        keeps its bytes for the next call. Raises `CommandSyntaxError` where the data is no command.
         """
         try:
             end = self._frames.scan(data, start)
@@ -61,31 +58,30 @@
 
 
 class DeferredInput:
-    """Bytes that were read from a client but not parsed yet, counted in the total of all clients."""
+    """Bytes that were read from a client and not parsed, counted in the buffer budget."""
 
-    __slots__ = ("_owner", "data", "since")
+    __slots__ = ("_buffers", "data", "since")
 
-    def __init__(self, owner: ClientConnections) -> None:
-        self._owner = owner
+    def __init__(self, buffers: BufferBudget) -> None:
+        self._buffers = buffers
         self.data = b""
         self.since = 0.0  # when the first of the data was received, however often it was put back
 
     def put(self, data: bytes, received_at: float) -> bool:
-        """Keep these bytes in place of those kept so far.
+        """Replace the deferred bytes by these.
 
-        Return False, and keep none, where all connections together would hold too many.
+        Returns False, and keeps none, where the deferred input of all connections exceeds its limit.
         """
         self.since = received_at
-        self._owner.deferred_bytes += len(data) - len(self.data)
+        is_within_limit = self._buffers.defer(len(data) - len(self.data))
         self.data = data
-        if self._owner.deferred_bytes > self._owner.buffer_memory:
+        if not is_within_limit:
             self.take()
-            return False
-        return True
+        return is_within_limit
 
     def take(self) -> bytes:
-        """Return the bytes and keep them no longer."""
+        """Return the deferred bytes and keep none."""
         data = self.data
         self.data = b""
-        self._owner.deferred_bytes -= len(data)
+        self._buffers.release_deferred(len(data))
         return data
--- a/qos_gateway/server/clients/commands.py
+++ b/qos_gateway/server/clients/commands.py
@@ -1,14 +1,17 @@
-"""What each command of a client does."""
+"""Executes the commands of clients."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from typing import Protocol
 
-from .request_parser import GET_COMMAND, POST_COMMAND, InvalidCommandError
-
-if TYPE_CHECKING:
-    from .connections import ClientConnections
-    from .pending_replies import PendingReply
+from .pending_replies import PendingReply
+from .request_parser import (
+    GET_COMMAND,
+    POST_COMMAND,
+    ClientRequest,
+    InvalidCommandError,
+    RequestParser,
+)
 
 PING_COMMAND = b"PING"
 PONG_REPLY = b"+PONG\r\n"
@@ -16,36 +19,61 @@
 UNKNOWN_COMMAND_REPLY = b"-ERR unknown command\r\n"
 
 
-def serve_command(
-    owner: ClientConnections, pending_reply: PendingReply, arguments: list[bytes], waited_s: float
-) -> None:
-    """Reply to a command, or submit its request, which has waited here for so many seconds already."""
-    name = arguments[0].upper()
-    if name in (GET_COMMAND, POST_COMMAND):
+class RequestHandler(Protocol):
+    """The calls that the client side makes to have requests served."""
+
+    def is_ready(self) -> bool:
+        """Return whether any endpoint accepts requests."""
+
+    def submit(self, request: ClientRequest, pending_reply: PendingReply, waited_s: float, /) -> None:
+        """Accept a request that was received `waited_s` seconds ago.
+
+        Raises `InvalidCommandError` where the request may not be accepted.
+        """
+
+    def shed(self, request: ClientRequest, pending_reply: PendingReply, /) -> None:
+        """Reject a request without accepting it."""
+
+    def client_disconnected(self, number: int) -> None:
+        """End a request whose client has disconnected."""
+
+
+class CommandExecutor:
+    """Replies to commands, and submits the requests among them."""
+
+    __slots__ = ("_parser", "_requests")
+
+    def __init__(self, parser: RequestParser, requests: RequestHandler) -> None:
+        self._parser = parser
+        self._requests = requests
+
+    def execute(self, pending_reply: PendingReply, arguments: list[bytes], waited_s: float) -> None:
+        """Reply to a command, or submit its request, which was received `waited_s` seconds ago."""
+        name = arguments[0].upper()
+        if name in (GET_COMMAND, POST_COMMAND):
+            try:
+                request = self._parser.parse(arguments)
+                self._requests.submit(request, pending_reply, waited_s)
+            except InvalidCommandError as error:
+                pending_reply.client.reply(pending_reply, error_reply(str(error)))
+        elif name == PING_COMMAND and len(arguments) == 1:
+            # The load balancer in front routes clients to this gateway once it receives PONG.
+            reply = PONG_REPLY if self._requests.is_ready() else LOADING_REPLY
+            pending_reply.client.reply(pending_reply, reply)
+        else:
+            pending_reply.client.reply(pending_reply, UNKNOWN_COMMAND_REPLY)
+
+    def shed(self, pending_reply: PendingReply, arguments: list[bytes]) -> None:
+        """Reject the request of a command; any other command gets its normal reply."""
+        if arguments[0].upper() not in (GET_COMMAND, POST_COMMAND):
+            self.execute(pending_reply, arguments, 0.0)
+            return
         try:
-            request = owner.parser.parse(arguments)
-            owner.requests.submit(request, pending_reply, waited_s)
+            self._requests.shed(self._parser.parse(arguments), pending_reply)
         except InvalidCommandError as error:
-            pending_reply.client.reply(pending_reply, b"-ERR %b\r\n" % one_line(str(error)))
-    elif name == PING_COMMAND and len(arguments) == 1:
-        # The load balancer in front sends clients to this gateway once it gets this reply.
-        reply = PONG_REPLY if owner.requests.is_ready() else LOADING_REPLY
-        pending_reply.client.reply(pending_reply, reply)
-    else:
-        pending_reply.client.reply(pending_reply, UNKNOWN_COMMAND_REPLY)
-
-
-def shed_command(owner: ClientConnections, pending_reply: PendingReply, arguments: list[bytes]) -> None:
-    """Reply to a command that there is no room for: a request is rejected, whatever it asks for."""
-    if arguments[0].upper() not in (GET_COMMAND, POST_COMMAND):
-        serve_command(owner, pending_reply, arguments, 0.0)
-        return
-    try:
-        owner.requests.shed(owner.parser.parse(arguments), pending_reply)
-    except InvalidCommandError as error:
-        pending_reply.client.reply(pending_reply, b"-ERR %b\r\n" % one_line(str(error)))
-
-
-def one_line(text: str) -> bytes:
-    """Return a text as a part of a RESP error, which ends with its line."""
-    return text.encode().replace(b"\r", b" ").replace(b"\n", b" ")
+            pending_reply.client.reply(pending_reply, error_reply(str(error)))
+
+
+def error_reply(text: str) -> bytes:
+    """Return a RESP error with the text, whose line ends become spaces: a RESP error is one line."""
+    return b"-ERR %b\r\n" % text.encode().replace(b"\r", b" ").replace(b"\n", b" ")
--- /dev/null
+++ b/qos_gateway/server/clients/connection_input.py
@@ -0,0 +1,200 @@
+"""Input of one client's connection: reading, deferring and executing commands."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Protocol
+
+from ..observability.close_reasons import CloseReason
+from .accept_drain import DrainState
+from .buffer_budgets import BufferBudget, StreamBudget
+from .close_guard import CloseGuard
+from .command_reader import CommandReader, CommandSyntaxError, DeferredInput
+from .commands import CommandExecutor, RequestHandler
+from .hangup_monitor import HangupMonitor
+from .pending_replies import PendingReply, ReplyConnection, ReplyQueue
+
+MAX_PIPELINED = 32  # commands of one connection without a reply; the commands behind them wait unread
+MAX_DISCARDED_BYTES = 1 << 20  # read after the input was closed; more is left unread
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class ConnectionContext:
+    """What all connections of clients share."""
+
+    time: Callable[[], float]  # s, on the event loop's clock
+    call_soon: Callable[[Callable[[], None]], asyncio.Handle]
+    requests: RequestHandler
+    commands: CommandExecutor
+    buffers: BufferBudget
+    streams: StreamBudget
+    close_guard: CloseGuard
+    hangup_monitor: HangupMonitor
+    drain: DrainState
+
+
+class InputConnection(ReplyConnection, Protocol):
+    """The connection as its input sees it."""
+
+    def is_idle(self) -> bool:
+        """Return whether it may be closed without loss."""
+
+    def is_closing(self) -> bool:
+        """Return whether the transport is closed or being closed."""
+
+    def has_unread_bytes(self) -> bool:
+        """Return whether the open socket holds bytes that were not read."""
+
+    @property
+    def is_reading(self) -> bool:
+        """Whether the event loop reads from the socket."""
+
+    def set_reading(self, may_read: bool) -> bool:
+        """Resume or pause reading; return whether that changed it on an open transport."""
+
+    def command_received(self) -> None:
+        """Note that the client has sent a complete command."""
+
+    def fail(self, reason: str) -> None:
+        """End the connection after a protocol error."""
+
+    def close(self, reason: CloseReason) -> None:
+        """Close once all replies are written."""
+
+
+class ConnectionInput:
+    """Executes a client's commands as they are read, while few enough of them have no reply yet.
+
+    Input that may not be executed yet is deferred, and reading is paused.
+    """
+
+    __slots__ = (
+        "_backlog_since",
+        "_connection",
+        "_context",
+        "_discarded_bytes",
+        "_replies",
+        "deferred",
+        "is_closed",
+        "is_parsing",
+        "reader",
+    )
+
+    def __init__(self, connection: InputConnection, context: ConnectionContext, replies: ReplyQueue) -> None:
+        self._connection = connection
+        self._context = context
+        self._replies = replies
+        self.reader = CommandReader(context.time)
+        self.deferred = DeferredInput(context.buffers)
+        # When reading was paused, until all bytes that have waited since then are read; 0 where none wait.
+        self._backlog_since = 0.0
+        self._discarded_bytes = 0
+        self.is_parsing = False  # a command is being executed, and others may follow in the same data
+        self.is_closed = False  # no further command is executed; what is read is discarded
+
+    def receive(self, data: bytes) -> None:
+        """Execute the commands in the data as far as that is allowed now."""
+        if self.is_closed:
+            self._discarded_bytes += len(data)
+            if self._discarded_bytes > MAX_DISCARDED_BYTES:
+                self.update_reading()
+        elif self.deferred.data:
+            self._defer(self.deferred.data + data, self.deferred.since)
+        else:
+            received_at = self._backlog_received_at() if self._backlog_since else self._context.time()
+            self._execute_commands(data, received_at)
+
+    def _backlog_received_at(self) -> float:
+        """Return the earliest time at which the bytes read now may have been sent.
+
+        Bytes that the socket buffer cannot hold wait at the client and arrive as the buffer is read. Thus
+        nothing waits any more once a read has left the socket empty.
+        """
+        since = self._backlog_since
+        if not self._connection.has_unread_bytes():
+            self._backlog_since = 0.0
+        return since
+
+    def _execute_commands(self, data: bytes, received_at: float) -> None:
+        context = self._context
+        connection = self._connection
+        position = 0
+        waited_s = context.time() - received_at
+        self.is_parsing = True
+        try:
+            while position < len(data) and not self.is_closed:
+                if not self._may_execute():
+                    self._defer(data[position:], received_at)
+                    break
+                arguments = self.reader.next_command(data, position)
+                if arguments is None:
+                    break
+                position = self.reader.end
+                pending_reply = PendingReply(connection)
+                self._replies.pending.append(pending_reply)
+                connection.command_received()
+                context.commands.execute(pending_reply, arguments, waited_s)
+        except CommandSyntaxError as error:
+            connection.fail(str(error))
+        finally:
+            self.is_parsing = False
+        if context.drain.closes_idle and connection.is_idle():
+            connection.close(CloseReason.DRAINED)
+
+    def _may_execute(self) -> bool:
+        """Return whether another command may be executed now.
+
+        None may behind a large value that is written in part: if the value fails, the connection closes.
+        """
+        is_full = len(self._replies.pending) >= MAX_PIPELINED
+        return not (is_full or self._connection.blocked or self._replies.is_value_in_flow())
+
+    def _defer(self, data: bytes, received_at: float) -> None:
+        """Defer the data and pause reading; reject its requests where the buffer budget is exhausted."""
+        if not self.deferred.put(data, received_at):
+            try:
+                self._shed_commands(data)
+            except CommandSyntaxError as error:
+                self._connection.fail(str(error))
+        self.update_reading()
+
+    def _shed_commands(self, data: bytes) -> None:
+        """Reply to each command in the data, as the requests that were read must get a reply."""
+        position = 0
+        while (arguments := self.reader.next_command(data, position)) is not None:
+            position = self.reader.end
+            pending_reply = PendingReply(self._connection)
+            self._replies.pending.append(pending_reply)
+            self._context.commands.shed(pending_reply, arguments)
+
+    def is_held_back(self) -> bool:
+        """Return whether input waits, deferred or unread in the socket."""
+        return bool(self.deferred.data) or not self._connection.is_reading
+
+    def resume(self) -> None:
+        """Execute deferred commands as far as that is allowed now, then read on if none remain."""
+        if self.deferred.data and not self.is_closed and not self._connection.is_closing():
+            self._execute_commands(self.deferred.take(), self.deferred.since)
+        self.update_reading()
+
+    def close(self) -> None:
+        """Execute no further command, and discard an incomplete one."""
+        self.reader.partial_since = 0.0
+        self.is_closed = True
+
+    def update_reading(self) -> None:
+        """Read while commands may be executed; pause otherwise, and watch for the client's end."""
+        if self.is_closed:
+            may_read = self._discarded_bytes <= MAX_DISCARDED_BYTES
+        else:
+            may_read = not self.deferred.data and self._may_execute()
+        if self._connection.set_reading(may_read):
+            self._context.hangup_monitor.set_watched(self._connection, not may_read)
+            if not may_read:
+                self._backlog_since = self._backlog_since or self._context.time()
+                return
+            self.reader.restart_timeout()
+            if not self._connection.has_unread_bytes():
+                self._backlog_since = 0.0
--- a/qos_gateway/server/clients/connections.py
+++ b/qos_gateway/server/clients/connections.py
@@ -1,50 +1,30 @@
-"""All connections of clients: accepting them, their shared limits, and their end."""
+"""All connections of clients: accepting, limiting, evicting and draining them."""
 
 from __future__ import annotations
 
 import asyncio
 import socket
 from collections.abc import Iterator
-from typing import Protocol, cast
+from typing import cast
 
 from ...units import SECOND
 from ..config import Config
 from ..networking.transient_errors import retry_transient
 from ..observability.close_reasons import CloseReason
-from .accept_drain import ACCEPT_DRAIN_QUIET_S, AcceptDrain
+from .accept_drain import ACCEPT_DRAIN_QUIET_S, AcceptDrain, DrainState
+from .buffer_budgets import BufferBudget, StreamBudget
 from .close_guard import CloseGuard
+from .commands import CommandExecutor, RequestHandler
 from .connection import ClientConnection
+from .connection_input import ConnectionContext
 from .hangup_monitor import HangupMonitor
 from .listener import Listener, bound_socket, inherited_socket
-from .pending_replies import PendingReply
-from .request_parser import ClientRequest, RequestParser
-from .timeouts import enforce_timeouts
+from .request_parser import RequestParser
+from .timeouts import TimeoutChecker
 
-CHECK_INTERVAL_S = 0.25  # between two looks at all connections for those past their time-outs
 SCARCE_FRACTION = 0.75  # of the limit on connections, above which they are scarce
-MIN_IDLE_BEFORE_EVICTION_S = 0.1  # idle, or without a first command, before a connection gives way to another
-MIN_PARTIAL_BEFORE_EVICTION_S = 0.25  # the same in the middle of a command, where none is idle
-MIN_WRITE_BUFFER_BYTES = 96 << 10  # for each connection, of what its client has not taken: over a whole value
-MIN_STREAM_BUFFER_BYTES = 16 << 10  # the same of a large value, however many there are
-BUFFER_MEMORY_FRACTION = (
-    0.125  # of the memory, for what clients have not taken, and likewise for deferred input
-)
-
-
-class RequestHandler(Protocol):
-    """What the connections need of the gateway."""
-
-    def is_ready(self) -> bool:
-        """Return whether a request could be sent on."""
-
-    def submit(self, request: ClientRequest, pending_reply: PendingReply, waited: float, /) -> None:
-        """Take in a request that has waited for so many seconds; raise `InvalidCommandError` to refuse it."""
-
-    def shed(self, request: ClientRequest, pending_reply: PendingReply, /) -> None:
-        """Reject a request without taking it in."""
-
-    def client_disconnected(self, number: int) -> None:
-        """End a request whose client has left."""
+MIN_IDLE_BEFORE_EVICTION_S = 0.1  # since a connection was opened, or last became idle
+MIN_PARTIAL_BEFORE_EVICTION_S = 0.25  # since an incomplete command began
 
 
 class ClientConnections:
@@ -53,40 +33,20 @@
     def __init__(
         self, config: Config, requests: RequestHandler, max_connections: int, close_guard: CloseGuard
     ) -> None:
-        loop = asyncio.get_running_loop()
-        self.time = loop.time
-        self.call_soon = loop.call_soon
-        self._call_later = loop.call_later
-        self.parser = RequestParser(config)
-        self.requests = requests
-        self.close_guard = close_guard
-        self.hangup_monitor = HangupMonitor()
-        # Limits.
+        self.context = build_context(config, requests, max_connections, close_guard)
         self._configured_max_connections = max_connections
         self.max_connections = max_connections
-        self._configured_buffer_memory = int(config.memory_bytes * BUFFER_MEMORY_FRACTION)
-        # Bytes of deferred input of all connections, and as many of large values that are held.
-        self.buffer_memory = self._configured_buffer_memory
-        self.write_buffer_bytes = max(  # that one client may leave untaken
-            MIN_WRITE_BUFFER_BYTES, self.buffer_memory // max_connections
-        )
-        self.deferred_bytes = 0  # of all connections
-        self.held_bytes = 0  # of large values that are not written, or not taken yet, of all connections
-        self.active_streams = 0  # large values that are being written
-        # Connections, both with the one first that became idle longest ago.
-        self._connections: dict[ClientConnection, None] = {}  # those that have sent a whole command
-        self._new_connections: dict[ClientConnection, None] = {}  # those that have not
-        # The listening socket.
+        # Both in the order of the times at which they became idle, the earliest first.
+        self._connections: dict[ClientConnection, None] = {}  # whose clients have sent a complete command
+        self._new_connections: dict[ClientConnection, None] = {}  # whose clients have not
+        self.timeout_checker = TimeoutChecker(self)
         self._address = config.listen
         self._inherited_descriptor = config.inherited_descriptor
         self._listener: Listener | None = None
         self.last_connected_at = 0.0
-        self._check_timer: asyncio.TimerHandle | None = None
-        # Shutdown. Past the longest deadline only large values are still written, or commands incomplete.
+        # Past the longest deadline only large values are still written, or commands incomplete.
         longest_deadline_s = max(c.deadline for c in config.settings.classes) / SECOND
         self._max_drain_s = longest_deadline_s + ACCEPT_DRAIN_QUIET_S
-        self._draining = False
-        self.closing = False  # connections close as soon as they are idle
 
     async def start(self) -> None:
         """Begin to accept connections; raise OSError where the address is in use."""
@@ -96,28 +56,39 @@
         if sock is None:
             self._inherited_descriptor = None
             sock = await retry_transient(self._bind)
-        self._listener = Listener(sock, lambda: ClientConnection(self), self._has_capacity)
-        self._schedule_timeout_check()
+        self._listener = Listener(sock, self._new_connection, self._has_capacity)
+        self.timeout_checker.start()
 
     async def _bind(self) -> socket.socket:
         return bound_socket(self._address)
 
+    def _new_connection(self) -> ClientConnection:
+        return ClientConnection(self, self.context)
+
     @property
     def port(self) -> int:
         """The port that clients connect to."""
         return cast(Listener, self._listener).port
 
+    def time(self) -> float:
+        """Return the time in seconds on the event loop's clock."""
+        return self.context.time()
+
     # Limits.
 
     def limit(self, max_connections: int | None, memory_fraction: float) -> None:
-        """Limit connections, and deferred input to a fraction, while another process has the remainder.
+        """Limit connections, and buffers to a fraction, while another process uses the remainder.
 
-        None stands for the configured limit.
+        None means the configured limit.
         """
         self.max_connections = self._configured_max_connections
         if max_connections is not None:
             self.max_connections = min(self._configured_max_connections, max(1, max_connections))
-        self.buffer_memory = int(self._configured_buffer_memory * memory_fraction)
+        self.context.buffers.limit(memory_fraction)
+
+    def are_scarce(self) -> bool:
+        """Return whether most of the connections that may be open are open."""
+        return self.connection_count() > SCARCE_FRACTION * self.max_connections
 
     def _has_capacity(self) -> bool:
         """Return whether one more connection can be accepted, after evicting another one if need be."""
@@ -131,10 +102,10 @@
         return True
 
     def _evictable(self, now: float) -> Iterator[ClientConnection]:
-        """Yield idle connections, then those in the middle of a command, in the order of eviction.
+        """Yield idle connections, then those with an incomplete command, in the order of eviction.
 
-        A gateway may close between requests. Connections just opened or just idle are spared, or clients
-        that connect again and again would leave nobody the time to send a command.
+        Connections that were opened or became idle just now are not evicted: clients that reconnect again
+        and again would otherwise leave the others no time to send a command.
         """
         clients = self.connections()
         for client in clients:
@@ -142,25 +113,9 @@
                 yield client
         for client in clients:
             is_old = client.partial_command_age(now) >= MIN_PARTIAL_BEFORE_EVICTION_S
-            if is_old and not client.has_unread_bytes():  # the rest of the command may have come
+            if is_old and not client.has_unread_bytes():  # they may complete the command
                 yield client
 
-    def stream_started(self) -> int:
-        """Count one more large value, and return how many bytes of it its client may leave untaken."""
-        self.active_streams += 1
-        fair_share = self.buffer_memory // self.active_streams
-        return max(MIN_STREAM_BUFFER_BYTES, min(self.write_buffer_bytes, fair_share))
-
-    def _schedule_timeout_check(self) -> None:
-        self._check_timer = self._call_later(CHECK_INTERVAL_S, self._check_timeouts)
-
-    def _check_timeouts(self) -> None:
-        self._schedule_timeout_check()
-        now = self.time()
-        connections_scarce = self.connection_count() > SCARCE_FRACTION * self.max_connections
-        for client in self.connections():
-            enforce_timeouts(client, now, connections_scarce)
-
     # The set of connections.
 
     def connections(self) -> list[ClientConnection]:
@@ -172,11 +127,11 @@
         return len(self._connections) + len(self._new_connections)
 
     def _connecting_count(self) -> int:
-        """Count the connections that are accepted and not known to their protocols yet."""
+        """Count the connections that are accepted and have no protocol yet."""
         return 0 if self._listener is None else self._listener.connecting_count
 
     def has_connections(self) -> bool:
-        """Return whether any connection is open, known to its protocol or not."""
+        """Return whether any connection is open, with a protocol or without one."""
         return bool(self.connection_count() + self._connecting_count())
 
     def connection_opened(self, client: ClientConnection) -> None:
@@ -185,7 +140,7 @@
         self._new_connections[client] = None
 
     def command_received(self, client: ClientConnection) -> None:
-        """Make a connection the last to be evicted: it has just sent a whole command."""
+        """Make a connection the last to be evicted: its client has sent a complete command."""
         if client.has_sent_command:
             self._connections.pop(client, None)
         else:
@@ -195,7 +150,7 @@
 
     def connection_closed(self, client: ClientConnection) -> None:
         """Forget a connection."""
-        self.hangup_monitor.discard(client)
+        self.context.hangup_monitor.discard(client)
         self._new_connections.pop(client, None)
         self._connections.pop(client, None)
 
@@ -207,7 +162,8 @@
 
     def is_accepting(self) -> bool:
         """Return whether clients that connect are served."""
-        return self.is_listening() and not self._draining and not self.closing
+        drain = self.context.drain
+        return self.is_listening() and not drain.is_draining and not drain.closes_idle
 
     def has_waiting_connection(self) -> bool:
         """Return whether a connection waits to be accepted."""
@@ -221,16 +177,34 @@
     async def drain(self) -> None:
         """Accept until new connections cease, answer all requests, and close what is idle."""
         owns_socket = self._inherited_descriptor is None
-        self._draining = True
+        self.context.drain.is_draining = True
         self.last_connected_at = self.time()
-        await AcceptDrain(self, owns_socket, self._max_drain_s).run()
+        await AcceptDrain(self, self.context.drain, owns_socket, self._max_drain_s).run()
         self.abort()
 
     def abort(self) -> None:
-        """Close everything as it stands."""
-        if self._check_timer is not None:
-            self._check_timer.cancel()
-        self.hangup_monitor.close()
+        """Close the listening socket and all connections at once."""
+        self.timeout_checker.stop()
+        self.context.hangup_monitor.close()
         self.stop_listening()
         for client in self.connections():
             client.abort(CloseReason.SHUTDOWN)
+
+
+def build_context(
+    config: Config, requests: RequestHandler, max_connections: int, close_guard: CloseGuard
+) -> ConnectionContext:
+    """Build what the connections share."""
+    loop = asyncio.get_running_loop()
+    buffers = BufferBudget(config.memory_bytes, max_connections)
+    return ConnectionContext(
+        time=loop.time,
+        call_soon=loop.call_soon,
+        requests=requests,
+        commands=CommandExecutor(RequestParser(config), requests),
+        buffers=buffers,
+        streams=StreamBudget(buffers),
+        close_guard=close_guard,
+        hangup_monitor=HangupMonitor(),
+        drain=DrainState(),
+    )
--- a/qos_gateway/server/clients/hangup_monitor.py
+++ b/qos_gateway/server/clients/hangup_monitor.py
@@ -1,13 +1,26 @@
-"""Finds the clients that leave while their input is not read, which the event loop does not report."""
+"""Finds clients that close while their input is not read; the event loop does not report these."""
 
 from __future__ import annotations
 
 import asyncio
+from typing import Protocol
 
 from ..observability.close_reasons import CloseReason
-from .connection import ClientConnection
 
-HANGUP_CHECK_INTERVAL_S = 0.05  # a client's end has to be noticed within 0.3 s
+HANGUP_CHECK_INTERVAL_S = 0.05  # the end of a client has to be noticed within 0.3 s
+
+
+class WatchedConnection(Protocol):
+    """The calls that the monitor makes on a connection."""
+
+    def is_closing(self) -> bool:
+        """Return whether the transport is closed or being closed."""
+
+    def has_hung_up(self) -> bool:
+        """Return whether the client has ended its sending."""
+
+    def abort(self, reason: CloseReason) -> None:
+        """Close at once."""
 
 
 class HangupMonitor:
@@ -15,11 +28,11 @@
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
-        self._watched: set[ClientConnection] = set()
+        self._watched: set[WatchedConnection] = set()
         self._timer: asyncio.TimerHandle | None = None
 
-    def set_watched(self, client: ClientConnection, watched: bool) -> None:
-        """Begin to watch a connection, or cease."""
+    def set_watched(self, client: WatchedConnection, watched: bool) -> None:
+        """Start or stop watching a connection."""
         if watched:
             self._watched.add(client)
         else:
@@ -27,7 +40,7 @@
         if self._watched and self._timer is None:
             self._schedule_check()
 
-    def discard(self, client: ClientConnection) -> None:
+    def discard(self, client: WatchedConnection) -> None:
         """Forget a connection that has ended."""
         self._watched.discard(client)
 
--- a/qos_gateway/server/clients/pending_replies.py
+++ b/qos_gateway/server/clients/pending_replies.py
@@ -1,4 +1,4 @@
-"""The replies that a client's connection owes, written in the order of its commands."""
+"""Pending replies of one client's connection, written in the order of its commands."""
 
 from __future__ import annotations
 
@@ -6,13 +6,40 @@
 from collections import deque
 from collections.abc import Callable
 from functools import partial
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from ..networking.value_stream import FlowControl
+from ..observability.close_reasons import CloseReason
+from .buffer_budgets import BufferBudget, StreamBudget
 
-if TYPE_CHECKING:
-    from .connection import ClientConnection
-    from .connections import ClientConnections
+
+class ReplyConnection(Protocol):
+    """The connection of a client as seen by those who reply on it."""
+
+    @property
+    def blocked(self) -> bool:
+        """Whether the write buffer is full because the client does not accept its replies."""
+
+    def reply(self, pending_reply: PendingReply, reply: bytes, /) -> None:
+        """Reply to a command."""
+
+    def start_stream(self, pending_reply: PendingReply, length: int, flow: FlowControl, /) -> StreamedReply:
+        """Begin a reply that is a large value of `length` bytes."""
+
+    def abort_stream(self, pending_reply: PendingReply, reply: bytes, /) -> None:
+        """End a large value that stays incomplete; reply with `reply` if nothing of it was written."""
+
+    def start_next_stream(self) -> None:
+        """Start to write the first large value where that is due."""
+
+    def write(self, data: bytes) -> None:
+        """Write a part of the first pending reply."""
+
+    def has_hung_up(self) -> bool:
+        """Return whether the client has ended its sending, though the event loop may not have read that."""
+
+    def abort(self, reason: CloseReason) -> None:
+        """Close at once."""
 
 
 class PendingReply:
@@ -20,61 +47,53 @@
 
     __slots__ = ("client", "held_bytes", "reply", "request_number", "stream")
 
-    def __init__(self, client: ClientConnection, request_number: int = -1) -> None:
+    def __init__(self, client: ReplyConnection, request_number: int = -1) -> None:
         self.client = client
-        self.request_number = request_number  # of the open request, -1 where there is none
-        self.reply: bytes | None = None  # whole, once it is known
-        self.stream: StreamedReply | None = None  # where it is a large value that is still being received
-        self.held_bytes = 0  # of a large value that was received and is not written yet
+        self.request_number = request_number  # of the open request; -1 without one
+        self.reply: bytes | None = None  # complete, once it is known
+        self.stream: StreamedReply | None = None  # of a large value that is being received
+        self.held_bytes = 0  # of a large value: received, counted in the buffer budget, and not written
 
 
 class StreamedReply:
-    """A large value on its way to a client.
+    """A large value that is being received from an endpoint.
 
-    It is written as it is received where its turn has come and no command waits behind it: a value that
-    breaks off after that ends the connection. Until then it is held as far as there is room; the endpoint is
-    read no faster than that, and no faster than the client takes it.
+    It is written as it is received once it is the first pending reply and no command waits behind it: a value
+    that fails after that closes the connection. Until then it is held within the buffer budget. The endpoint
+    is paused while the budget is exhausted, or while the client does not accept the value.
     """
 
-    __slots__ = (
-        "_buffered",
-        "_client",
-        "_flow_control",
-        "_header",
-        "_reserve_room",
-        "is_out_of_room",
-        "started",
-    )
+    __slots__ = ("_buffered", "_client", "_flow_control", "_header", "_hold", "is_out_of_budget", "started")
 
     def __init__(
         self,
-        client: ClientConnection,
+        client: ReplyConnection,
         length: int,
         flow_control: FlowControl,
-        reserve_room: Callable[[int], bool],
+        hold: Callable[[int], bool],
     ) -> None:
-        """Take `reserve_room` to count bytes as held, which returns whether there was room for them."""
+        """Take `hold` to count bytes as held; it returns False where that exceeds the limit."""
         self._client = client
         self._flow_control = flow_control
-        self._reserve_room = reserve_room
+        self._hold = hold
         self._header = b"$%d\r\n" % length
-        self._buffered: list[bytes] = []  # what is received before it is started
-        self.is_out_of_room = False  # it waits to be started, and the endpoint is paused
+        self._buffered: list[bytes] = []  # received before the start
+        self.is_out_of_budget = False  # the endpoint is paused until the start
         self.started = False
 
     def write(self, data: bytes) -> None:
-        """Pass on a part of the value, or hold it; without room pause the endpoint until it is started."""
+        """Write a part of the value, or hold it; pause the endpoint where it cannot be held."""
         if self.started:
             self._client.write(data)
             return
         self._buffered.append(data)
-        if not self._reserve_room(len(data)):
-            self.is_out_of_room = True
+        if not self._hold(len(data)):
+            self.is_out_of_budget = True
             self._flow_control.pause()
             self._client.start_next_stream()
 
     def start(self) -> None:
-        """Write what was received so far, and from now on whatever is received."""
+        """Write what was received; from now on write each part as it is received."""
         self.started = True
         buffered = self._buffered
         self._buffered = []
@@ -82,8 +101,8 @@
         self.set_paused(self._client.blocked)
 
     def may_outlast_deadline(self) -> bool:
-        """Return whether a part of it may have reached the client, or it waits for the client."""
-        return self.started or self.is_out_of_room
+        """Return whether a part may have reached the client, or the endpoint is paused until the start."""
+        return self.started or self.is_out_of_budget
 
     def set_paused(self, paused: bool) -> None:
         """Pause or resume reading from the endpoint."""
@@ -93,7 +112,7 @@
             self._flow_control.resume()
 
     def finish(self) -> bytes:
-        """Return what is still to be written once the whole value was received."""
+        """Return what remains to be written once the whole value was received."""
         if self.started:
             return b"\r\n"
         return b"".join((self._header, *self._buffered, b"\r\n"))
@@ -102,20 +121,18 @@
 class ReplyQueue:
     """The pending replies of one connection, the oldest first."""
 
-    __slots__ = ("_owner", "_transport", "_written_held_bytes", "pending")
+    __slots__ = ("_buffers", "_streams", "_transport", "_written_held_bytes", "pending")
 
-    def __init__(self, owner: ClientConnections) -> None:
-        self._owner = owner
-        self._written_held_bytes = 0  # of values that were held, are written, and may not be taken yet
-        self._transport: asyncio.Transport
-        self.pending: deque[PendingReply] = deque()
-
-    def bind(self, transport: asyncio.Transport) -> None:
-        """Name the transport that replies are written to; to be called before the first command."""
+    def __init__(self, transport: asyncio.Transport, buffers: BufferBudget, streams: StreamBudget) -> None:
         self._transport = transport
+        self._buffers = buffers
+        self._streams = streams
+        self._written_held_bytes = 0  # of held values that are written, and may not be accepted by the client
+        self.pending: deque[PendingReply] = deque()
+        transport.set_write_buffer_limits(high=buffers.write_buffer_bytes)
 
     def write(self, pending_reply: PendingReply, reply: bytes) -> bool:
-        """Write a reply, and those it held up, once all before it are; return whether any was written."""
+        """Write a reply and the complete ones behind it, if it is the first; return whether it is."""
         pending_reply.reply = reply
         if pending_reply.stream is not None:
             self._end_stream(pending_reply)
@@ -135,11 +152,10 @@
 
     # The memory of large values.
 
-    def _reserve_room(self, pending_reply: PendingReply, size: int) -> bool:
-        """Count so many bytes as held, unless all connections together would hold too many."""
-        if self._owner.held_bytes + size > self._owner.buffer_memory:
+    def _hold(self, pending_reply: PendingReply, size: int) -> bool:
+        """Count bytes of a large value as held; return False where that exceeds the limit."""
+        if not self._buffers.hold(size):
             return False
-        self._owner.held_bytes += size
         pending_reply.held_bytes += size
         return True
 
@@ -148,67 +164,65 @@
         pending_reply.held_bytes = 0
 
     def release_written(self) -> None:
-        """Count what was held and written as held no longer: the client takes it."""
+        """Count held values that were written as held no longer: the client accepts them."""
         if self._written_held_bytes:
-            self._owner.held_bytes -= self._written_held_bytes
+            self._buffers.release_held(self._written_held_bytes)
             self._written_held_bytes = 0
 
     # Large values.
 
     def _end_stream(self, pending_reply: PendingReply) -> None:
         if pending_reply.stream is not None and pending_reply.stream.started:
-            self._owner.active_streams -= 1
+            self._streams.end()
         pending_reply.stream = None
-        self._transport.set_write_buffer_limits(high=self._owner.write_buffer_bytes)
+        self._transport.set_write_buffer_limits(high=self._buffers.write_buffer_bytes)
 
     def start_stream(
         self, pending_reply: PendingReply, length: int, flow_control: FlowControl
     ) -> StreamedReply:
-        """Begin a reply that is a large value; it is held until it is started."""
-        stream = StreamedReply(
-            pending_reply.client, length, flow_control, partial(self._reserve_room, pending_reply)
-        )
+        """Begin a reply that is a large value, which is held until it is started."""
+        stream = StreamedReply(pending_reply.client, length, flow_control, partial(self._hold, pending_reply))
         pending_reply.stream = stream
         return stream
 
     def abort_stream(self, pending_reply: PendingReply) -> bool:
-        """Give up a large value; return whether a part of it was written."""
+        """End a large value that stays incomplete; return whether a part of it was written."""
         stream = pending_reply.stream
         pending_reply.stream = None
         self._count_written(pending_reply)
         self.release_written()
         if stream is None or not stream.started:
             return False
-        self._owner.active_streams -= 1
-        pending_reply.reply = b""  # it has failed: the end of the connection tells the client so
+        self._streams.end()
+        pending_reply.reply = b""  # the client sees the failure as the end of the connection
         return True
 
     def start_first_stream(self, has_commands_behind: bool) -> bool:
-        """Start the large value whose turn it is, if there is one that should be; return whether it was.
+        """Start to write the first pending reply if it is a large value that is due; return whether it was.
 
-        With commands behind it that is one for which there is no more room.
+        With commands behind it a value is due only when the buffer budget is exhausted.
         """
         stream = self.first_stream()
-        if stream is None or stream.started or (has_commands_behind and not stream.is_out_of_room):
+        if stream is None or stream.started or (has_commands_behind and not stream.is_out_of_budget):
             return False
-        self._transport.set_write_buffer_limits(high=self._owner.stream_started())
+        self._transport.set_write_buffer_limits(high=self._streams.start())
         self._count_written(self.pending[0])
         stream.start()
         return True
 
     def is_value_in_flow(self) -> bool:
-        """Return whether a part of a large value was written, and not all of it."""
+        """Return whether the first pending reply is a large value that is written in part."""
         stream = self.first_stream()
         return stream is not None and stream.started
 
     def set_stream_paused(self, paused: bool) -> None:
-        """Pause or resume the endpoint of the large value that is being written, if there is one."""
+        """Pause or resume the endpoint of the large value that is being written, if any."""
         stream = self.first_stream()
         if stream is not None and stream.started:
             stream.set_paused(paused)
 
     def first_stream(self) -> StreamedReply | None:
-        """Return the oldest pending reply's large value, or None where it is none."""
+        """Return the large value of the first pending reply; None without one."""
         return self.pending[0].stream if self.pending else None
 
     def unanswered(self) -> list[int]:
@@ -216,13 +230,13 @@
         return [pending.request_number for pending in self.pending if pending.reply is None]
 
     def discard(self) -> list[int]:
-        """Drop all replies of a lost connection, and return the numbers of the requests without one."""
+        """Drop all replies of a lost connection; return the numbers of the requests without a reply."""
         pending = self.pending
         self.pending = deque()
         unanswered = []
         for pending_reply in pending:
             if pending_reply.stream is not None and pending_reply.stream.started:
-                self._owner.active_streams -= 1
+                self._streams.end()
             pending_reply.stream = None
             self._count_written(pending_reply)
             if pending_reply.reply is None:
--- a/qos_gateway/server/clients/timeouts.py
+++ b/qos_gateway/server/clients/timeouts.py
@@ -2,18 +2,61 @@
 
 from __future__ import annotations
 
+import asyncio
+from collections.abc import Sequence
+from typing import Protocol
+
 from ..observability.close_reasons import CloseReason
-from .connection import ClientConnection, log
-
-COMMAND_TIMEOUT_S = (
-    2.6  # from connecting or a command's first byte to its last: slow clients need 2, 3 is late
-)
-WRITE_STALL_TIMEOUT_S = 2.0  # in which a client takes nothing of what waits for it
-LARGE_WRITE_STALL_TIMEOUT_S = 5.0  # the same in a large value: slow readers pause, and little is buffered
-IDLE_TIMEOUT_S = 25.0  # after a command: under the usual half minute, and calm clients come sooner
+from . import log
+from .connection import ClientConnection
+
+CHECK_INTERVAL_S = 0.25
+COMMAND_TIMEOUT_S = 2.6  # from connecting, or from a command's first byte, until the command is complete
+WRITE_STALL_TIMEOUT_S = 2.0  # during which a blocked client accepts nothing
+LARGE_WRITE_STALL_TIMEOUT_S = 5.0  # the same within a large value, as slow readers pause for longer
+IDLE_TIMEOUT_S = 25.0  # below the 30 s that are usual at clients
 SCARCE_IDLE_TIMEOUT_S = 2.0  # the same where connections are scarce
 
 
+class CheckedConnections(Protocol):
+    """The calls that the checker makes on the set of connections."""
+
+    def time(self) -> float:
+        """Return the time in seconds on the event loop's clock."""
+
+    def connections(self) -> Sequence[ClientConnection]:
+        """Return all connections."""
+
+    def are_scarce(self) -> bool:
+        """Return whether most of the connections that may be open are open."""
+
+
+class TimeoutChecker:
+    """Checks all connections at an interval, and ends those past their time-outs."""
+
+    def __init__(self, connections: CheckedConnections) -> None:
+        self._connections = connections
+        self._loop = asyncio.get_running_loop()
+        self._timer: asyncio.TimerHandle | None = None
+
+    def start(self) -> None:
+        """Check after the interval, and again at this interval."""
+        self._timer = self._loop.call_later(CHECK_INTERVAL_S, self.check)
+
+    def stop(self) -> None:
+        """Stop checking."""
+        if self._timer is not None:
+            self._timer.cancel()
+
+    def check(self) -> None:
+        """End the connections past their time-outs."""
+        self.start()
+        now = self._connections.time()
+        connections_scarce = self._connections.are_scarce()
+        for client in self._connections.connections():
+            enforce_timeouts(client, now, connections_scarce)
+
+
 def enforce_timeouts(client: ClientConnection, now: float, connections_scarce: bool) -> None:
     """End a connection that has been in its state for too long."""
     if client.half_close_ends_at:
@@ -24,10 +67,8 @@
         if client.is_write_stalled(now, timeout_s):
             log.warning("client_write_stalled timeout_s=%.1f", timeout_s)
             client.abort(CloseReason.WRITE_STALLED)
-    elif client.commands.partial_since and client.is_reading:
-        # Before its first command a client's time runs from connecting on.
-        started_at = client.commands.partial_since if client.has_sent_command else client.idle_since
-        if now - started_at >= COMMAND_TIMEOUT_S:
+    elif client.is_receiving_command():
+        if client.command_age_s(now) >= COMMAND_TIMEOUT_S:
             client.fail("command without end")
     elif not client.is_awaiting_replies():
         timeout_s = _idle_timeout_s(client, connections_scarce)
--- a/tests/server/test_client_connections.py
+++ b/tests/server/test_client_connections.py
@@ -7,8 +7,7 @@
 import hiredis
 import pytest
 
-from qos_gateway.server.clients import connection as client_connection
-from qos_gateway.server.clients import connections as client_connections
+from qos_gateway.server.clients import connection_input as client_input
 from qos_gateway.server.clients import timeouts as client_timeouts
 from qos_gateway.types import (
     Action,
@@ -41,7 +40,7 @@
             client = await harness.connect_client()
             client.send(call_command())
             connection, _ = await harness.endpoint.next_command()
-            harness.gateway.clients.closing = True
+            harness.gateway.clients.context.drain.closes_idle = True
             connection.send(success_reply(b"v"))
             assert [await client.next_message(), await client.next_message()] == [b"v", None]
 
@@ -209,9 +208,9 @@
 def test_client_that_sends_nothing_or_half_a_command_is_closed(
     data: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert client_timeouts.COMMAND_TIMEOUT_S + client_connections.CHECK_INTERVAL_S < 3.0
+    assert client_timeouts.COMMAND_TIMEOUT_S + client_timeouts.CHECK_INTERVAL_S < 3.0
     monkeypatch.setattr(client_timeouts, "COMMAND_TIMEOUT_S", 0.02)
-    monkeypatch.setattr(client_connections, "CHECK_INTERVAL_S", 0.01)
+    monkeypatch.setattr(client_timeouts, "CHECK_INTERVAL_S", 0.01)
 
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -226,9 +225,9 @@
 
 
 def test_client_that_does_not_read_is_closed_and_its_commands_wait(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert client_timeouts.WRITE_STALL_TIMEOUT_S + client_connections.CHECK_INTERVAL_S < 3.0
+    assert client_timeouts.WRITE_STALL_TIMEOUT_S + client_timeouts.CHECK_INTERVAL_S < 3.0
     monkeypatch.setattr(client_timeouts, "WRITE_STALL_TIMEOUT_S", 0.05)
-    monkeypatch.setattr(client_connections, "CHECK_INTERVAL_S", 0.01)
+    monkeypatch.setattr(client_timeouts, "CHECK_INTERVAL_S", 0.01)
 
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -250,7 +249,7 @@
             )
             answering.cancel()
             assert len(engine.events_of(Arrival)) < request_count
-            assert harness.gateway.clients.deferred_bytes == 0
+            assert harness.gateway.clients.context.buffers.deferred_bytes == 0
 
     run_on_loop(test)
 
@@ -258,7 +257,7 @@
 def test_commands_beyond_the_pipeline_wait_unread_and_are_all_answered_in_order() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            number = 3 * client_connection.MAX_PIPELINED
+            number = 3 * client_input.MAX_PIPELINED
             arrived: list[int] = []
 
             def hold(a: Arrival) -> list[Action]:
@@ -268,22 +267,22 @@
             script_engine(harness, *[hold] * number)
             client = await harness.connect_client()
             client.send(b"".join(call_command(number=n) for n in range(number)))
-            await wait_until(lambda: len(arrived) == client_connection.MAX_PIPELINED)
+            await wait_until(lambda: len(arrived) == client_input.MAX_PIPELINED)
             client.send(b"*1\r\n$4\r\nPING\r\n")
             while len(arrived) < number:
-                assert len(harness.gateway.requests._requests) <= client_connection.MAX_PIPELINED
+                assert len(harness.gateway.requests._requests) <= client_input.MAX_PIPELINED
                 before = len(arrived)
                 harness.gateway.executor.execute(
                     Reject(arrived[before - 1], 7 * MS)
                 )  # out of order: the last of them first
-                for request in arrived[before - client_connection.MAX_PIPELINED : before - 1]:
+                for request in arrived[before - client_input.MAX_PIPELINED : before - 1]:
                     harness.gateway.executor.execute(Reject(request, 7 * MS))
                 await wait_until(lambda before=before: len(arrived) > before)  # type: ignore[misc]
-            for request in arrived[-client_connection.MAX_PIPELINED :]:
+            for request in arrived[-client_input.MAX_PIPELINED :]:
                 harness.gateway.executor.execute(Reject(request, 7 * MS))
             assert {str(await client.next_message()) for _ in range(number)} == {"BUSY 7"}
             assert await client.next_message() == b"PONG"
-            assert harness.gateway.clients.deferred_bytes == 0
+            assert harness.gateway.clients.context.buffers.deferred_bytes == 0
 
     run_on_loop(test)
 
@@ -293,8 +292,8 @@
 
     async def test() -> None:
         async with gateway_harness() as harness:
-            harness.gateway.clients.buffer_memory = 10_000
-            most = client_connection.MAX_PIPELINED
+            harness.gateway.clients.context.buffers.limit_bytes = 10_000
+            most = client_input.MAX_PIPELINED
             script_engine(harness, *[lambda _a: []] * (most + 1))
             client = await harness.connect_client()
             requests = harness.gateway.requests._requests
@@ -305,7 +304,7 @@
             assert set(answers[:most]) == {"ERR out of time"}
             assert set(answers[most:]) == {"BUSY"}
             await wait_until(lambda: len(requests) == 1)
-            assert harness.gateway.clients.deferred_bytes == 0
+            assert harness.gateway.clients.context.buffers.deferred_bytes == 0
             assert harness.gateway.metrics.rejections[RejectReason.LOAD_LIMIT] == 300 - most
             assert not harness.gateway.invariants.violations
             assert str(await client.next_message()) == "ERR out of time"
@@ -316,8 +315,8 @@
 def test_protocol_error_behind_commands_without_room_is_answered_after_them() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            harness.gateway.clients.buffer_memory = 0
-            most = client_connection.MAX_PIPELINED
+            harness.gateway.clients.context.buffers.limit_bytes = 0
+            most = client_input.MAX_PIPELINED
             script_engine(harness, *[lambda _a: []] * most)
             client = await harness.connect_client()
             commands = [call_command(number=n, wait_ms=60) for n in range(most + 2)]
@@ -363,11 +362,11 @@
                 client.send(b"*1\r\n$4\r\nPING\r\n")
                 assert await client.next_message() == b"PONG"
             harness.gateway.clients.max_connections = 6
-            harness.gateway.clients._check_timeouts()
+            harness.gateway.clients.timeout_checker.check()
             await asyncio.sleep(0)
             assert harness.gateway.clients.connection_count() == 4
             harness.gateway.clients.max_connections = 5
-            harness.gateway.clients._check_timeouts()
+            harness.gateway.clients.timeout_checker.check()
             await wait_until(lambda: harness.gateway.clients.connection_count() == 0)
 
     run_on_loop(test)
--- a/tests/server/test_client_disconnects.py
+++ b/tests/server/test_client_disconnects.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from qos_gateway.server.clients import connection as client_connection
+from qos_gateway.server.clients import connection_input as client_input
 from qos_gateway.server.endpoints import connections as endpoints
 from qos_gateway.server.gateway import GatewayProcess
 from qos_gateway.types import Action, Arrival, AttemptEnded, ClientDisconnected, Outcome, Reject, Send
@@ -110,15 +110,15 @@
             ignore_deadlines(harness)
             engine = script_engine(
                 harness,
-                *[leave_open] * client_connection.MAX_PIPELINED,
+                *[leave_open] * client_input.MAX_PIPELINED,
                 *[lambda a: [Send(a.request_id, endpoint, 0)]] * 9,
             )
             client = await harness.connect_client()
-            client.send(b"".join(call_command(number=n) for n in range(client_connection.MAX_PIPELINED + 8)))
+            client.send(b"".join(call_command(number=n) for n in range(client_input.MAX_PIPELINED + 8)))
             await wait_until(
                 lambda: (
-                    len(taken) == client_connection.MAX_PIPELINED
-                    and harness.gateway.clients.deferred_bytes > 0
+                    len(taken) == client_input.MAX_PIPELINED
+                    and harness.gateway.clients.context.buffers.deferred_bytes > 0
                 )
             )
             if how == "end":
@@ -127,11 +127,9 @@
                 sock = client.writer.get_extra_info("socket")
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", how == "reset", 0))
                 client.abort()
-            await wait_until(
-                lambda: len(engine.events_of(ClientDisconnected)) == client_connection.MAX_PIPELINED
-            )
+            await wait_until(lambda: len(engine.events_of(ClientDisconnected)) == client_input.MAX_PIPELINED)
             assert harness.gateway.clients.connection_count() == 0
-            assert harness.gateway.clients.deferred_bytes == 0
+            assert harness.gateway.clients.context.buffers.deferred_bytes == 0
             for request in taken:
                 harness.gateway.executor.execute(Reject(request, 0))
             await only_another_is_written(harness)
@@ -277,11 +275,14 @@
     """Behind as many commands as are served at once, in deferred input: they are answered, and the deferred
     commands would be served, in the turn of the loop in which the client has left."""
     endpoint = only_endpoint(harness)
-    max_pipelined = client_connection.MAX_PIPELINED
+    max_pipelined = client_input.MAX_PIPELINED
     engine.plans[:] = [leave_open] * max_pipelined + [lambda a: [Send(a.request_id, endpoint, 0)]] * 8
     client.send(*range(1, max_pipelined + 9))
     await wait_until(
-        lambda: len(engine.events_of(Arrival)) == max_pipelined and harness.gateway.clients.deferred_bytes > 0
+        lambda: (
+            len(engine.events_of(Arrival)) == max_pipelined
+            and harness.gateway.clients.context.buffers.deferred_bytes > 0
+        )
     )
     client.leave(how)
     for arrival in engine.events_of(Arrival)[:max_pipelined]:
--- a/tests/server/test_connection_ends.py
+++ b/tests/server/test_connection_ends.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from qos_gateway.server.clients import connections as client_connections
 from qos_gateway.server.clients import socket_protocol as client_socket
+from qos_gateway.server.clients import timeouts as client_timeouts
 from tests.support.servers import (
     call_command,
     gateway_harness,
@@ -24,7 +24,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(client_socket, "HALF_CLOSE_TIMEOUT_S", 0.1)
-    monkeypatch.setattr(client_connections, "CHECK_INTERVAL_S", 0.02)
+    monkeypatch.setattr(client_timeouts, "CHECK_INTERVAL_S", 0.02)
     value = b"v" * 60_000
 
     async def test() -> None:
@@ -41,7 +41,7 @@
                     socket.SOL_SOCKET, socket.SO_SNDBUF, 4096
                 )
                 await loop.sock_sendall(sock, b"no command\r\n")
-                await wait_until(lambda: client._closing)
+                await wait_until(lambda: client.input.is_closed)
                 connection.send(success_reply(value))
                 await asyncio.sleep(0.5)  # it reads nothing meanwhile, for less than a stall takes
                 received = b""
@@ -59,9 +59,9 @@
             command = call_command()
             with closing(socket.create_connection(("127.0.0.1", clients.port))) as sock:
                 sock.sendall(command[:30])
-                await wait_until(lambda: any(c.commands.is_midway for c in clients.connections()))
+                await wait_until(lambda: any(c.input.reader.is_midway for c in clients.connections()))
                 (client,) = clients.connections()
-                client.commands.partial_since -= 1.0
+                client.input.reader.partial_since -= 1.0
                 clients.max_connections = 1
                 sock.sendall(command[30:])  # the loop has not turned since
                 assert not clients._has_capacity()
--- a/tests/server/test_graceful_shutdown.py
+++ b/tests/server/test_graceful_shutdown.py
@@ -49,7 +49,7 @@
             client.send(call_command(number=1))
             connection, _ = await harness.endpoint.next_command()
             stopping = asyncio.create_task(harness.gateway.stop())
-            await wait_until(lambda: harness.gateway.clients.closing)
+            await wait_until(lambda: harness.gateway.clients.context.drain.closes_idle)
             connection.send(success_reply(b"v"))
             assert [await client.next_message(), await client.next_message()] == [b"v", None]
             stopping.cancel()
@@ -95,7 +95,7 @@
             client = await harness.connect_client()
             client.send(call_command(number=1)[:-3])
             await wait_until(
-                lambda: any(c.commands.partial_since for c in harness.gateway.clients._new_connections)
+                lambda: any(c.input.reader.partial_since for c in harness.gateway.clients._new_connections)
             )
             stopping = asyncio.create_task(harness.gateway.stop())
             assert str(await client.next_message()) == "BUSY"
@@ -126,7 +126,7 @@
             client.send(call_command(number=1))
             first, _ = await harness.endpoint.next_command()
             stopping = asyncio.create_task(harness.gateway.stop())
-            await wait_until(lambda: harness.gateway.clients.closing)
+            await wait_until(lambda: harness.gateway.clients.context.drain.closes_idle)
             killed = harness.gateway.clock() + SECOND // 2 + 7 * SECOND // 10
             client.send(call_command(number=2))
             second, _ = await harness.endpoint.next_command()
--- a/tests/server/test_handover.py
+++ b/tests/server/test_handover.py
@@ -48,7 +48,7 @@
                 old.gateway.clients.max_connections,
                 old.gateway.endpoint_connections.max_connections,
             )
-            memory = old.gateway.clients.buffer_memory
+            memory = old.gateway.clients.context.buffers.limit_bytes
             raw = captured(old)
             assert raw["clients"] == old.gateway.clients.max_connections == 1 + EXTRA_CLIENT_CONNECTIONS
             assert (
@@ -59,13 +59,13 @@
             new.gateway.handover.restore_state(ReceivedState(raw), list_is_current=True)
             assert new.gateway.clients.max_connections == max_clients - raw["clients"]
             assert new.gateway.endpoint_connections.max_connections == max_endpoints - raw["backends"]
-            assert old.gateway.clients.buffer_memory == int(memory * FRACTIONS.outgoing)
-            assert new.gateway.clients.buffer_memory == int(memory * FRACTIONS.incoming)
+            assert old.gateway.clients.context.buffers.limit_bytes == int(memory * FRACTIONS.outgoing)
+            assert new.gateway.clients.context.buffers.limit_bytes == int(memory * FRACTIONS.incoming)
             for harness in (old, new):
                 harness.gateway.handover.on_other_process_ended()
                 assert harness.gateway.clients.max_connections == max_clients
                 assert harness.gateway.endpoint_connections.max_connections == max_endpoints
-                assert harness.gateway.clients.buffer_memory == memory
+                assert harness.gateway.clients.context.buffers.limit_bytes == memory
                 assert harness.gateway.dispatcher.engine.quota.handover_fraction == 1.0
 
     run_on_loop(test)
--- a/tests/server/test_held_values.py
+++ b/tests/server/test_held_values.py
@@ -35,7 +35,7 @@
     async def test() -> None:
         async with gateway_harness() as harness:
             if not room:
-                harness.gateway.clients.buffer_memory = 10_000
+                harness.gateway.clients.context.buffers.limit_bytes = 10_000
             client = await harness.connect_client()
             client.send(call_command(number=1, wait_ms=5000) + call_command(number=2, wait_ms=300))
             held = await forwarded(harness, 2)
@@ -52,7 +52,7 @@
             else:
                 assert await client.next_message() is None  # it had begun to flow
             await wait_until(lambda: not harness.gateway.requests._requests)
-            assert harness.gateway.clients.held_bytes == 0
+            assert harness.gateway.clients.context.buffers.held_bytes == 0
 
     run_on_loop(test)
 
@@ -86,7 +86,7 @@
                 answers.reverse()
             assert isinstance(answers[0], hiredis.ReplyError)
             assert answers[1] == b"small"
-            assert harness.gateway.clients.held_bytes == 0
+            assert harness.gateway.clients.context.buffers.held_bytes == 0
 
     run_on_loop(test)
 
@@ -117,7 +117,7 @@
 def test_values_that_are_held_are_bounded_and_flow_where_there_is_no_room() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            harness.gateway.clients.buffer_memory = 150_000
+            harness.gateway.clients.context.buffers.limit_bytes = 150_000
             client = await harness.connect_client()
             client.send(call_command(number=1) + call_command(number=2))
             held = await forwarded(harness, 2)
@@ -125,6 +125,6 @@
             held[2].send(success_reply(b"v"))
             assert await client.next_message() == value(1 << 20)
             assert await client.next_message() == b"v"
-            assert harness.gateway.clients.held_bytes == 0
+            assert harness.gateway.clients.context.buffers.held_bytes == 0
 
     run_on_loop(test)
--- a/tests/server/test_large_values.py
+++ b/tests/server/test_large_values.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from qos_gateway.server.clients import connections, timeouts
+from qos_gateway.server.clients import timeouts
 from qos_gateway.server.endpoints import connection as endpoint_connection
 from qos_gateway.server.endpoints import response_receiver
 from qos_gateway.server.networking.resp import (
@@ -59,7 +59,7 @@
             assert [await client.next_message(), await client.next_message()] == [b"small 2", b"small 3"]
             assert harness.endpoint.closed_connections == 0
             assert figures(harness) == (4, 0, 0)
-            assert harness.gateway.clients.active_streams == 0
+            assert harness.gateway.clients.context.streams.active_streams == 0
             assert not harness.gateway.requests._requests
             assert not harness.gateway.dispatcher.engine.request_table.in_flight
 
@@ -114,7 +114,7 @@
                 < response_receiver.LARGE_RESPONSE_STALL_TIMEOUT_S / 2
             )
             await wait_until(lambda: not harness.gateway.requests._requests)
-            assert harness.gateway.clients.active_streams == 0
+            assert harness.gateway.clients.context.streams.active_streams == 0
 
     run_on_loop(test)
 
@@ -188,7 +188,7 @@
             again, _ = await harness.endpoint.next_command()
             again.send(success_reply(b"v"))
             assert await other.next_message() == b"v"
-            assert harness.gateway.clients.active_streams == 0
+            assert harness.gateway.clients.context.streams.active_streams == 0
             assert not harness.gateway.dispatcher.engine.request_table.in_flight
 
     run_on_loop(test)
@@ -210,7 +210,10 @@
             await wait_until(lambda: client.blocked)
             transport = client._transport
             assert transport is not None
-            most = harness.gateway.clients.write_buffer_bytes + 4 * endpoint_connection.RECEIVE_BUFFER_BYTES
+            most = (
+                harness.gateway.clients.context.buffers.write_buffer_bytes
+                + 4 * endpoint_connection.RECEIVE_BUFFER_BYTES
+            )
             got = bytearray()
             while len(got) < len(whole) + 12:
                 assert transport.get_write_buffer_size() <= most
@@ -233,7 +236,7 @@
             await wait_until(
                 lambda: harness.endpoint.closed_connections == 1 and not harness.gateway.requests._requests
             )
-            assert harness.gateway.clients.active_streams == 0
+            assert harness.gateway.clients.context.streams.active_streams == 0
             assert not harness.gateway.dispatcher.engine.request_table.in_flight
             assert figures(harness) == (0, 0, 0)
 
@@ -251,7 +254,7 @@
                 held[words[2]] = connection
             held[b"%016x" % 2].send(success_reply(value(1 << 20)))
             await wait_until(
-                lambda: harness.gateway.clients.held_bytes > 0  # it may be held whole by then
+                lambda: harness.gateway.clients.context.buffers.held_bytes > 0  # it may be held whole by then
             )
             held[b"%016x" % 1].send(success_reply(b"first"))
             assert await client.next_message() == b"first"
@@ -312,7 +315,7 @@
 
 def test_client_may_spend_two_seconds_on_a_head() -> None:
     assert timeouts.COMMAND_TIMEOUT_S > 2.0
-    assert timeouts.COMMAND_TIMEOUT_S + connections.CHECK_INTERVAL_S < 3.0
+    assert timeouts.COMMAND_TIMEOUT_S + timeouts.CHECK_INTERVAL_S < 3.0
 
 
 def test_frames_tell_where_a_large_value_begins() -> None:
--- a/tests/server/test_log_rate_limit.py
+++ b/tests/server/test_log_rate_limit.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from qos_gateway.server.clients.connection import log as clients_log
+from qos_gateway.server.clients import log as clients_log
 from qos_gateway.server.endpoints.connection import log as endpoint_connections_log
 from qos_gateway.server.observability.logs import MAX_LINES, WINDOW_S, RateLimitFilter
 
--- a/tests/server/test_periodic_checks.py
+++ b/tests/server/test_periodic_checks.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from qos_gateway.server.clients import connections as client_connections
+from qos_gateway.server.clients import timeouts as client_timeouts
 from tests.support.servers import FakeCounter, gateway_harness, listening, run_on_loop
 
 
@@ -34,20 +34,20 @@
             (client,) = gateway.clients.connections()
             assert gateway.counter is not None
             checked: Any = {
-                "clients": gateway.clients,
+                "clients": gateway.clients.timeout_checker,
                 "backends": gateway.endpoint_connections,
                 "counter": gateway.counter,
-                "hangup monitor": gateway.clients.hangup_monitor,
+                "hangup monitor": gateway.clients.context.hangup_monitor,
             }[owner]
             if owner == "hangup monitor":
                 checked.set_watched(client, True)
             name, check = {
-                "clients": ("_check_timer", "_check_timeouts"),
+                "clients": ("_timer", "check"),
                 "backends": ("_sweep_timer", "_sweep"),
                 "counter": ("_check_timer", "_check"),
                 "hangup monitor": ("_timer", "_check"),
             }[owner]
-            monkeypatch.setattr(client_connections, "enforce_timeouts", fail)
+            monkeypatch.setattr(client_timeouts, "enforce_timeouts", fail)
             monkeypatch.setattr(gateway.endpoint_connections.keep_alive, "decay", fail)
             monkeypatch.setattr(gateway.counter._connections, "check", fail)
             monkeypatch.setattr(type(client), "has_hung_up", fail)
--- a/tests/server/test_pipelined_deadlines.py
+++ b/tests/server/test_pipelined_deadlines.py
@@ -4,13 +4,20 @@
 
 import asyncio
 from collections.abc import Callable
+from dataclasses import replace
 
-from qos_gateway.server.clients import connection as client_connection
+from qos_gateway.server.clients import connection_input as client_input
 from qos_gateway.server.clients.socket_protocol import has_unread_bytes
 from qos_gateway.types import Action, Arrival, Reject
 from qos_gateway.units import SECOND
 from tests.support.scripted_engine import script_engine
-from tests.support.servers import call_command, gateway_harness, run_on_loop, wait_until
+from tests.support.servers import (
+    GatewayHarness,
+    call_command,
+    gateway_harness,
+    run_on_loop,
+    wait_until,
+)
 
 CLASS_DEADLINE_S = 2.0
 STEP_S = 0.4
@@ -27,6 +34,12 @@
     return hold
 
 
+def set_clock(harness: GatewayHarness, time: Callable[[], float]) -> None:
+    """Set the clock of the client side; a connection keeps the one that it was opened with."""
+    clients = harness.gateway.clients
+    clients.context = replace(clients.context, time=time)
+
+
 def test_command_behind_others_keeps_all_the_time_that_it_waited() -> None:
     """Each reply lets one more command in; those that wait on have waited all the while."""
 
@@ -34,18 +47,18 @@
         async with gateway_harness() as harness:
             arrived: list[Arrival] = []
             hold = holding(arrived)
-            number = client_connection.MAX_PIPELINED + STEPS
+            number = client_input.MAX_PIPELINED + STEPS
             script_engine(harness, *[hold] * number)
             loop = asyncio.get_running_loop()
             passed_s = 0.0
-            harness.gateway.clients.time = lambda: loop.time() + passed_s
+            set_clock(harness, lambda: loop.time() + passed_s)
             client = await harness.connect_client()
             client.send(b"".join(call_command(number=n) for n in range(number)))
-            await wait_until(lambda: len(arrived) == client_connection.MAX_PIPELINED)
+            await wait_until(lambda: len(arrived) == client_input.MAX_PIPELINED)
             for step in range(STEPS):
                 passed_s += STEP_S
                 harness.gateway.executor.execute(Reject(arrived[step].request_id, 0))
-                wanted = client_connection.MAX_PIPELINED + step + 1
+                wanted = client_input.MAX_PIPELINED + step + 1
                 await wait_until(lambda wanted=wanted: len(arrived) == wanted)  # type: ignore[misc]
                 time_left_s = (arrived[-1].deadline - harness.gateway.clock()) / SECOND
                 assert time_left_s <= CLASS_DEADLINE_S - passed_s
@@ -58,11 +71,11 @@
         async with gateway_harness() as harness:
             arrived: list[Arrival] = []
             hold = holding(arrived)
-            most = client_connection.MAX_PIPELINED
+            most = client_input.MAX_PIPELINED
             script_engine(harness, *[hold] * (most + 3))
             loop = asyncio.get_running_loop()
             passed_s = 0.0
-            harness.gateway.clients.time = lambda: loop.time() + passed_s
+            set_clock(harness, lambda: loop.time() + passed_s)
             client = await harness.connect_client()
             client.send(b"".join(call_command(number=n) for n in range(most + 1)))
             await wait_until(lambda: len(arrived) == most)
@@ -90,12 +103,12 @@
         async with gateway_harness() as harness:
             arrived: list[Arrival] = []
             hold = holding(arrived)
-            most = client_connection.MAX_PIPELINED
+            most = client_input.MAX_PIPELINED
             behind = 2 * most
             script_engine(harness, *[hold] * (most + behind))
             loop = asyncio.get_running_loop()
             passed_s = 0.0
-            harness.gateway.clients.time = lambda: loop.time() + passed_s
+            set_clock(harness, lambda: loop.time() + passed_s)
             client = await harness.connect_client()
             client.send(b"".join(call_command(number=n) for n in range(most)))
             await wait_until(lambda: len(arrived) == most)
