--- a/qos_gateway/server/clients/accept_drain.py
+++ b/qos_gateway/server/clients/accept_drain.py
@@ -15,7 +15,7 @@
 
 
 class DrainState:
-    """How far the graceful shutdown has come."""
+    """How far the graceful shutdown has come; changed by `AcceptDrain`."""
 
     __slots__ = ("closes_idle", "is_draining")
 
@@ -32,7 +32,7 @@
         """Whether the client has sent a complete command."""
 
     @property
-    def idle_since(self) -> float:
+    def idle_since_s(self) -> float:
         """The time in seconds at which the connection was opened, or last became idle."""
 
     def is_idle(self) -> bool:
@@ -49,7 +49,7 @@
     """What the shutdown needs of the client side."""
 
     @property
-    def last_connected_at(self) -> float:
+    def last_connected_at_s(self) -> float:
         """The time in seconds at which the last connection was opened."""
 
     def time(self) -> float:
@@ -81,43 +81,46 @@
     def __init__(
         self, clients: DrainedClients, state: DrainState, owns_socket: bool, max_drain_s: float
     ) -> None:
-        now = clients.time()
+        now_s = clients.time()
         self._clients = clients
         self._state = state
         self._owns_socket = owns_socket
-        self._closing_from = now + ACCEPT_DRAIN_QUIET_S if owns_socket else now  # idle connections close then
-        self._accept_until = now + ACCEPT_DRAIN_MAX_S if owns_socket else now
-        self._finish_from = self._closing_from + max_drain_s  # incomplete commands end then
+        # From then on idle connections are closed.
+        self._closing_from_s = now_s + ACCEPT_DRAIN_QUIET_S if owns_socket else now_s
+        self._accept_until_s = now_s + ACCEPT_DRAIN_MAX_S if owns_socket else now_s
+        # From then on incomplete commands get a reply, and their connections end.
+        self._finish_from_s = self._closing_from_s + max_drain_s
 
     async def run(self) -> None:
         """Return once the listening socket is closed and no connection is left.
 
         Clients with open requests keep their connections: each request ends with its deadline.
         """
+        self._state.is_draining = True
         clients = self._clients
         while clients.is_listening() or clients.has_connections():
-            now = clients.time()
-            if clients.is_listening() and self._is_accepting_over(now):
+            now_s = clients.time()
+            if clients.is_listening() and self._is_accepting_over(now_s):
                 self._stop_listening()
-            self._state.closes_idle = now >= self._closing_from
+            self._state.closes_idle = now_s >= self._closing_from_s
             if self._state.closes_idle:
-                self._close_connections(now)
+                self._close_connections(now_s)
             await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
 
-    def _is_accepting_over(self, now: float) -> bool:
+    def _is_accepting_over(self, now_s: float) -> bool:
         if not self._owns_socket:
             return True
-        return now >= min(self._accept_until, self._clients.last_connected_at + ACCEPT_DRAIN_QUIET_S)
+        return now_s >= min(self._accept_until_s, self._clients.last_connected_at_s + ACCEPT_DRAIN_QUIET_S)
 
     def _stop_listening(self) -> None:
         """Close the listening socket, but not while connections wait to be accepted: they would be reset."""
         if not (self._owns_socket and self._clients.has_waiting_connection()):
             self._clients.stop_listening()
 
-    def _close_connections(self, now: float) -> None:
+    def _close_connections(self, now_s: float) -> None:
         for client in self._clients.connections():
-            may_close = client.has_sent_command or client.idle_since < now - FIRST_COMMAND_GRACE_S
+            may_close = client.has_sent_command or client.idle_since_s < now_s - FIRST_COMMAND_GRACE_S
             if may_close and client.is_idle():
                 client.close(CloseReason.DRAINED)
-            elif now >= self._finish_from:
+            elif now_s >= self._finish_from_s:
                 client.finish()
--- a/qos_gateway/server/clients/command_reader.py
+++ b/qos_gateway/server/clients/command_reader.py
@@ -17,14 +17,14 @@
 class CommandReader:
     """Splits a client's bytes into commands, whole or in pieces."""
 
-    __slots__ = ("_frames", "_reader", "_time", "end", "partial_since")
+    __slots__ = ("_frames", "_reader", "_time", "end", "partial_since_s")
 
     def __init__(self, time: Callable[[], float]) -> None:
         self._time = time
         self._frames = CommandFrames()
         self._reader = hiredis.Reader()
         self.end = 0  # position behind the last command in the data that it was read from
-        self.partial_since = 0.0  # when the first byte of an incomplete command was received; 0 without one
+        self.partial_since_s = 0.0  # when the first byte of an incomplete command was received; 0 without one
 
     @property
     def is_midway(self) -> bool:
@@ -33,8 +33,12 @@
 
     def restart_timeout(self) -> None:
         """Restart the time of an incomplete command: the gateway was not reading."""
-        if self.partial_since:
-            self.partial_since = self._time()
+        if self.partial_since_s:
+            self.partial_since_s = self._time()
+
+    def stop_timeout(self) -> None:
+        """Count no time of an incomplete command any more: the remainder is not parsed."""
+        self.partial_since_s = 0.0
 
     def next_command(self, data: bytes, start: int) -> list[bytes] | None:
         """Read `data` from `start` on, and return the arguments of the first command that ends in it.
@@ -46,33 +50,33 @@
             end = self._frames.scan(data, start)
             if end < 0:
                 self._reader.feed(data[start:])
-                self.partial_since = self.partial_since or self._time()
+                self.partial_since_s = self.partial_since_s or self._time()
                 return None
             self._reader.feed(data[start:end])
             arguments: list[bytes] = self._reader.gets()
         except (FrameError, hiredis.ProtocolError) as error:
             raise CommandSyntaxError(str(error)) from error
         self.end = end
-        self.partial_since = 0.0
+        self.partial_since_s = 0.0
         return arguments
 
 
 class DeferredInput:
     """Bytes that were read from a client and not parsed, counted in the buffer budget."""
 
-    __slots__ = ("_buffers", "data", "since")
+    __slots__ = ("_buffers", "data", "since_s")
 
     def __init__(self, buffers: BufferBudget) -> None:
         self._buffers = buffers
         self.data = b""
-        self.since = 0.0  # when the first of the data was received, however often it was put back
+        self.since_s = 0.0  # when the first of the data was received, however often it was put back
 
-    def put(self, data: bytes, received_at: float) -> bool:
+    def put(self, data: bytes, received_at_s: float) -> bool:
         """Replace the deferred bytes by these.
 
         Returns False, and keeps none, where the deferred input of all connections exceeds its limit.
         """
-        self.since = received_at
+        self.since_s = received_at_s
         is_within_limit = self._buffers.defer(len(data) - len(self.data))
         self.data = data
         if not is_within_limit:
--- a/qos_gateway/server/clients/connection.py
+++ b/qos_gateway/server/clients/connection.py
@@ -47,8 +47,7 @@
         "_listener",
         "_replies",
         "command_received",
-        "has_sent_command",
-        "idle_since",
+        "idle_since_s",
         "input",
     )
 
@@ -60,8 +59,7 @@
         self._replies: ReplyQueue  # from `connection_made` on
         self.input: ConnectionInput  # from `connection_made` on
         self._close_reason: CloseReason | None = None  # None until the gateway closes it
-        self.has_sent_command = False  # a complete one
-        self.idle_since = context.time()  # when it was opened, or last became idle
+        self.idle_since_s = context.time()  # when it was opened, or last became idle
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Build the parts that need the transport, and notify the listener."""
@@ -104,23 +102,28 @@
         """Return whether a command has no reply yet, or input is deferred."""
         return bool(self._replies.pending or self.input.deferred.data)
 
+    @property
+    def has_sent_command(self) -> bool:
+        """Whether the client has sent a complete command."""
+        return self.input.has_sent_command
+
     def is_receiving_command(self) -> bool:
         """Return whether a command is incomplete and its remainder is read as it arrives."""
-        return bool(self.input.reader.partial_since) and self.is_reading
+        return bool(self.input.reader.partial_since_s) and self.is_reading
 
-    def command_age_s(self, now: float) -> float:
+    def command_age_s(self, now_s: float) -> float:
         """Return the seconds for which the client has been sending its incomplete command.
 
         They count from connecting on where the command is the client's first.
         """
-        return now - (self.input.reader.partial_since if self.has_sent_command else self.idle_since)
+        return now_s - (self.input.reader.partial_since_s if self.has_sent_command else self.idle_since_s)
 
-    def partial_command_age(self, now: float) -> float:
+    def partial_command_age_s(self, now_s: float) -> float:
         """Return the seconds since an incomplete command began; 0 where replies are pending."""
-        partial_since = self.input.reader.partial_since
-        if not partial_since or self._replies.pending or self.input.is_closed:
+        partial_since_s = self.input.reader.partial_since_s
+        if not partial_since_s or self._replies.pending or self.input.is_closed:
             return 0.0
-        return now - partial_since
+        return now_s - partial_since_s
 
     def is_writing_large_value(self) -> bool:
         """Return whether a large value is being written."""
@@ -144,9 +147,9 @@
             if self.input.is_held_back() and len(pending) < MAX_PIPELINED:
                 self._context.call_soon(self.input.resume)
             return
-        self.idle_since = self._context.time()
+        self.idle_since_s = self._context.time()
         if self.input.is_closed:
-            self.half_close(self.idle_since)
+            self.half_close(self.idle_since_s)
         elif self.input.is_held_back():
             self._context.call_soon(self.input.resume)
         elif self._context.drain.closes_idle and self.is_idle():
@@ -177,7 +180,7 @@
             self.reply(pending_reply, reply)
             return
         log.warning("large_value_aborted client_connection=closed")
-        self.input.is_closed = True
+        self.input.close()
         self.close(CloseReason.VALUE_ABORTED)
 
     def pause_writing(self) -> None:
@@ -210,6 +213,7 @@
 
     def _reply_and_end(self, reply: bytes) -> None:
         """Close the input, and half-close the connection after this reply."""
+        self.input.reader.stop_timeout()
         self.input.close()
         pending_reply = PendingReply(self)
         self._replies.pending.append(pending_reply)
--- a/qos_gateway/server/clients/connection_input.py
+++ b/qos_gateway/server/clients/connection_input.py
@@ -71,12 +71,13 @@
     """
 
     __slots__ = (
-        "_backlog_since",
+        "_backlog_since_s",
         "_connection",
         "_context",
         "_discarded_bytes",
         "_replies",
         "deferred",
+        "has_sent_command",
         "is_closed",
         "is_parsing",
         "reader",
@@ -89,8 +90,9 @@
         self.reader = CommandReader(context.time)
         self.deferred = DeferredInput(context.buffers)
         # When reading was paused, until all bytes that have waited since then are read; 0 where none wait.
-        self._backlog_since = 0.0
+        self._backlog_since_s = 0.0
         self._discarded_bytes = 0
+        self.has_sent_command = False  # a complete one
         self.is_parsing = False  # a command is being executed, and others may follow in the same data
         self.is_closed = False  # no further command is executed; what is read is discarded
 
@@ -101,32 +103,32 @@
             if self._discarded_bytes > MAX_DISCARDED_BYTES:
                 self.update_reading()
         elif self.deferred.data:
-            self._defer(self.deferred.data + data, self.deferred.since)
+            self._defer(self.deferred.data + data, self.deferred.since_s)
         else:
-            received_at = self._backlog_received_at() if self._backlog_since else self._context.time()
-            self._execute_commands(data, received_at)
+            received_at_s = self._backlog_received_at_s() if self._backlog_since_s else self._context.time()
+            self._execute_commands(data, received_at_s)
 
-    def _backlog_received_at(self) -> float:
+    def _backlog_received_at_s(self) -> float:
         """Return the earliest time at which the bytes read now may have been sent.
 
         Bytes that the socket buffer cannot hold wait at the client and arrive as the buffer is read. Thus
         nothing waits any more once a read has left the socket empty.
         """
-        since = self._backlog_since
+        since_s = self._backlog_since_s
         if not self._connection.has_unread_bytes():
-            self._backlog_since = 0.0
-        return since
+            self._backlog_since_s = 0.0
+        return since_s
 
-    def _execute_commands(self, data: bytes, received_at: float) -> None:
+    def _execute_commands(self, data: bytes, received_at_s: float) -> None:
         context = self._context
         connection = self._connection
         position = 0
-        waited_s = context.time() - received_at
+        waited_s = context.time() - received_at_s
         self.is_parsing = True
         try:
             while position < len(data) and not self.is_closed:
                 if not self._may_execute():
-                    self._defer(data[position:], received_at)
+                    self._defer(data[position:], received_at_s)
                     break
                 arguments = self.reader.next_command(data, position)
                 if arguments is None:
@@ -134,6 +136,7 @@
                 position = self.reader.end
                 pending_reply = PendingReply(connection)
                 self._replies.pending.append(pending_reply)
+                self.has_sent_command = True
                 connection.command_received()
                 context.commands.execute(pending_reply, arguments, waited_s)
         except CommandSyntaxError as error:
@@ -151,9 +154,9 @@
         is_full = len(self._replies.pending) >= MAX_PIPELINED
         return not (is_full or self._connection.blocked or self._replies.is_value_in_flow())
 
-    def _defer(self, data: bytes, received_at: float) -> None:
+    def _defer(self, data: bytes, received_at_s: float) -> None:
         """Defer the data and pause reading; reject its requests where the buffer budget is exhausted."""
-        if not self.deferred.put(data, received_at):
+        if not self.deferred.put(data, received_at_s):
             try:
                 self._shed_commands(data)
             except CommandSyntaxError as error:
@@ -176,12 +179,11 @@
     def resume(self) -> None:
         """Execute deferred commands as far as that is allowed now, then read on if none remain."""
         if self.deferred.data and not self.is_closed and not self._connection.is_closing():
-            self._execute_commands(self.deferred.take(), self.deferred.since)
+            self._execute_commands(self.deferred.take(), self.deferred.since_s)
         self.update_reading()
 
     def close(self) -> None:
-        """Execute no further command, and discard an incomplete one."""
-        self.reader.partial_since = 0.0
+        """Execute no further command; what is read from now on is discarded."""
         self.is_closed = True
 
     def update_reading(self) -> None:
@@ -193,8 +195,8 @@
         if self._connection.set_reading(may_read):
             self._context.hangup_monitor.set_watched(self._connection, not may_read)
             if not may_read:
-                self._backlog_since = self._backlog_since or self._context.time()
+                self._backlog_since_s = self._backlog_since_s or self._context.time()
                 return
             self.reader.restart_timeout()
             if not self._connection.has_unread_bytes():
-                self._backlog_since = 0.0
+                self._backlog_since_s = 0.0
--- a/qos_gateway/server/clients/connections.py
+++ b/qos_gateway/server/clients/connections.py
@@ -43,7 +43,7 @@
         self._address = config.listen
         self._inherited_descriptor = config.inherited_descriptor
         self._listener: Listener | None = None
-        self.last_connected_at = 0.0
+        self.last_connected_at_s = 0.0
         # Past the longest deadline only large values are still written, or commands incomplete.
         longest_deadline_s = max(c.deadline for c in config.settings.classes) / SECOND
         self._max_drain_s = longest_deadline_s + ACCEPT_DRAIN_QUIET_S
@@ -101,7 +101,7 @@
         self.connection_closed(client)
         return True
 
-    def _evictable(self, now: float) -> Iterator[ClientConnection]:
+    def _evictable(self, now_s: float) -> Iterator[ClientConnection]:
         """Yield idle connections, then those with an incomplete command, in the order of eviction.
 
         Connections that were opened or became idle just now are not evicted: clients that reconnect again
@@ -109,10 +109,10 @@
         """
         clients = self.connections()
         for client in clients:
-            if now - client.idle_since >= MIN_IDLE_BEFORE_EVICTION_S and client.is_idle():
+            if now_s - client.idle_since_s >= MIN_IDLE_BEFORE_EVICTION_S and client.is_idle():
                 yield client
         for client in clients:
-            is_old = client.partial_command_age(now) >= MIN_PARTIAL_BEFORE_EVICTION_S
+            is_old = client.partial_command_age_s(now_s) >= MIN_PARTIAL_BEFORE_EVICTION_S
             if is_old and not client.has_unread_bytes():  # they may complete the command
                 yield client
 
@@ -136,16 +136,15 @@
 
     def connection_opened(self, client: ClientConnection) -> None:
         """Add a connection."""
-        self.last_connected_at = self.time()
+        self.last_connected_at_s = self.time()
         self._new_connections[client] = None
 
     def command_received(self, client: ClientConnection) -> None:
         """Make a connection the last to be evicted: its client has sent a complete command."""
-        if client.has_sent_command:
-            self._connections.pop(client, None)
+        if client in self._new_connections:
+            del self._new_connections[client]
         else:
-            self._new_connections.pop(client, None)
-            client.has_sent_command = True
+            self._connections.pop(client, None)
         self._connections[client] = None
 
     def connection_closed(self, client: ClientConnection) -> None:
@@ -177,8 +176,7 @@
     async def drain(self) -> None:
         """Accept until new connections cease, answer all requests, and close what is idle."""
         owns_socket = self._inherited_descriptor is None
-        self.context.drain.is_draining = True
-        self.last_connected_at = self.time()
+        self.last_connected_at_s = self.time()
         await AcceptDrain(self, self.context.drain, owns_socket, self._max_drain_s).run()
         self.abort()
 
--- a/qos_gateway/server/clients/socket_protocol.py
+++ b/qos_gateway/server/clients/socket_protocol.py
@@ -53,27 +53,29 @@
 class WriteProgress:
     """Whether a client takes what waits to be written to it."""
 
-    __slots__ = ("_untaken_bytes", "blocked_since")
+    __slots__ = ("_untaken_bytes", "blocked_since_s")
 
     def __init__(self) -> None:
-        self.blocked_since = 0.0  # since when the untaken bytes have not grown fewer, 0 where writing is free
+        self.blocked_since_s = (
+            0.0  # since when the untaken bytes have not grown fewer, 0 where writing is free
+        )
         self._untaken_bytes = 0  # at that time
 
-    def block(self, now: float, untaken: int) -> None:
+    def block(self, now_s: float, untaken: int) -> None:
         """Begin to watch: the write buffer is full."""
-        self.blocked_since = now
+        self.blocked_since_s = now_s
         self._untaken_bytes = untaken
 
     def unblock(self) -> None:
         """Stop watching: the write buffer has room again."""
-        self.blocked_since = 0.0
+        self.blocked_since_s = 0.0
 
-    def is_stalled(self, now: float, untaken: int, timeout_s: float) -> bool:
+    def is_stalled(self, now_s: float, untaken: int, timeout_s: float) -> bool:
         """Return whether the client has taken nothing for as long as the time-out."""
         if untaken < self._untaken_bytes:
-            self.block(now, untaken)
+            self.block(now_s, untaken)
             return False
-        return now - self.blocked_since >= timeout_s
+        return now_s - self.blocked_since_s >= timeout_s
 
 
 class ClientSocketProtocol(asyncio.Protocol):
@@ -85,7 +87,7 @@
         "_is_reading",
         "_transport",
         "_write_progress",
-        "half_close_ends_at",
+        "half_close_ends_at_s",
     )
 
     def __init__(self) -> None:
@@ -94,7 +96,7 @@
         self._is_reading = True
         self._write_progress = WriteProgress()
         self._final_write_progress = WriteProgress()  # from the half-close on
-        self.half_close_ends_at = 0.0  # 0 before the half-close
+        self.half_close_ends_at_s = 0.0  # 0 before the half-close
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the connection's transport."""
@@ -115,11 +117,11 @@
     @property
     def blocked(self) -> bool:
         """Whether the client has not taken what waits for it, up to the limit of the write buffer."""
-        return self._write_progress.blocked_since > 0.0
+        return self._write_progress.blocked_since_s > 0.0
 
-    def is_write_stalled(self, now: float, timeout_s: float) -> bool:
+    def is_write_stalled(self, now_s: float, timeout_s: float) -> bool:
         """Return whether the blocked client has taken nothing for as long as the time-out."""
-        return self._write_progress.is_stalled(now, untaken_bytes(self._transport), timeout_s)
+        return self._write_progress.is_stalled(now_s, untaken_bytes(self._transport), timeout_s)
 
     @property
     def is_reading(self) -> bool:
@@ -144,21 +146,21 @@
             self._transport.pause_reading()
         return True
 
-    def half_close(self, now: float) -> None:
+    def half_close(self, now_s: float) -> None:
         """End the sending, but read on for a while.
 
         To close while there are unread bytes is to reset, and a reset may take replies along that the
         client has not read yet.
         """
-        if not self.half_close_ends_at and not self._transport.is_closing():
-            self.half_close_ends_at = now + HALF_CLOSE_TIMEOUT_S
-            self._final_write_progress.block(now, untaken_bytes(self._transport))
+        if not self.half_close_ends_at_s and not self._transport.is_closing():
+            self.half_close_ends_at_s = now_s + HALF_CLOSE_TIMEOUT_S
+            self._final_write_progress.block(now_s, untaken_bytes(self._transport))
             self._transport.write_eof()
 
-    def is_half_close_over(self, now: float, stall_timeout_s: float) -> bool:
+    def is_half_close_over(self, now_s: float, stall_timeout_s: float) -> bool:
         """Return whether a half-closed connection may be closed: its replies are written, or not taken."""
-        if now < self.half_close_ends_at:
+        if now_s < self.half_close_ends_at_s:
             return False
         untaken = untaken_bytes(self._transport)
         is_written = not self._transport.get_write_buffer_size()
-        return is_written or self._final_write_progress.is_stalled(now, untaken, stall_timeout_s)
+        return is_written or self._final_write_progress.is_stalled(now_s, untaken, stall_timeout_s)
--- a/qos_gateway/server/clients/timeouts.py
+++ b/qos_gateway/server/clients/timeouts.py
@@ -51,28 +51,28 @@
     def check(self) -> None:
         """End the connections past their time-outs."""
         self.start()
-        now = self._connections.time()
+        now_s = self._connections.time()
         connections_scarce = self._connections.are_scarce()
         for client in self._connections.connections():
-            enforce_timeouts(client, now, connections_scarce)
+            enforce_timeouts(client, now_s, connections_scarce)
 
 
-def enforce_timeouts(client: ClientConnection, now: float, connections_scarce: bool) -> None:
+def enforce_timeouts(client: ClientConnection, now_s: float, connections_scarce: bool) -> None:
     """End a connection that has been in its state for too long."""
-    if client.half_close_ends_at:
-        if client.is_half_close_over(now, WRITE_STALL_TIMEOUT_S):
+    if client.half_close_ends_at_s:
+        if client.is_half_close_over(now_s, WRITE_STALL_TIMEOUT_S):
             client.abort(CloseReason.PROTOCOL_ERROR)
     elif client.blocked:
         timeout_s = LARGE_WRITE_STALL_TIMEOUT_S if client.is_writing_large_value() else WRITE_STALL_TIMEOUT_S
-        if client.is_write_stalled(now, timeout_s):
+        if client.is_write_stalled(now_s, timeout_s):
             log.warning("client_write_stalled timeout_s=%.1f", timeout_s)
             client.abort(CloseReason.WRITE_STALLED)
     elif client.is_receiving_command():
-        if client.command_age_s(now) >= COMMAND_TIMEOUT_S:
+        if client.command_age_s(now_s) >= COMMAND_TIMEOUT_S:
             client.fail("command without end")
     elif not client.is_awaiting_replies():
         timeout_s = _idle_timeout_s(client, connections_scarce)
-        if now - client.idle_since >= timeout_s and client.is_idle():
+        if now_s - client.idle_since_s >= timeout_s and client.is_idle():
             client.close(CloseReason.IDLE)
 
 
--- a/tests/server/test_connection_ends.py
+++ b/tests/server/test_connection_ends.py
@@ -61,7 +61,7 @@
                 sock.sendall(command[:30])
                 await wait_until(lambda: any(c.input.reader.is_midway for c in clients.connections()))
                 (client,) = clients.connections()
-                client.input.reader.partial_since -= 1.0
+                client.input.reader.partial_since_s -= 1.0
                 clients.max_connections = 1
                 sock.sendall(command[30:])  # the loop has not turned since
                 assert not clients._has_capacity()
--- a/tests/server/test_graceful_shutdown.py
+++ b/tests/server/test_graceful_shutdown.py
@@ -95,7 +95,7 @@
             client = await harness.connect_client()
             client.send(call_command(number=1)[:-3])
             await wait_until(
-                lambda: any(c.input.reader.partial_since for c in harness.gateway.clients._new_connections)
+                lambda: any(c.input.reader.partial_since_s for c in harness.gateway.clients._new_connections)
             )
             stopping = asyncio.create_task(harness.gateway.stop())
             assert str(await client.next_message()) == "BUSY"
