--- a/qos_gateway/server/clients/connection.py
+++ b/qos_gateway/server/clients/connection.py
@@ -12,7 +12,7 @@
 from .commands import error_reply
 from .connection_input import MAX_PIPELINED, ConnectionContext, ConnectionInput
 from .pending_replies import PendingReply, ReplyQueue, StreamedReply
-from .socket_protocol import ClientSocketProtocol, has_unread_bytes, untaken_bytes
+from .socket_protocol import ClientSocketProtocol, has_unread_bytes, unacknowledged_bytes
 
 SHUTDOWN_REPLY = b"-BUSY\r\n"  # to a command that is incomplete at the end of a drain
 
@@ -185,7 +185,7 @@
 
     def pause_writing(self) -> None:
         """Stop reading from the client, and from the endpoint whose value is being written."""
-        self._write_progress.block(self._context.time(), untaken_bytes(self._transport))
+        self._write_progress.block(self._context.time(), unacknowledged_bytes(self._transport))
         self.input.update_reading()
         self._replies.set_stream_paused(True)
 
--- a/qos_gateway/server/clients/connections.py
+++ b/qos_gateway/server/clients/connections.py
@@ -33,7 +33,7 @@
     def __init__(
         self, config: Config, requests: RequestHandler, max_connections: int, close_guard: CloseGuard
     ) -> None:
-        self.context = build_context(config, requests, max_connections, close_guard)
+        self.context = _build_context(config, requests, max_connections, close_guard)
         self._configured_max_connections = max_connections
         self.max_connections = max_connections
         # Both in the order of the times at which they became idle, the earliest first.
@@ -189,7 +189,7 @@
             client.abort(CloseReason.SHUTDOWN)
 
 
-def build_context(
+def _build_context(
     config: Config, requests: RequestHandler, max_connections: int, close_guard: CloseGuard
 ) -> ConnectionContext:
     """Build what the connections share."""
--- a/qos_gateway/server/clients/listener.py
+++ b/qos_gateway/server/clients/listener.py
@@ -1,4 +1,4 @@
-"""The clients' listening socket: connections are accepted as far as there is capacity, the others wait."""
+"""The clients' listening socket: connections are accepted while there is capacity, the others wait."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
 
-BACKLOG = 1024  # connections that the system keeps waiting
-ACCEPT_BATCH = 16  # connections a turn of the loop: those evicted for them are closed only after it
-ACCEPT_RETRY_INTERVAL_S = 0.02  # without a look at the waiting connections, where there is no capacity
-MAX_QUEUE_TIME_S = 0.25  # without capacity, then what waits is closed unread: its requests' time runs
+BACKLOG = 1024  # connections that wait in the system to be accepted
+ACCEPT_BATCH = 16  # connections per turn of the event loop, as evicted ones are closed only in the next turn
+ACCEPT_RETRY_INTERVAL_S = 0.02
+MAX_QUEUE_TIME_S = 0.25  # without capacity; then waiting connections are closed, so that clients can retry
 
 
 def inherited_socket(descriptor: int) -> socket.socket | None:
-    """Return the listening socket that the platform holds, or None where the descriptor is none."""
+    """Return the listening socket that the platform holds; None where the descriptor is no such socket."""
     try:
         sock = socket.socket(fileno=descriptor)
         if sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
@@ -29,26 +29,26 @@
         sock.detach()
         log.error("inherited_descriptor_invalid descriptor=%d error=not_listening fallback=bind", descriptor)
     except OSError as error:
-        log.error(  # noqa: TRY400 - the traceback would say no more than the error
+        log.error(  # noqa: TRY400 - a traceback adds nothing to the error
             "inherited_descriptor_invalid descriptor=%d error=%s fallback=bind", descriptor, error
         )
     return None
 
 
 def bound_socket(address: Address, backlog: int | None = None) -> socket.socket:
-    """Return a new socket that listens on the address; raise OSError where that is not possible.
+    """Return a new socket that listens on the address; raise OSError where that fails.
 
-    The event loop's own call tells of no error where no socket can be had.
+    The event loop's own call does not report that no socket could be created.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     return socket.create_server(address, family=family, backlog=backlog)
 
 
 class Listener:
-    """Accepts only connections that can be kept.
+    """Accepts connections only while there is capacity for them.
 
-    A loop that accepts whatever comes and closes it again spends descriptors that others need and all of its
-    time, and closes clients with requests as likely as any.
+    To accept all and close the excess would use up descriptors and processor time, and would close clients
+    with requests as often as idle ones.
     """
 
     def __init__(
@@ -63,10 +63,10 @@
         self._protocol_factory = protocol_factory
         self._has_capacity = has_capacity
         self._loop = asyncio.get_running_loop()
-        self._connecting: set[asyncio.Task[None]] = set()  # accepted, not yet known to their protocols
+        self._connecting: set[asyncio.Task[None]] = set()  # accepted, and without a protocol yet
         self._queue = select.poll()
         self._queue.register(sock.fileno(), select.POLLIN)
-        self._full_since: float | None = None  # when a connection first had to wait for capacity
+        self._full_since_s: float | None = None  # since when connections wait for capacity
         self._resume_timer: asyncio.TimerHandle | None = None
         self.is_open = True
         self._start_accepting()
@@ -78,7 +78,7 @@
 
     @property
     def connecting_count(self) -> int:
-        """How many accepted connections their protocols do not know of yet."""
+        """The number of accepted connections that have no protocol yet."""
         return len(self._connecting)
 
     def has_waiting(self) -> bool:
@@ -98,15 +98,15 @@
     def _accept_batch(self) -> None:
         for _ in range(ACCEPT_BATCH):
             if not self.has_waiting():
-                self._full_since = None
+                self._full_since_s = None
                 return
             if self._has_capacity():
-                self._full_since = None
+                self._full_since_s = None
                 sock = self._accept()
                 if sock is None:
                     return
                 self._start_connecting(sock)
-            elif self._is_full_for_long():
+            elif self._has_queued_too_long():
                 sock = self._accept()
                 if sock is None:
                     return
@@ -115,19 +115,19 @@
                 self._pause_accepting()
                 return
 
-    def _is_full_for_long(self) -> bool:
-        now = self._loop.time()
-        self._full_since = self._full_since or now
-        return now - self._full_since >= MAX_QUEUE_TIME_S
+    def _has_queued_too_long(self) -> bool:
+        now_s = self._loop.time()
+        self._full_since_s = self._full_since_s or now_s
+        return now_s - self._full_since_s >= MAX_QUEUE_TIME_S
 
     def _accept(self) -> socket.socket | None:
-        """Return the connection that has waited longest, or None where it cannot be had."""
+        """Return the connection that has waited longest; None where it could not be accepted."""
         try:
             sock, _ = self._sock.accept()
         except (BlockingIOError, InterruptedError, ConnectionAbortedError):
             return None
         except OSError as error:
-            # The system has no descriptor left, or no memory: to try again at once would spin.
+            # The system lacks descriptors or memory: an immediate retry would spin.
             log.warning("accept_failed error=%s", error)
             self._pause_accepting()
             return None
@@ -144,7 +144,7 @@
         try:
             await self._loop.connect_accepted_socket(self._protocol_factory, sock)
         except OSError:
-            sock.close()  # the client has left already
+            sock.close()  # the client has disconnected already
 
     def _start_accepting(self) -> None:
         self._resume_timer = None
--- a/qos_gateway/server/clients/request_parser.py
+++ b/qos_gateway/server/clients/request_parser.py
@@ -9,16 +9,16 @@
 from ..config import Config
 
 MAX_PAIRS_BYTES = 1024  # of a command's names and values
-MAX_WAIT_MS = 86_400_000  # no client waits longer than a day
-MAX_NUMBER_DIGITS = 11  # of a whole number in a command: bounds what is converted
+MAX_WAIT_MS = 86_400_000  # a day
+MAX_NUMBER_DIGITS = 11  # of an integer in a command, so that conversion is bounded
 CUSTOMER_ID_BITS = 33
-ARGUMENTS_WITHOUT_BODY = 4  # name, customer, request id, names and values
+ARGUMENTS_WITHOUT_BODY = 4  # command name, customer, request id, list of name=value
 ARGUMENTS_WITH_BODY = 5
-RETRY_FLAG = 2  # bit of `ClientRequest.options`: the client repeats a request
+RETRY_FLAG = 2  # bit of `ClientRequest.options`: the client retries a request
 GET_COMMAND = b"CALL.GET"  # for idempotent requests
 POST_COMMAND = b"CALL.POST"  # for all others
 
-# As the protocol has them: Python's own `int` and `float` take signs, underscores and spaces too.
+# The protocol's forms; Python's `int` and `float` also accept signs, underscores and spaces.
 _CUSTOMER_ID = re.compile(rb"[0-9a-fA-F]{16}")
 _REQUEST_ID = re.compile(rb"[0-9A-Za-z_.:-]{1,64}")
 _IDEMPOTENCY_KEY = re.compile(rb"[\x21-\x7e]{1,128}")
@@ -26,12 +26,12 @@
 
 
 class InvalidCommandError(ValueError):
-    """A command that cannot be served; its text is the client's reply."""
+    """A command that cannot be executed; its text is the client's reply."""
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request as a client sent it; each attempt sends the same command with another deadline."""
+    """One request as its client sent it; each attempt sends the same command with its own deadline."""
 
     command_start: tuple[bytes, ...]  # name, customer and request id
     pairs_before_deadline: bytes
@@ -40,7 +40,7 @@
     class_index: int
     plan_index: int
     customer_id: int
-    wait_ms: int  # for which the client waits
+    wait_ms: int  # how long the client waits for its reply
     units: float
     gateway_spread: int
     first_gateway: int
@@ -48,7 +48,7 @@
 
     @property
     def request_id(self) -> bytes:
-        """Return the client's own id of the request."""
+        """The client's id of the request."""
         return self.command_start[2]
 
 
@@ -59,7 +59,7 @@
 
 
 class RequestParser:
-    """Parses commands by the names of classes and plans in the configuration."""
+    """Parses commands with the names of classes and plans in the configuration."""
 
     def __init__(self, config: Config) -> None:
         self._classes = {
@@ -73,7 +73,7 @@
         self._max_units = max(1.0, config.settings.largest_request_units)
 
     def parse(self, arguments: list[bytes]) -> ClientRequest:
-        """Return the request that a command's arguments make, or raise `InvalidCommandError`."""
+        """Return the request in a command's arguments; raise `InvalidCommandError` where it is invalid."""
         if len(arguments) not in (ARGUMENTS_WITHOUT_BODY, ARGUMENTS_WITH_BODY):
             raise InvalidCommandError("wrong number of arguments")
         customer_id = _customer_id(arguments[1])
@@ -92,7 +92,7 @@
         _check_idempotence(request_class.idempotence, arguments, values)
         if b"d" not in values:
             raise InvalidCommandError("d missing")
-        deadline_position = list(values).index(b"d")  # as no name stands twice, in the order of the pairs
+        deadline_position = list(values).index(b"d")  # names are unique, so they have the order of the pairs
         pairs_before = b"".join([pair + b"," for pair in pairs[:deadline_position]])
         pairs_after = b"".join([b"," + pair for pair in pairs[deadline_position + 1 :]])
         return ClientRequest(
@@ -112,7 +112,7 @@
 
 
 def _values_by_name(pairs: list[bytes]) -> dict[bytes, bytes]:
-    """Return the values of `name=value` pairs by their names, in the order of the pairs."""
+    """Return the values of `name=value` pairs by name, in the order of the pairs."""
     values: dict[bytes, bytes] = {}
     well_formed = True
     for pair in pairs:
--- a/qos_gateway/server/clients/socket_protocol.py
+++ b/qos_gateway/server/clients/socket_protocol.py
@@ -1,4 +1,4 @@
-"""The socket side of a client's connection: its state in the system, reading and writing, and its end."""
+"""The socket of a client's connection: its buffers in the system, reading, writing and half-closing."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 import termios
 from typing import cast
 
-HALF_CLOSE_TIMEOUT_S = 0.75  # for which a client's bytes are read and dropped after the last reply
-_INT = "i"  # the type that the requests below fill in, in the notation of `struct`
+HALF_CLOSE_TIMEOUT_S = 0.75  # during which bytes are read and discarded after the last reply
+_INT = "i"  # the result type of the ioctl requests below, as `struct` writes it
 
 
 def _queued_bytes(transport: asyncio.Transport, request: int) -> int:
@@ -29,10 +29,10 @@
     return _queued_bytes(transport, termios.FIONREAD)
 
 
-def untaken_bytes(transport: asyncio.Transport) -> int:
-    """Return the bytes that the client has not acknowledged, in this process and in the system.
+def unacknowledged_bytes(transport: asyncio.Transport) -> int:
+    """Return how many written bytes the client has not acknowledged, in this process and in the system.
 
-    The two are counted together because a slow reader empties the system's buffer first.
+    Both are counted, because with a slow reader the system's buffer shrinks before the process's does.
     """
     buffered = transport.get_write_buffer_size()
     if transport.is_closing():
@@ -43,7 +43,7 @@
 def hangup_poll(transport: asyncio.Transport) -> select.poll:
     """Return a poll object that reports an event once the client has ended its sending.
 
-    The event loop may see that late: not before it has read all input, and not while it lags.
+    The event loop may notice that late: it reads all input first, and it may lag.
     """
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
@@ -51,35 +51,33 @@
 
 
 class WriteProgress:
-    """Whether a client takes what waits to be written to it."""
+    """Whether a client accepts the bytes that wait to be written to it."""
 
-    __slots__ = ("_untaken_bytes", "blocked_since_s")
+    __slots__ = ("_unacknowledged_bytes", "blocked_since_s")
 
     def __init__(self) -> None:
-        self.blocked_since_s = (
-            0.0  # since when the untaken bytes have not grown fewer, 0 where writing is free
-        )
-        self._untaken_bytes = 0  # at that time
+        self.blocked_since_s = 0.0  # when progress was last seen; 0 while the write buffer is not full
+        self._unacknowledged_bytes = 0  # unacknowledged at that time
 
-    def block(self, now_s: float, untaken: int) -> None:
-        """Begin to watch: the write buffer is full."""
+    def block(self, now_s: float, unacknowledged: int) -> None:
+        """Start to watch progress: the write buffer is full."""
         self.blocked_since_s = now_s
-        self._untaken_bytes = untaken
+        self._unacknowledged_bytes = unacknowledged
 
     def unblock(self) -> None:
-        """Stop watching: the write buffer has room again."""
+        """Stop watching progress: the write buffer is no longer full."""
         self.blocked_since_s = 0.0
 
-    def is_stalled(self, now_s: float, untaken: int, timeout_s: float) -> bool:
-        """Return whether the client has taken nothing for as long as the time-out."""
-        if untaken < self._untaken_bytes:
-            self.block(now_s, untaken)
+    def is_stalled(self, now_s: float, unacknowledged: int, timeout_s: float) -> bool:
+        """Return whether the client has acknowledged nothing during the time-out."""
+        if unacknowledged < self._unacknowledged_bytes:
+            self.block(now_s, unacknowledged)
             return False
         return now_s - self.blocked_since_s >= timeout_s
 
 
 class ClientSocketProtocol(asyncio.Protocol):
-    """What a connection does whatever is sent on it: it reads, is written to, blocks, and ends."""
+    """A connection without regard to its contents: reading, writing, blocking and half-closing."""
 
     __slots__ = (
         "_final_write_progress",
@@ -99,7 +97,7 @@
         self.half_close_ends_at_s = 0.0  # 0 before the half-close
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection's transport."""
+        """Keep the connection's transport."""
         self._transport = cast(asyncio.Transport, transport)
 
     def is_closing(self) -> bool:
@@ -116,20 +114,20 @@
 
     @property
     def blocked(self) -> bool:
-        """Whether the client has not taken what waits for it, up to the limit of the write buffer."""
+        """Whether the write buffer is full, as the client does not accept its replies."""
         return self._write_progress.blocked_since_s > 0.0
 
     def is_write_stalled(self, now_s: float, timeout_s: float) -> bool:
-        """Return whether the blocked client has taken nothing for as long as the time-out."""
-        return self._write_progress.is_stalled(now_s, untaken_bytes(self._transport), timeout_s)
+        """Return whether the blocked client has acknowledged nothing during the time-out."""
+        return self._write_progress.is_stalled(now_s, unacknowledged_bytes(self._transport), timeout_s)
 
     @property
     def is_reading(self) -> bool:
-        """Whether what the client sends is read as it comes."""
+        """Whether the event loop reads from the socket."""
         return self._is_reading
 
     def write(self, data: bytes) -> None:
-        """Write a part of the reply whose turn it is."""
+        """Write a part of the first pending reply."""
         if not self._transport.is_closing():
             self._transport.write(data)
 
@@ -147,20 +145,20 @@
         return True
 
     def half_close(self, now_s: float) -> None:
-        """End the sending, but read on for a while.
+        """End the sending, and read for `HALF_CLOSE_TIMEOUT_S` longer.
 
-        To close while there are unread bytes is to reset, and a reset may take replies along that the
-        client has not read yet.
+        Closing a socket with unread bytes resets the connection, and the client may lose replies that it
+        has not read yet.
         """
         if not self.half_close_ends_at_s and not self._transport.is_closing():
             self.half_close_ends_at_s = now_s + HALF_CLOSE_TIMEOUT_S
-            self._final_write_progress.block(now_s, untaken_bytes(self._transport))
+            self._final_write_progress.block(now_s, unacknowledged_bytes(self._transport))
             self._transport.write_eof()
 
     def is_half_close_over(self, now_s: float, stall_timeout_s: float) -> bool:
-        """Return whether a half-closed connection may be closed: its replies are written, or not taken."""
+        """Return whether a half-closed connection may be closed: its replies are written, or stalled."""
         if now_s < self.half_close_ends_at_s:
             return False
-        untaken = untaken_bytes(self._transport)
+        unacknowledged = unacknowledged_bytes(self._transport)
         is_written = not self._transport.get_write_buffer_size()
-        return is_written or self._final_write_progress.is_stalled(now_s, untaken, stall_timeout_s)
+        return is_written or self._final_write_progress.is_stalled(now_s, unacknowledged, stall_timeout_s)
