--- a/qos_gateway/server/discovery/endpoint_directory.py
+++ b/qos_gateway/server/discovery/endpoint_directory.py
@@ -1,22 +1,37 @@
-"""The endpoints as discovery and the operators have them, and what follows for the connection pools."""
+"""The endpoints that are listed or administratively disabled, and the address of each connection pool."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from dataclasses import dataclass
+from typing import Protocol
 
 from ...types import Endpoint, Health, ListKind
 from ..config import Address
-from ..endpoints.connections import EndpointConnections
 from .endpoint_list import EndpointUpdate
 
 
+class AddressListener(Protocol):
+    """Opens connections to the endpoints."""
+
+    def set_address(self, endpoint: int, address: Address | None) -> None:
+        """Open new connections of an endpoint at this address; none while it is None."""
+
+
+@dataclass(slots=True)
+class ListedEndpoint:
+    """An endpoint's entry in the list, and where it is."""
+
+    entry: Endpoint
+    address: Address
+
+
 class EndpointDirectory:
-    """Knows which endpoints are listed, where the ready ones are, and which are administratively disabled."""
+    """Owns the listed endpoints with their addresses, and the set of those that operators have disabled."""
 
-    def __init__(self, endpoint_connections: EndpointConnections) -> None:
+    def __init__(self, endpoint_connections: AddressListener) -> None:
         self._endpoint_connections = endpoint_connections
-        self._listed: dict[int, Endpoint] = {}
-        self._addresses: dict[int, Address] = {}  # of those that are ready
+        self._listed: dict[int, ListedEndpoint] = {}
         self._admin_disabled: set[int] = set()
 
     def listed_count(self) -> int:
@@ -29,50 +44,51 @@
 
     def find_listed(self, endpoint: int) -> Endpoint | None:
         """Return the list's entry of an endpoint, None where it is not listed."""
-        return self._listed.get(endpoint)
+        listed = self._listed.get(endpoint)
+        return None if listed is None else listed.entry
 
     def is_listed_or_disabled(self, endpoint: int) -> bool:
-        """Return whether operators may name an endpoint: one gone from the list can still be enabled."""
+        """Return whether operators may name an endpoint: an unlisted one that is disabled can be enabled."""
         return endpoint in self._listed or endpoint in self._admin_disabled
 
     def apply(self, update: EndpointUpdate) -> None:
-        """Take in a list, or changes to it: a whole list ends what it no longer names."""
+        """Apply a full list, which removes the endpoints that it does not name, or changes to the list."""
         if update.topology.kind is not ListKind.DELTA:
             self._remove_unnamed({entry.id for entry in update.topology.entries})
         for entry in update.topology.entries:
             self._apply_entry(entry, update.addresses)
 
     def set_admin_disabled(self, endpoint: int, disabled: bool) -> None:
-        """Follow an operator's word on an endpoint, whatever the list says of it."""
+        """Disable an endpoint or enable it again, whatever its health in the list."""
         if disabled:
             self._admin_disabled.add(endpoint)
         else:
             self._admin_disabled.discard(endpoint)
-        self._update_pool(endpoint)
+        self._update_address(endpoint)
 
     def disable_all(self, endpoints: Iterable[int]) -> None:
-        """Disable the endpoints that were disabled in the process before."""
+        """Disable the endpoints that were disabled in the previous process."""
         for endpoint in endpoints:
             self.set_admin_disabled(endpoint, True)
 
     def _remove_unnamed(self, named: set[int]) -> None:
         for endpoint in self._listed.keys() - named:
-            self._addresses.pop(endpoint, None)
-            self._endpoint_connections.set_address(endpoint, None)
-        self._listed = {}
+            del self._listed[endpoint]
+            self._update_address(endpoint)
 
     def _apply_entry(self, entry: Endpoint, addresses: dict[int, Address]) -> None:
-        if entry.health is Health.READY:
-            self._addresses[entry.id] = addresses[entry.id]
-        else:
-            self._addresses.pop(entry.id, None)
-        self._update_pool(entry.id)
         if entry.health is Health.REMOVED:
             self._listed.pop(entry.id, None)
         else:
-            self._listed[entry.id] = entry
-
-    def _update_pool(self, endpoint: int) -> None:
-        """Have new connections go to the listed address, or nowhere while the endpoint is disabled."""
-        address = None if endpoint in self._admin_disabled else self._addresses.get(endpoint)
-        self._endpoint_connections.set_address(endpoint, address)
+            self._listed[entry.id] = ListedEndpoint(entry, addresses[entry.id])
+        self._update_address(entry.id)
+
+    def _update_address(self, endpoint: int) -> None:
+        self._endpoint_connections.set_address(endpoint, self._usable_address(endpoint))
+
+    def _usable_address(self, endpoint: int) -> Address | None:
+        """Return where new connections go; None unless the endpoint is ready and enabled."""
+        listed = self._listed.get(endpoint)
+        if listed is None or listed.entry.health is not Health.READY or endpoint in self._admin_disabled:
+            return None
+        return listed.address
--- a/tests/server/test_endpoint_directory.py
+++ b/tests/server/test_endpoint_directory.py
@@ -2,12 +2,9 @@
 
 from __future__ import annotations
 
-from typing import cast
-
 from qos_gateway.server.config import Address
 from qos_gateway.server.discovery.endpoint_directory import EndpointDirectory
 from qos_gateway.server.discovery.endpoint_list import EndpointUpdate
-from qos_gateway.server.endpoints.connections import EndpointConnections
 from qos_gateway.types import Health, ListKind, Topology
 from tests.support.builders import listed_endpoint
 
@@ -32,7 +29,7 @@
 
 def registry() -> tuple[EndpointDirectory, FakePools]:
     pools = FakePools()
-    return EndpointDirectory(cast(EndpointConnections, pools)), pools
+    return EndpointDirectory(pools), pools
 
 
 def test_whole_list_ends_the_endpoints_that_it_no_longer_names() -> None:
