--- a/qos_gateway/server/discovery/__init__.py
+++ b/qos_gateway/server/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The client of discovery, and the endpoint list on its way into the process."""
+"""The client of discovery, and the endpoint list from its JSON form to the parts that use it."""
--- a/qos_gateway/server/discovery/client.py
+++ b/qos_gateway/server/discovery/client.py
@@ -1,4 +1,4 @@
-"""The client of discovery: keeps one watch open, and resumes it from the last version where it broke."""
+"""The client of discovery: keeps one watch open, and resumes it from the last version after it ends."""
 
 from __future__ import annotations
 
@@ -6,39 +6,45 @@
 import logging
 import random
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 
 from ..config import Address
-from .endpoint_list import EndpointUpdate, ListError, endpoint_id, parse_update
-from .watch_connection import WatchConnection
+from .endpoint_list import EndpointUpdate, parse_update
+from .watch_connection import WatchConnection, WatchOutcome
 from .watch_schedule import FIRST_LIST_DEADLINE_S, MAX_BACKOFF_S, PROPAGATION_DEADLINE_S, WatchSchedule
 from .watched_list import WatchedList
 
-__all__ = ["DiscoveryClient", "EndpointUpdate", "ListError", "endpoint_id", "parse_update"]
-
 log = logging.getLogger(__name__)
 
 CONNECT_TIMEOUT_S = 1.0  # the agent is on this machine
 
 
+@dataclass(frozen=True, slots=True, kw_only=True)
+class DiscoveryOptions:
+    """Where discovery's agent is, and how its lists are read."""
+
+    agent: Address
+    zones: tuple[str, ...]  # names, in the order of their indices
+    machine_classes: tuple[str, ...]  # the same
+    known_version: int | None  # of the list before the first watch; None without one
+    drain_grace_s: float = 2 * MAX_BACKOFF_S
+
+
 class DiscoveryClient:
-    """Keeps one watch open; while there is none, the last list stays in force."""
-
-    def __init__(
-        self,
-        agent: Address,
-        zones: tuple[str, ...],
-        machine_classes: tuple[str, ...],
-        version: int | None,
-        on_update: Callable[[EndpointUpdate], None],
-        drain_grace_s: float = 2 * MAX_BACKOFF_S,
-    ) -> None:
-        self._agent = agent
-        self._zones = zones
-        self._machine_classes = machine_classes
+    """Keeps one watch open; while there is none, the last list stays in force.
+
+    A watch goes through these steps, in `_run`: open, read (each object is parsed, reconciled with the newest
+    version, applied and stored), end, and the wait for the next.
+    """
+
+    def __init__(self, options: DiscoveryOptions, on_update: Callable[[EndpointUpdate], None]) -> None:
+        """Take `on_update` as what applies an update; the watch ends where it raises `ListError`."""
+        self._options = options
+        self._agent = options.agent
         self._on_update = on_update
-        self._list = WatchedList(version)
-        self._schedule = WatchSchedule(drain_grace_s, random.Random())
+        self._list = WatchedList(options.known_version)
+        self._schedule = WatchSchedule(options.drain_grace_s, random.Random())
         self._closed = False
         self._task: asyncio.Task[None] | None = None
         self._connection: WatchConnection | None = None  # the watch that was opened last
@@ -59,7 +65,7 @@
             self.start()
 
     async def close(self) -> None:
-        """Close the watch for good."""
+        """Close the watch; no other is opened."""
         self._closed = True
         if self._task is not None:
             self._task.cancel()
@@ -74,51 +80,65 @@
         return self._list.snapshot()
 
     def note_known(self, update: EndpointUpdate) -> None:
-        """Go on from the configuration's list, which is in force already."""
+        """Continue from the configuration's list, which is in force already."""
         self._list.note_known(update)
 
     def adopt_list(self, raw: dict[str, Any]) -> EndpointUpdate:
-        """Go on from a list that was known before, and return it; raises `ListError`."""
-        update = parse_update(raw, self._zones, self._machine_classes, cached=True)
+        """Continue from the list of the previous process, and return it; raises `ListError`."""
+        update = self._parse(raw, cached=True)
         self._list.store(raw, update)
         return update
 
+    # The steps of a watch.
+
     async def _run(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            called_at = loop.time()
-            watch = await self._watch()
-            await asyncio.sleep(self._delay_after(watch, called_at, loop.time()))
+            opened_at = loop.time()
+            watch = self._create_watch(opened_at)
+            await self._open_and_read(watch)
+            await asyncio.sleep(self._delay_after(watch, opened_at, loop.time()))
 
-    async def _watch(self) -> WatchConnection:
-        """Open a watch and return it once it has ended."""
+    def _create_watch(self, now: float) -> WatchConnection:
         host, port = self._agent
-        give_up_at = self._schedule.give_up_silent_at(asyncio.get_running_loop().time())
-        watch = WatchConnection(f"{host}:{port}", self._list.version, self._on_object, give_up_at)
+        silence_deadline = self._schedule.silence_deadline(now)
+        watch = WatchConnection(f"{host}:{port}", self._list.version, self._on_object, silence_deadline)
         self._connection = watch
+        return watch
+
+    async def _open_and_read(self, watch: WatchConnection) -> None:
+        """Connect, and return once the watch has ended; `_on_object` gets what it reads."""
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                await asyncio.get_running_loop().create_connection(lambda: watch, host, port)
+                await asyncio.get_running_loop().create_connection(lambda: watch, *self._agent)
             await watch.ended
         except (OSError, TimeoutError) as error:
             log.warning("discovery_unreachable error=%s", error or type(error).__name__)
         finally:
             watch.close()
-        return watch
-
-    def _delay_after(self, watch: WatchConnection, called_at: float, now: float) -> float:
-        """Return the seconds to wait after a watch has ended."""
-        deadline_s = FIRST_LIST_DEADLINE_S if self._list.version is None else PROPAGATION_DEADLINE_S
-        if watch.was_overloaded:
-            return self._schedule.delay_after_overload(called_at, now, watch.retry_after_s, deadline_s)
-        if watch.complete_at is None:
-            return self._schedule.delay_after_failure(called_at, now, deadline_s)
-        self._schedule.on_up_to_date(watch.complete_at)
-        return self._schedule.delay_after_disconnect()
 
     def _on_object(self, raw: Any) -> None:
-        """Put an update in force; a second watch may repeat versions that are out of date."""
-        update = self._list.reconcile(parse_update(raw, self._zones, self._machine_classes))
+        """Apply an update and store it; one that is out of date is ignored."""
+        update = self._list.reconcile(self._parse(raw))
         if update is not None:
             self._on_update(update)
             self._list.store(raw, update)
+
+    def _parse(self, raw: Any, cached: bool = False) -> EndpointUpdate:
+        return parse_update(raw, self._options.zones, self._options.machine_classes, cached)
+
+    def _delay_after(self, watch: WatchConnection, opened_at: float, now: float) -> float:
+        """Return the seconds from the end of a watch to the next."""
+        deadline_s = FIRST_LIST_DEADLINE_S if self._list.version is None else PROPAGATION_DEADLINE_S
+        match watch.outcome():
+            case WatchOutcome.OVERLOADED:
+                return self._schedule.delay_after_overload(opened_at, now, watch.retry_after_s, deadline_s)
+            case WatchOutcome.FAILED:
+                return self._schedule.delay_after_failure(opened_at, now, deadline_s)
+            case WatchOutcome.UP_TO_DATE:
+                return self._delay_after_up_to_date(watch)
+
+    def _delay_after_up_to_date(self, watch: WatchConnection) -> float:
+        assert watch.up_to_date_at is not None
+        self._schedule.on_up_to_date(watch.up_to_date_at)
+        return self._schedule.delay_after_disconnect()
--- a/qos_gateway/server/discovery/endpoint_list.py
+++ b/qos_gateway/server/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Endpoint lists in discovery's JSON form, read into the engine's types."""
+"""Endpoint lists in discovery's JSON form, parsed into the engine's types."""
 
 from __future__ import annotations
 
@@ -10,13 +10,15 @@
 from ...types import Endpoint, Health, ListKind, Topology
 from ...units import MILLISECOND
 from ..config import Address, ConfigError, address
+from . import field_names
+from .errors import ListError
 
 ENDPOINT_ID_BYTES = 6
-_HEALTH = {"in_service": Health.READY, "terminating": Health.DRAINING, "terminated": Health.REMOVED}
-
-
-class ListError(ValueError):
-    """A list that cannot be read."""
+_HEALTH_BY_NAME = {
+    field_names.HEALTH_READY: Health.READY,
+    field_names.HEALTH_DRAINING: Health.DRAINING,
+    field_names.HEALTH_REMOVED: Health.REMOVED,
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,15 +29,15 @@
     addresses: dict[int, Address]
 
 
-def endpoint_id(host: str) -> int:
-    """Return an endpoint's number: a hash of its name, so that all gateways and restarts agree on it."""
-    return int.from_bytes(blake2b(host.encode(), digest_size=ENDPOINT_ID_BYTES).digest(), "big")
+def endpoint_id(name: str) -> int:
+    """Return an endpoint's id: a hash of its name, so that all gateways and restarts agree on it."""
+    return int.from_bytes(blake2b(name.encode(), digest_size=ENDPOINT_ID_BYTES).digest(), "big")
 
 
 def parse_update(
     raw: Any, zones: Sequence[str], machine_classes: Sequence[str], cached: bool = False
 ) -> EndpointUpdate:
-    """Read a decoded JSON object; zones and machine classes become indices into the names given.
+    """Parse a decoded JSON object; zones and machine classes become indices into the names given.
 
     `cached` marks a list that did not come from discovery itself. Raises `ListError`.
     """
@@ -43,12 +45,12 @@
         addresses: dict[int, Address] = {}
         entries = []
         kind = _list_kind(raw, cached)
-        for host in raw["hosts"]:
-            entry = _parse_entry(host, zones, machine_classes)
+        for raw_entry in raw[field_names.ENTRIES]:
+            entry = _parse_entry(raw_entry, zones, machine_classes)
             if entry.health is not Health.REMOVED:
-                addresses[entry.id] = address(host["dial"], "dial")
+                addresses[entry.id] = address(raw_entry[field_names.ADDRESS], field_names.ADDRESS)
             entries.append(entry)
-        return EndpointUpdate(Topology(kind, int(raw["seq"]), tuple(entries)), addresses)
+        return EndpointUpdate(Topology(kind, int(raw[field_names.VERSION]), tuple(entries)), addresses)
     except (AttributeError, KeyError, TypeError, ValueError, OverflowError, ConfigError) as error:
         raise ListError(f"{type(error).__name__}: {error}") from None
 
@@ -56,18 +58,18 @@
 def _list_kind(raw: Any, cached: bool) -> ListKind:
     if cached:
         return ListKind.CACHED
-    return ListKind.FULL if raw["whole"] else ListKind.DELTA
+    return ListKind.FULL if raw[field_names.IS_FULL] else ListKind.DELTA
 
 
-def _parse_entry(host: dict[str, Any], zones: Sequence[str], machine_classes: Sequence[str]) -> Endpoint:
+def _parse_entry(raw_entry: dict[str, Any], zones: Sequence[str], machine_classes: Sequence[str]) -> Endpoint:
     return Endpoint(
-        id=endpoint_id(host["host"]),
-        zone=_index_of(zones, host.get("site")),
-        machine_class=_index_of(machine_classes, host.get("class")),
-        cell=int(host.get("block", 0)),
-        health=_HEALTH[host["health"]],
-        weight=float(host.get("share", 1.0)),
-        started_at=int(host.get("born_ms", 0)) * MILLISECOND,  # Unix time, as the engine's clock
+        id=endpoint_id(raw_entry[field_names.NAME]),
+        zone=_index_of(zones, raw_entry.get(field_names.ZONE)),
+        machine_class=_index_of(machine_classes, raw_entry.get(field_names.MACHINE_CLASS)),
+        cell=int(raw_entry.get(field_names.CELL, 0)),
+        health=_HEALTH_BY_NAME[raw_entry[field_names.HEALTH]],
+        weight=float(raw_entry.get(field_names.WEIGHT, 1.0)),
+        started_at=int(raw_entry.get(field_names.STARTED_AT_MS, 0)) * MILLISECOND,  # Unix time
     )
 
 
--- /dev/null
+++ b/qos_gateway/server/discovery/errors.py
@@ -0,0 +1,7 @@
+"""Errors of the client of discovery."""
+
+from __future__ import annotations
+
+
+class ListError(ValueError):
+    """An endpoint list, or a change to it, that cannot be read or applied."""
--- a/qos_gateway/server/discovery/watch_schedule.py
+++ b/qos_gateway/server/discovery/watch_schedule.py
@@ -1,19 +1,19 @@
-"""When to call discovery next, so that changes arrive before they count as propagated."""
+"""When to call discovery next, so that changes are applied before they count as propagated."""
 
 from __future__ import annotations
 
 import random
 from math import inf
 
-INITIAL_BACKOFF_S = 0.05  # between watches; it doubles with each that fails, and a good one resets it
+INITIAL_BACKOFF_S = 0.05  # doubles with each failed watch
 MAX_BACKOFF_S = 2.0
-MAX_BACKOFF_GRACE_FRACTION = 0.5  # of the drain grace: changes bind while no watch tells us of them
-PROPAGATION_DEADLINE_S = 6.0  # after it a change counts as known to us, whatever came of the calls
+MAX_BACKOFF_GRACE_FRACTION = 0.5  # of the drain grace: a drain may begin while no watch is open
+PROPAGATION_DEADLINE_S = 6.0  # after it a change counts as known here, even if all calls failed
 PROPAGATION_DEADLINE_AFTER_MOVE_S = 4.0  # the same after a change of the agent
-FIRST_LIST_DEADLINE_S = 3.0  # in its place without any list: no request is served until there is one
-UPDATE_TIME_S = 0.6  # for the call itself: 7,100 endpoints take 0.45 s on a third of a core
-OVERLOAD_MIN_WAIT_FRACTION = 2 / 3  # of the time left, before which an overloaded discovery is left alone
-OVERLOAD_MAX_ADVISED_FRACTION = 0.85  # the most that Retry-After raises it to, so that calls stay spread
+FIRST_LIST_DEADLINE_S = 3.0  # the same without any list, as no request is served before the first
+UPDATE_TIME_S = 0.6  # for the call itself and for applying the largest list
+OVERLOAD_MIN_WAIT_FRACTION = 2 / 3  # of the time left, in which an overloaded discovery gets no call
+OVERLOAD_MAX_ADVISED_FRACTION = 0.85  # of the time left: Retry-After adds no more, so that calls stay spread
 
 
 class WatchSchedule:
@@ -33,19 +33,19 @@
         self._rng = rng
 
     def on_up_to_date(self, at: float, deadline_s: float = PROPAGATION_DEADLINE_S) -> None:
-        """Note that at `at` nothing was missing of what discovery had."""
+        """Note that at `at` this gateway had all that discovery had."""
         self._backoff_s = INITIAL_BACKOFF_S
         self._call_due_at = at + deadline_s - UPDATE_TIME_S
 
     def on_moved(self, at: float) -> None:
-        """Note that discovery has moved; what it had counts as told early, also after a move just before."""
+        """Note that the agent has changed, which shortens the deadline; a second move extends no deadline."""
         due_before = self._call_due_at
         self.on_up_to_date(at, PROPAGATION_DEADLINE_AFTER_MOVE_S)
         if due_before is not None and due_before > at and self._call_due_at is not None:
             self._call_due_at = min(due_before, self._call_due_at)
 
-    def give_up_silent_at(self, now: float) -> float:
-        """Return when a call that begins now is given up if silent: the next one has to begin in time."""
+    def silence_deadline(self, now: float) -> float:
+        """Return when a call that begins now ends if it is silent, so that the next begins in time."""
         if self._call_due_at is None:
             return inf
         return max(now + INITIAL_BACKOFF_S, self._call_due_at)
@@ -79,8 +79,8 @@
     def _take_time_left(self, called_at: float, now: float, deadline_s: float) -> float:
         """Return the time until the next call must begin, at least the initial back-off.
 
-        The time of the last up-to-date list binds the first call after it only: later changes cannot be older
-        than the call that failed.
+        The time of the last up-to-date list limits only the first call after it: later changes cannot be
+        older than the call that failed.
         """
         due_at = self._call_due_at
         self._call_due_at = None
--- a/qos_gateway/server/discovery/watched_list.py
+++ b/qos_gateway/server/discovery/watched_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery last told it: for the next process, and to recognize outdated updates."""
+"""The endpoint list of the watch: its version, its entries, and what older versions must not undo."""
 
 from __future__ import annotations
 
@@ -7,95 +7,100 @@
 
 from ...types import Endpoint, Health, ListKind
 from ...units import MILLISECOND
+from . import field_names
 from .endpoint_list import EndpointUpdate
 
-MAX_LEAVING_ENDPOINTS = 1024  # several whole fleets
-TERMINATED = "terminated"
-TERMINATING = "terminating"
+MAX_LEAVING_ENDPOINTS = 1024  # several full fleets
 
 
 class WatchedList:
-    """The list's version, its entries in discovery's form, and what the newest version said of each.
+    """The list's version, its entries in discovery's form, and what the newest version says of each.
 
-    An agent that lags behind the one before tells of older versions. They are followed, as changes arrive in
-    order after them, but what drained, was gone or had restarted in the newest version stays so until then.
+    An agent that lags behind the previous one sends older versions. They are applied, because later changes
+    refer to them. An endpoint that is draining, removed or restarted in the newest version stays so until
+    discovery sends that version or a newer one.
     """
 
     def __init__(self, version: int | None) -> None:
         self.version = version
         self._newest_version = version
-        self._hosts: dict[str, Any] = {}  # discovery's entries by name
-        self._listed: dict[int, int] = {}  # start times by id, as the newest version lists them
-        # Start times of endpoints that drain or are gone, the latest last.
-        self._leaving: dict[int, int] = {}
+        self._raw_entries: dict[str, Any] = {}  # in discovery's form, by name
+        self._listed_starts: dict[int, int] = {}  # start times by id, as the newest version lists them
+        self._leaving_starts: dict[int, int] = {}  # of draining and removed endpoints, the latest last
 
     def reconcile(self, update: EndpointUpdate) -> EndpointUpdate | None:
-        """Return the update as far as it holds; None for changes that are out of date."""
+        """Return the update with what the newest version says; None for changes that are out of date."""
         version = update.topology.version
         if self.version is not None and version < self.version and update.topology.kind is ListKind.DELTA:
             return None
-        if self._newest_version is None or version >= self._newest_version:
+        if self._is_newest(version):
             return update
         entries = tuple(self._preserve_newest(entry) for entry in update.topology.entries)
         return EndpointUpdate(replace(update.topology, entries=entries), update.addresses)
 
-    def _preserve_newest(self, entry: Endpoint) -> Endpoint:
-        """Return an older version's entry with what the newest one told of its latest start and its drain."""
-        left = self._leaving.get(entry.id)
-        if left is not None and left >= entry.started_at:
-            health = Health.DRAINING if entry.health is Health.READY else entry.health
-            return replace(entry, health=health, started_at=left)
-        started_at = max(entry.started_at, self._listed.get(entry.id, 0))
-        return entry if started_at == entry.started_at else replace(entry, started_at=started_at)
-
     def note_known(self, update: EndpointUpdate) -> None:
-        """Note a list that was known before the start, and is in force until a newer one comes."""
+        """Note a list that was applied before the start, until discovery sends a newer one."""
         self._store_newest(update)
         self.version = update.topology.version
 
     def store(self, raw: dict[str, Any], update: EndpointUpdate) -> None:
-        """Note an update that is in force, in both forms."""
+        """Note an update that was applied, in both forms."""
         version = update.topology.version
         if update.topology.kind is not ListKind.DELTA:
-            self._hosts = {}
-        self._store_hosts(raw, update.topology.entries)
-        if self._newest_version is None or version >= self._newest_version:
+            self._raw_entries = {}
+        self._store_raw_entries(raw, update.topology.entries)
+        if self._is_newest(version):
             self._store_newest(update)
         self.version = version
 
-    def _store_hosts(self, raw: dict[str, Any], entries: tuple[Endpoint, ...]) -> None:
-        for host, entry in zip(raw["hosts"], entries, strict=True):
-            if host["health"] == TERMINATED:
-                self._hosts.pop(host["host"], None)
+    def snapshot(self) -> dict[str, Any] | None:
+        """Return the list in discovery's form; None without any entry."""
+        entries = list(self._raw_entries.values())
+        if not entries:
+            return None
+        return {field_names.VERSION: self.version, field_names.IS_FULL: True, field_names.ENTRIES: entries}
+
+    def _is_newest(self, version: int) -> bool:
+        return self._newest_version is None or version >= self._newest_version
+
+    def _preserve_newest(self, entry: Endpoint) -> Endpoint:
+        """Return an older version's entry with the latest start and the drain that the newest version has."""
+        leaving_start = self._leaving_starts.get(entry.id)
+        if leaving_start is not None and leaving_start >= entry.started_at:
+            health = Health.DRAINING if entry.health is Health.READY else entry.health
+            return replace(entry, health=health, started_at=leaving_start)
+        started_at = max(entry.started_at, self._listed_starts.get(entry.id, 0))
+        return entry if started_at == entry.started_at else replace(entry, started_at=started_at)
+
+    def _store_raw_entries(self, raw: dict[str, Any], entries: tuple[Endpoint, ...]) -> None:
+        for raw_entry, entry in zip(raw[field_names.ENTRIES], entries, strict=True):
+            name = raw_entry[field_names.NAME]
+            if raw_entry[field_names.HEALTH] == field_names.HEALTH_REMOVED:
+                self._raw_entries.pop(name, None)
                 continue
-            stored = {**host, "born_ms": entry.started_at // MILLISECOND}
+            stored = {**raw_entry, field_names.STARTED_AT_MS: entry.started_at // MILLISECOND}
             if entry.health is Health.DRAINING:
-                stored["health"] = TERMINATING
-            self._hosts[host["host"]] = stored
+                stored[field_names.HEALTH] = field_names.HEALTH_DRAINING
+            self._raw_entries[name] = stored
 
     def _store_newest(self, update: EndpointUpdate) -> None:
-        """Note which endpoints the newest version lists, and which drain or are gone."""
+        """Note which endpoints the newest version lists, and which are draining or removed."""
         self._newest_version = update.topology.version
         if update.topology.kind is not ListKind.DELTA:
             named = {entry.id for entry in update.topology.entries}
-            self._note_leaving({i: at for i, at in self._listed.items() if i not in named})
-            self._listed = {}
+            self._note_leaving({i: at for i, at in self._listed_starts.items() if i not in named})
+            self._listed_starts = {}
         for entry in update.topology.entries:
-            self._leaving.pop(entry.id, None)
-            self._listed.pop(entry.id, None)
+            self._leaving_starts.pop(entry.id, None)
+            self._listed_starts.pop(entry.id, None)
             if entry.health is not Health.READY:
                 self._note_leaving({entry.id: entry.started_at})
             if entry.health is not Health.REMOVED:
-                self._listed[entry.id] = entry.started_at
-
-    def _note_leaving(self, endpoints: dict[int, int]) -> None:
-        for endpoint, started_at in endpoints.items():
-            self._leaving.pop(endpoint, None)
-            self._leaving[endpoint] = started_at
-        while len(self._leaving) > MAX_LEAVING_ENDPOINTS:
-            del self._leaving[next(iter(self._leaving))]
-
-    def snapshot(self) -> dict[str, Any] | None:
-        """Return the list in discovery's form; None without any entry."""
-        hosts = list(self._hosts.values())
-        return {"seq": self.version, "whole": True, "hosts": hosts} if hosts else None
+                self._listed_starts[entry.id] = entry.started_at
+
+    def _note_leaving(self, starts: dict[int, int]) -> None:
+        for endpoint, started_at in starts.items():
+            self._leaving_starts.pop(endpoint, None)
+            self._leaving_starts[endpoint] = started_at
+        while len(self._leaving_starts) > MAX_LEAVING_ENDPOINTS:
+            del self._leaving_starts[next(iter(self._leaving_starts))]
--- a/qos_gateway/server/event_dispatcher.py
+++ b/qos_gateway/server/event_dispatcher.py
@@ -18,7 +18,7 @@
     Topology,
 )
 from ..units import SECOND
-from .discovery.endpoint_list import ListError
+from .discovery.errors import ListError
 
 log = logging.getLogger(__name__)
 
--- a/qos_gateway/server/gateway.py
+++ b/qos_gateway/server/gateway.py
@@ -15,7 +15,7 @@
 from .clients.connections import ClientConnections
 from .config import Config, needs_restart
 from .counter.client import CounterClient
-from .discovery.client import DiscoveryClient
+from .discovery.client import DiscoveryClient, DiscoveryOptions
 from .discovery.endpoint_directory import EndpointDirectory
 from .discovery.endpoint_feed import FIRST_LIST_TIMEOUT_S, SOCKET_POLL_S, EndpointFeed
 from .discovery.endpoint_list import EndpointUpdate
@@ -120,14 +120,14 @@
 
     def _build_discovery(self, cached: EndpointUpdate | None) -> DiscoveryClient:
         config = self.config
-        client = DiscoveryClient(
-            config.discovery,
-            config.zones,
-            config.machine_classes,
-            None if cached is None else cached.topology.version,
-            self.endpoint_feed.on_update,
-            config.settings.drain_grace / SECOND,
+        options = DiscoveryOptions(
+            agent=config.discovery,
+            zones=config.zones,
+            machine_classes=config.machine_classes,
+            known_version=None if cached is None else cached.topology.version,
+            drain_grace_s=config.settings.drain_grace / SECOND,
         )
+        client = DiscoveryClient(options, self.endpoint_feed.on_update)
         if cached is not None:
             client.note_known(cached)
         return client
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -29,7 +29,7 @@
 from qos_gateway.server.clients.pending_replies import ReplyQueue
 from qos_gateway.server.clients.socket_protocol import ClientSocketProtocol
 from qos_gateway.server.config import load
-from qos_gateway.server.discovery import endpoint_list
+from qos_gateway.server.discovery import endpoint_list, field_names
 from qos_gateway.server.discovery.watched_list import WatchedList
 from qos_gateway.server.endpoints.attempt import Attempt
 from qos_gateway.server.endpoints.connection import EndpointConnection
@@ -170,7 +170,8 @@
 
 def ignore_drains() -> None:
     """Take endpoints that drain for ready ones."""
-    _patch(endpoint_list, "_HEALTH", dict.fromkeys(("in_service", "terminating", "terminated"), Health.READY))
+    names = (field_names.HEALTH_READY, field_names.HEALTH_DRAINING, field_names.HEALTH_REMOVED)
+    _patch(endpoint_list, "_HEALTH_BY_NAME", dict.fromkeys(names, Health.READY))
 
 
 def ignore_reloads() -> None:
--- a/tests/server/test_discovery_deadlines.py
+++ b/tests/server/test_discovery_deadlines.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from qos_gateway.server.discovery import watch_connection as discovery_watch
-from qos_gateway.server.discovery.client import CONNECT_TIMEOUT_S, DiscoveryClient
+from qos_gateway.server.discovery.client import CONNECT_TIMEOUT_S
 from qos_gateway.server.discovery.endpoint_list import EndpointUpdate
 from qos_gateway.server.discovery.watch_connection import IDLE_TIMEOUT_S
 from qos_gateway.server.discovery.watch_schedule import (
@@ -27,7 +27,7 @@
     UPDATE_TIME_S,
     WatchSchedule,
 )
-from tests.server.test_discovery import KINDS, ZONES, record_waits
+from tests.support.discovery import discovery_client, record_waits
 from tests.support.servers import (
     LOOPBACK,
     FakeDiscovery,
@@ -88,7 +88,7 @@
                 free.bind((LOOPBACK, 0))
                 agent.port = free.getsockname()[1]
         await agent.open()
-        watch = DiscoveryClient((LOOPBACK, agent.port), ZONES, KINDS, None, updates.put_nowait)
+        watch = discovery_client(agent, None, updates.put_nowait)
         watch.start()
         for _ in range(sum(outcome in ("break", "silence") for outcome in outcomes)):
             await with_timeout(updates.get())
@@ -192,11 +192,11 @@
     schedule.on_up_to_date(0.0)
     schedule.on_moved(100.0)
     first = 100.0 + PROPAGATION_DEADLINE_AFTER_MOVE_S - UPDATE_TIME_S
-    assert schedule.give_up_silent_at(100.0) == first
+    assert schedule.silence_deadline(100.0) == first
     schedule.on_moved(102.0)
-    assert schedule.give_up_silent_at(102.0) == first
+    assert schedule.silence_deadline(102.0) == first
     schedule.on_moved(104.0)
-    assert schedule.give_up_silent_at(104.0) == 104.0 + PROPAGATION_DEADLINE_AFTER_MOVE_S - UPDATE_TIME_S
+    assert schedule.silence_deadline(104.0) == 104.0 + PROPAGATION_DEADLINE_AFTER_MOVE_S - UPDATE_TIME_S
 
 
 def calls_of(gateways: int, per_s: int, wait: Callable[[int, random.Random], float]) -> list[float]:
--- /dev/null
+++ b/tests/server/test_discovery_silence.py
@@ -0,0 +1,81 @@
+"""Watches on discovery that bring nothing."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from qos_gateway.server.discovery import watch_connection as discovery_watch
+from qos_gateway.server.discovery import watch_schedule
+from qos_gateway.server.discovery.watch_schedule import UPDATE_TIME_S
+from tests.support.discovery import Follower
+from tests.support.servers import (
+    LOOPBACK,
+    FakeDiscovery,
+    endpoint_entry,
+    endpoint_list,
+    listening,
+    run_on_loop,
+    with_timeout,
+)
+
+
+def test_silent_watch_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def test() -> None:
+        monkeypatch.setattr(discovery_watch, "IDLE_TIMEOUT_S", 0.05)
+        agent = FakeDiscovery()
+        async with listening(agent):
+            f = Follower(agent, 7)
+            for _ in range(2):
+                assert b"index=7" in await with_timeout(agent.requests.get())
+            await f.watch.close()
+
+    run_on_loop(test)
+
+
+def test_silent_watch_after_a_move_is_given_up_before_the_shorter_propagation_deadline(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """What the new agent has binds 4 s after the move, so 5 s of silence are too many there."""
+
+    async def test() -> None:
+        monkeypatch.setattr(watch_schedule, "PROPAGATION_DEADLINE_AFTER_MOVE_S", UPDATE_TIME_S + 0.2)
+        loop = asyncio.get_running_loop()
+        old, new = FakeDiscovery(), FakeDiscovery()
+        async with listening(old), listening(new):
+            f = Follower(old, 7)
+            await with_timeout(old.requests.get())
+            f.watch.change_agent((LOOPBACK, new.port))
+            await with_timeout(new.requests.get())
+            moved_at = loop.time()
+            await with_timeout(new.requests.get())
+            assert loop.time() - moved_at < discovery_watch.IDLE_TIMEOUT_S / 2
+            await f.watch.close()
+
+    run_on_loop(test)
+
+
+def test_watch_that_falls_silent_after_a_move_is_given_up_before_the_shorter_propagation_deadline(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """It brought a list and nothing since, not even the heartbeat that was due."""
+
+    async def test() -> None:
+        monkeypatch.setattr(watch_schedule, "PROPAGATION_DEADLINE_AFTER_MOVE_S", UPDATE_TIME_S + 0.3)
+        monkeypatch.setattr(discovery_watch, "HEARTBEAT_TIMEOUT_S", 0.1, raising=False)
+        loop = asyncio.get_running_loop()
+        old, new = FakeDiscovery(), FakeDiscovery()
+        async with listening(old), listening(new):
+            f = Follower(old, 7)
+            await with_timeout(old.requests.get())
+            new.first_update = endpoint_list(8, endpoint_entry("s-1", 1))
+            f.watch.change_agent((LOOPBACK, new.port))
+            await f.next()
+            moved_at = loop.time()
+            await with_timeout(new.requests.get())
+            await with_timeout(new.requests.get())
+            assert loop.time() - moved_at < discovery_watch.IDLE_TIMEOUT_S / 2
+            await f.watch.close()
+
+    run_on_loop(test)
--- a/tests/server/test_endpoint_list.py
+++ b/tests/server/test_endpoint_list.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from qos_gateway.server.discovery.endpoint_list import ListError, endpoint_id, parse_update
+from qos_gateway.server.discovery.endpoint_list import endpoint_id, parse_update
+from qos_gateway.server.discovery.errors import ListError
 from qos_gateway.types import Endpoint, Health, ListKind
 from tests.support.servers import (
     LOOPBACK,
