--- a/qos_gateway/server/counter/client.py
+++ b/qos_gateway/server/counter/client.py
@@ -14,13 +14,13 @@
 from .connections import CounterConnections
 from .protocol import CounterResponse
 
-CHECK_INTERVAL_S = 0.25  # between looks at the connections
-MIN_EXPIRY_DELAY_S = 0.001  # a timer that is due at once would spin the loop
+CHECK_INTERVAL_S = 0.25  # between checks of the connections
+MIN_EXPIRY_DELAY_S = 0.001  # a timer that is due at once would keep the loop busy
 
 
 @dataclass(slots=True)
 class InFlightKey:
-    """Where the increments of one key are in flight, and how many."""
+    """The connection on which increments of one key are in flight, and their number."""
 
     connection: CounterConnection
     count: int
@@ -45,7 +45,7 @@
         self._connections = CounterConnections(address, connect_timeout_s, self)
         self._timeout_s = timeout_s
         self._on_reply = on_reply
-        self._incomplete: deque[PendingIncrement] = deque()  # by age; completed ones leave at the front
+        self._incomplete: deque[PendingIncrement] = deque()  # by age; completed ones are removed at the front
         self._in_flight: dict[int, InFlightKey] = {}  # by key
         self._waiting: list[PendingIncrement] = []  # for a usable connection
         self._closed = False
@@ -53,7 +53,7 @@
         self._check_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin to connect."""
+        """Begin to connect, and to check the connections at intervals."""
         self._connections.connect()
         self._schedule_check()
 
@@ -62,16 +62,16 @@
         self._connections.change_address(address)
 
     def close(self) -> None:
-        """Report nothing more; what was written still goes out."""
+        """Report nothing more, and close the connections once what was written is sent."""
         self._closed = True
         for timer in (self._expiry_timer, self._check_timer):
             if timer is not None:
                 timer.cancel()
         self._connections.close()
 
-    def call(self, key: int, time_to_live: int, amount: float) -> None:
-        """Add `amount` to a key's total, which expires `time_to_live` ns later."""
-        increment = PendingIncrement(key, time_to_live, amount, self.time())
+    def call(self, key: int, time_to_live_ns: int, amount: float) -> None:
+        """Add `amount` to a key's total, which expires `time_to_live_ns` later."""
+        increment = PendingIncrement(key, time_to_live_ns, amount, self.time())
         if self._connections.is_unreachable():
             self._loop.call_soon(self._complete, increment, Outcome.CONNECT_FAILED)
             return
@@ -82,7 +82,7 @@
             self._waiting.append(increment)
 
     def _try_write(self, increment: PendingIncrement) -> bool:
-        """Write an increment on the connection of its key, or responses could overtake one another."""
+        """Write an increment on the connection of its key, so that a key's responses stay in order."""
         in_flight = self._in_flight.get(increment.key)
         if in_flight is None:
             connection = self._connections.pick_connection()
@@ -116,19 +116,19 @@
             self._write_waiting()
 
     def on_increments_reset(self, increments: list[PendingIncrement]) -> None:
-        """Complete increments whose connection is gone: any may have been added."""
+        """Complete increments whose connection has ended: any may have been added."""
         for increment in increments:
             self._complete(increment, Outcome.RESET)
 
     def on_unreachable(self) -> None:
-        """Complete what waits for a connection: nothing of it was added."""
+        """Complete the increments that wait for a connection: none was added."""
         waiting = self._waiting
         self._waiting = []
         for increment in waiting:
             self._complete(increment, Outcome.CONNECT_FAILED)
 
     def on_connections_changed(self) -> None:
-        """Write what waits for a connection."""
+        """Write the increments that wait for a connection."""
         self._write_waiting()
 
     # The end of an increment.
@@ -140,29 +140,32 @@
         if increment.connection is not None:
             self._release_key(increment.key)
         if not self._closed:
-            elapsed = max(0, int((self.time() - increment.called_at) * SECOND))
-            self._on_reply(CounterReplied(elapsed, outcome, increment.key, total))
+            elapsed_ns = max(0, int((self.time() - increment.called_at_s) * SECOND))
+            self._on_reply(CounterReplied(elapsed_ns, outcome, increment.key, total))
 
     def _release_key(self, key: int) -> None:
-        """Let the key's next increment go to any connection once none is in flight."""
+        """Allow the key's next increment on any connection once none is in flight."""
         in_flight = self._in_flight[key]
         in_flight.count -= 1
         if not in_flight.count:
             del self._in_flight[key]
 
     def _expire(self) -> None:
-        """Complete the increments whose time is up; their place on the connection absorbs a late response."""
+        """Complete the increments that have timed out.
+
+        Each written one stays pending on its connection, so that a late response is matched with it.
+        """
         self._expiry_timer = None
-        now = self.time()
-        while self._incomplete and self._is_over(self._incomplete[0], now):
+        now_s = self.time()
+        while self._incomplete and self._is_over(self._incomplete[0], now_s):
             self._complete_expired(self._incomplete.popleft())
         self._write_waiting()
         if self._incomplete and self._expiry_timer is None:
-            delay_s = self._incomplete[0].called_at + self._timeout_s - now
+            delay_s = self._incomplete[0].called_at_s + self._timeout_s - now_s
             self._expiry_timer = self._loop.call_later(max(MIN_EXPIRY_DELAY_S, delay_s), self._expire)
 
-    def _is_over(self, increment: PendingIncrement, now: float) -> bool:
-        return increment.completed or now - increment.called_at >= self._timeout_s
+    def _is_over(self, increment: PendingIncrement, now_s: float) -> bool:
+        return increment.completed or now_s - increment.called_at_s >= self._timeout_s
 
     def _complete_expired(self, increment: PendingIncrement) -> None:
         if increment.completed:
--- a/qos_gateway/server/counter/connection.py
+++ b/qos_gateway/server/counter/connection.py
@@ -5,69 +5,88 @@
 import asyncio
 from collections import deque
 from dataclasses import dataclass
+from enum import Enum
 from typing import Protocol, cast
 
 from .protocol import (
-    MAX_RESPONSE_BYTES,
     PING_REQUEST,
     CounterResponse,
+    LineBuffer,
     encode_increment,
     parse_increment_response,
     parse_ping_response,
 )
 
-MAX_PENDING = 256  # requests on a connection: more than the counter serves within the response time-out
+MAX_PENDING_REQUESTS = 256  # on a connection: more than the counter serves within the response time-out
+MAX_LOGGED_LINE_BYTES = 80
+
+
+class AbandonReason(Enum):
+    """The reason in the log event `counter_connection_abandoned`; each value is a format of its text."""
+
+    INVALID_RESPONSE = "invalid_response line={line!r}"
+    RESPONSE_MISSING = "response_missing"
+    RESPONSE_TIMEOUT = "response_timeout"
+    RESPONSE_TOO_LONG = "response_too_long"
+    UNSOLICITED_RESPONSE = "unsolicited_response"
+
+    def log_text(self, line: bytes = b"") -> str:
+        """Return the reason, with the start of the line that was received."""
+        return self.value.format(line=line[:MAX_LOGGED_LINE_BYTES])
 
 
 @dataclass(slots=True, eq=False)
 class PendingIncrement:
-    """An increment from its call until its response has come; `completed` once the caller knows its end."""
+    """An increment from its call until its response; `completed` once its end was reported to the caller."""
 
     key: int
-    time_to_live: int
+    time_to_live_ns: int
     amount: float
-    called_at: float
+    called_at_s: float  # on the loop's clock
     connection: CounterConnection | None = None  # None until it is written
     completed: bool = False
 
     def encode(self) -> bytes:
         """Encode the request."""
-        return encode_increment(self.key, self.amount, self.time_to_live)
+        return encode_increment(self.key, self.amount, self.time_to_live_ns)
 
     def parse_response(self, line: bytes) -> CounterResponse | None:
-        """Parse the response to this request; None if it makes no sense."""
+        """Parse the response to this request; None if it is invalid."""
         return parse_increment_response(line)
 
 
 @dataclass(slots=True, eq=False)
 class PendingPing:
-    """A ping from its call until its response has come."""
+    """A ping from its call until its response."""
 
-    called_at: float
+    called_at_s: float  # on the loop's clock
 
     def encode(self) -> bytes:
         """Encode the request."""
         return PING_REQUEST
 
     def parse_response(self, line: bytes) -> CounterResponse | None:
-        """Parse the response to this request; None if it makes no sense."""
+        """Parse the response to this request; None if it is invalid."""
         return parse_ping_response(line)
 
 
 PendingRequest = PendingIncrement | PendingPing
 
 
-class ConnectionOwner(Protocol):
+class ConnectionListener(Protocol):
     """What a connection reports to."""
 
     def time(self) -> float:
         """Return the time in seconds of the loop's clock."""
 
     def on_response(self, request: PendingRequest, response: CounterResponse) -> None:
-        """Take the response to the oldest pending request."""
+        """Handle the response to the oldest pending request."""
+
+    def abandon(self, connection: CounterConnection, reason: AbandonReason, line: bytes = b"") -> None:
+        """Abort a connection whose responses can no longer be matched with its requests.
 
-    def abandon(self, connection: CounterConnection, reason: str) -> None:
-        """Abort a connection whose responses can no longer be matched with its requests."""
+        `line` is the response that was received, for the log.
+        """
 
     def on_connection_closed(self, connection: CounterConnection, reason: str) -> None:
         """Note that a connection was closed, by whichever side."""
@@ -76,12 +95,12 @@
 class CounterConnection(asyncio.Protocol):
     """One connection; `pending` holds the requests without a response, completed or not, in their order."""
 
-    def __init__(self, owner: ConnectionOwner) -> None:
-        self._owner = owner
+    def __init__(self, listener: ConnectionListener) -> None:
+        self._listener = listener
         self._transport: asyncio.Transport | None = None
-        self._partial_line = b""
+        self._lines = LineBuffer()
         self.pending: deque[PendingRequest] = deque()
-        self.last_write_at = owner.time()
+        self.last_write_at_s = listener.time()
         self.closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -92,55 +111,54 @@
         """Return whether another request may be written."""
         if self._transport is None or self._transport.is_closing():
             return False
-        return len(self.pending) < MAX_PENDING
+        return len(self.pending) < MAX_PENDING_REQUESTS
 
     def write(self, request: PendingRequest) -> None:
-        """Write a request on a usable connection; its response is reported to the owner."""
+        """Write a request on a usable connection; its response is reported to the listener."""
         assert self._transport is not None
-        self.last_write_at = self._owner.time()
+        self.last_write_at_s = self._listener.time()
         self.pending.append(request)
         self._transport.write(request.encode())
 
-    def is_idle(self, now: float, interval_s: float) -> bool:
+    def is_idle(self, now_s: float, interval_s: float) -> bool:
         """Return whether a ping is due: nothing is pending, and nothing was written for the interval."""
-        return self.is_usable() and not self.pending and now - self.last_write_at >= interval_s
+        return self.is_usable() and not self.pending and now_s - self.last_write_at_s >= interval_s
 
-    def oldest_called_at(self) -> float | None:
+    def oldest_called_at_s(self) -> float | None:
         """Return when the oldest pending request was made; None without one."""
-        return self.pending[0].called_at if self.pending else None
+        return self.pending[0].called_at_s if self.pending else None
 
     def take_pending_increments(self) -> list[PendingIncrement]:
-        """Forget all pending requests and return the increments among them."""
+        """Remove all pending requests and return the increments among them."""
         increments = [request for request in self.pending if isinstance(request, PendingIncrement)]
         self.pending.clear()
         return increments
 
     def data_received(self, data: bytes) -> None:
         """Match each complete line with the oldest pending request."""
-        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
-        for line in lines:
-            if not self._read_line(line.rstrip(b"\r")):
+        for line in self._lines.add(data):
+            if not self._read_line(line):
                 return
-        if len(self._partial_line) > MAX_RESPONSE_BYTES:
-            self._owner.abandon(self, "response_too_long")
+        if self._lines.is_too_long():
+            self._listener.abandon(self, AbandonReason.RESPONSE_TOO_LONG)
 
     def _read_line(self, line: bytes) -> bool:
         """Report the response; return whether the lines behind it can be read."""
         if not self.pending:
-            self._owner.abandon(self, "unsolicited_response")
+            self._listener.abandon(self, AbandonReason.UNSOLICITED_RESPONSE)
             return False
         response = self.pending[0].parse_response(line)
         if response is None:
-            # The increment may have been added all the same, and later responses cannot be matched.
-            self._owner.abandon(self, f"invalid_response line={line[:80]!r}")
+            # The increment may have been added, and later responses cannot be matched.
+            self._listener.abandon(self, AbandonReason.INVALID_RESPONSE, line)
             return False
-        self._owner.on_response(self.pending.popleft(), response)
+        self._listener.on_response(self.pending.popleft(), response)
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Report the end of the connection."""
         self.closed = True
-        self._owner.on_connection_closed(self, str(exc or "closed"))
+        self._listener.on_connection_closed(self, str(exc or "closed"))
 
     def close(self) -> None:
         """Close once everything is written."""
--- a/qos_gateway/server/counter/connections.py
+++ b/qos_gateway/server/counter/connections.py
@@ -9,33 +9,40 @@
 
 from ..config import Address
 from ..observability.logs import RateLimitFilter
-from .connection import MAX_PENDING, CounterConnection, PendingIncrement, PendingPing, PendingRequest
+from .connection import (
+    MAX_PENDING_REQUESTS,
+    AbandonReason,
+    CounterConnection,
+    PendingIncrement,
+    PendingPing,
+    PendingRequest,
+)
 from .protocol import CounterResponse
 
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
 
-CONNECTIONS = 4  # several, so that a response which never comes holds up only the requests behind it
-INITIAL_BACKOFF_S = 0.05  # between attempts to connect; it doubles with each that fails
+CONNECTIONS = 4  # several, as a missing response delays all requests behind it on its connection
+INITIAL_BACKOFF_S = 0.05  # between attempts to connect; doubles with each that fails
 MAX_BACKOFF_S = 0.5
-RESPONSE_TIMEOUT_S = 1.0  # without the oldest response the counter's machine counts as gone
-PING_INTERVAL_S = 2.0  # idle time; the counter closes idle connections, and a dead one shows before a call
+RESPONSE_TIMEOUT_S = 1.0  # for the oldest pending request: the counter's machine counts as stopped
+PING_INTERVAL_S = 2.0  # of idleness: the counter closes idle connections, and a ping finds a dead one
 
 
 class ConnectionsListener(Protocol):
-    """Who has requests for the connections."""
+    """What the connections report to."""
 
     def on_response(self, request: PendingRequest, response: CounterResponse) -> None:
-        """Take the response to a request."""
+        """Handle the response to a request."""
 
     def on_increments_reset(self, increments: list[PendingIncrement]) -> None:
-        """Note that a connection ended before the responses to these came; any may have been added."""
+        """Note that a connection ended before the responses to these; any may have been added."""
 
     def on_unreachable(self) -> None:
         """Note that an attempt to connect failed and no connection is open."""
 
     def on_connections_changed(self) -> None:
-        """Note that a connection was opened or has ended: waiting increments may go out now."""
+        """Note that a connection was opened or has ended: waiting increments may be written now."""
 
 
 class CounterConnections:
@@ -48,9 +55,9 @@
         self._connect_timeout_s = connect_timeout_s
         self._listener = listener
         self._active: list[CounterConnection] = []
-        self._draining: list[CounterConnection] = []  # at the previous address, until all responses are in
+        self._draining: list[CounterConnection] = []  # at the previous address, until their last response
         self._address_changed = False  # the active connections still lead to the previous address
-        self._latest_answered_at = 0.0  # when the latest of the answered requests was made
+        self._latest_answered_call_s = 0.0  # when the latest of the answered requests was made
         self._last_attempt_failed = False
         self._closed = False
         self._connect_task: asyncio.Task[None] | None = None
@@ -60,13 +67,13 @@
         return not self._active and self._last_attempt_failed
 
     def is_active(self, connection: CounterConnection) -> bool:
-        """Return whether a connection leads to where new increments go."""
+        """Return whether a connection is used for new increments."""
         return connection in self._active
 
     def pick_connection(self) -> CounterConnection | None:
         """Return the usable connection with the fewest pending requests; None if none is usable."""
         best = None
-        fewest = MAX_PENDING
+        fewest = MAX_PENDING_REQUESTS
         for connection in self._active:
             if connection.is_usable() and len(connection.pending) < fewest:
                 best = connection
@@ -86,7 +93,7 @@
         self.connect()
 
     def close(self) -> None:
-        """Close all connections; what was written still goes out."""
+        """Close all connections once what was written is sent."""
         self._closed = True
         if self._connect_task is not None:
             self._connect_task.cancel()
@@ -96,7 +103,7 @@
     # Opening connections.
 
     def connect(self) -> None:
-        """Open what is missing, unless an attempt is under way."""
+        """Open the missing connections, unless an attempt is in progress."""
         if not self._closed and (self._connect_task is None or self._connect_task.done()):
             self._connect_task = self._loop.create_task(self._open_missing())
 
@@ -107,7 +114,7 @@
                 connection = await self._open()
             except (OSError, TimeoutError) as error:
                 self._on_connect_failed(error)
-                # Jitter, or gateways that lost the counter together would reconnect together.
+                # Jitter, or gateways whose counter failed would reconnect together.
                 await asyncio.sleep(backoff_s * random.uniform(0.5, 1.0))
                 backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
             else:
@@ -144,9 +151,9 @@
     # Reports of the connections.
 
     def on_response(self, request: PendingRequest, response: CounterResponse) -> None:
-        """Pass a response on."""
-        if request.called_at > self._latest_answered_at:
-            self._latest_answered_at = request.called_at
+        """Forward a response to the listener."""
+        if request.called_at_s > self._latest_answered_call_s:
+            self._latest_answered_call_s = request.called_at_s
         self._listener.on_response(request, response)
 
     def on_connection_closed(self, connection: CounterConnection, reason: str) -> None:
@@ -159,9 +166,10 @@
         elif connection in self._draining:
             self._remove(connection)
 
-    def abandon(self, connection: CounterConnection, reason: str) -> None:
-        """Abort a connection that is of no further use, and open another in its place."""
-        log.warning("counter_connection_abandoned address=%s:%d reason=%s", *self._address, reason)
+    def abandon(self, connection: CounterConnection, reason: AbandonReason, line: bytes = b"") -> None:
+        """Abort a connection that can no longer be used, and open another in its place."""
+        text = reason.log_text(line)
+        log.warning("counter_connection_abandoned address=%s:%d reason=%s", *self._address, text)
         connection.abort()
         self._remove(connection)
 
@@ -177,33 +185,39 @@
 
     def check(self, call_timeout_s: float) -> None:
         """Abandon stuck connections, close those that have drained, and ping those that are idle."""
-        now = self.time()
+        now_s = self.time()
         for connection in (*self._active, *self._draining):
             self.abandon_if_response_missing(connection, call_timeout_s)
-            oldest_called_at = connection.oldest_called_at()
-            if oldest_called_at is not None and now - oldest_called_at >= RESPONSE_TIMEOUT_S:
-                self.abandon(connection, "response_timeout")
+            self._abandon_if_silent(connection, now_s)
         self._close_drained()
-        for connection in self._active:
-            if connection.is_idle(now, PING_INTERVAL_S):
-                connection.write(PendingPing(now))
+        self._ping_idle(now_s)
 
     def abandon_if_response_missing(self, connection: CounterConnection, call_timeout_s: float) -> bool:
-        """Abandon a connection whose oldest request is past its time-out though newer ones were answered.
+        """Abandon a connection whose oldest request has timed out though newer requests were answered.
 
-        The counter is not overloaded then: one response was lost, and every request behind it would wait for
-        it in vain. Return whether the connection was abandoned.
+        The counter is not overloaded then: one response was lost, and no request behind it would get its own.
+        Return whether the connection was abandoned.
         """
-        oldest_called_at = connection.oldest_called_at()
-        if oldest_called_at is None or self.time() - oldest_called_at < call_timeout_s:
+        oldest_called_at_s = connection.oldest_called_at_s()
+        if oldest_called_at_s is None or self.time() - oldest_called_at_s < call_timeout_s:
             return False
-        if oldest_called_at >= self._latest_answered_at:
+        if oldest_called_at_s >= self._latest_answered_call_s:
             return False
-        self.abandon(connection, "response_missing")
+        self.abandon(connection, AbandonReason.RESPONSE_MISSING)
         return True
 
+    def _abandon_if_silent(self, connection: CounterConnection, now_s: float) -> None:
+        oldest_called_at_s = connection.oldest_called_at_s()
+        if oldest_called_at_s is not None and now_s - oldest_called_at_s >= RESPONSE_TIMEOUT_S:
+            self.abandon(connection, AbandonReason.RESPONSE_TIMEOUT)
+
     def _close_drained(self) -> None:
         for connection in self._draining[:]:
             if not connection.pending:
                 connection.abort()
                 self._draining.remove(connection)
+
+    def _ping_idle(self, now_s: float) -> None:
+        for connection in self._active:
+            if connection.is_idle(now_s, PING_INTERVAL_S):
+                connection.write(PendingPing(now_s))
