--- a/qos_gateway/server/counter/connection.py
+++ b/qos_gateway/server/counter/connection.py
@@ -22,7 +22,7 @@
 
 
 class AbandonReason(Enum):
-    """The reason in the log event `counter_connection_abandoned`; each value is a format of its text."""
+    """The reason in the log event counter_connection_abandoned; each value is a format of its text."""
 
     INVALID_RESPONSE = "invalid_response line={line!r}"
     RESPONSE_MISSING = "response_missing"
--- a/qos_gateway/server/discovery/client.py
+++ b/qos_gateway/server/discovery/client.py
@@ -94,15 +94,15 @@
     async def _run(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            opened_at = loop.time()
-            watch = self._create_watch(opened_at)
+            opened_at_s = loop.time()
+            watch = self._create_watch(opened_at_s)
             await self._open_and_read(watch)
-            await asyncio.sleep(self._delay_after(watch, opened_at, loop.time()))
+            await asyncio.sleep(self._delay_after(watch, opened_at_s, loop.time()))
 
-    def _create_watch(self, now: float) -> WatchConnection:
+    def _create_watch(self, now_s: float) -> WatchConnection:
         host, port = self._agent
-        silence_deadline = self._schedule.silence_deadline(now)
-        watch = WatchConnection(f"{host}:{port}", self._list.version, self._on_object, silence_deadline)
+        silence_deadline_s = self._schedule.silence_deadline_s(now_s)
+        watch = WatchConnection(f"{host}:{port}", self._list.version, self._on_object, silence_deadline_s)
         self._connection = watch
         return watch
 
@@ -127,18 +127,20 @@
     def _parse(self, raw: Any, cached: bool = False) -> EndpointUpdate:
         return parse_update(raw, self._options.zones, self._options.machine_classes, cached)
 
-    def _delay_after(self, watch: WatchConnection, opened_at: float, now: float) -> float:
+    def _delay_after(self, watch: WatchConnection, opened_at_s: float, now_s: float) -> float:
         """Return the seconds from the end of a watch to the next."""
         deadline_s = FIRST_LIST_DEADLINE_S if self._list.version is None else PROPAGATION_DEADLINE_S
         match watch.outcome():
             case WatchOutcome.OVERLOADED:
-                return self._schedule.delay_after_overload(opened_at, now, watch.retry_after_s, deadline_s)
+                return self._schedule.delay_after_overload(
+                    opened_at_s, now_s, watch.retry_after_s, deadline_s
+                )
             case WatchOutcome.FAILED:
-                return self._schedule.delay_after_failure(opened_at, now, deadline_s)
+                return self._schedule.delay_after_failure(opened_at_s, now_s, deadline_s)
             case WatchOutcome.UP_TO_DATE:
                 return self._delay_after_up_to_date(watch)
 
     def _delay_after_up_to_date(self, watch: WatchConnection) -> float:
-        assert watch.up_to_date_at is not None
-        self._schedule.on_up_to_date(watch.up_to_date_at)
+        assert watch.up_to_date_at_s is not None
+        self._schedule.on_up_to_date(watch.up_to_date_at_s)
         return self._schedule.delay_after_disconnect()
--- a/qos_gateway/server/discovery/watch_connection.py
+++ b/qos_gateway/server/discovery/watch_connection.py
@@ -43,7 +43,7 @@
 class WatchConnection(asyncio.Protocol):
     """One HTTP exchange; `ended` is done when no further object can be received.
 
-    `retry_after_s` is the advice of an overloaded discovery, 0.0 without one. `up_to_date_at` is when the
+    `retry_after_s` is the advice of an overloaded discovery, 0.0 without one. `up_to_date_at_s` is when the
     stream last ended with a complete object or a heartbeat, None if it never did.
     """
 
@@ -52,29 +52,29 @@
         host: str,
         version: int | None,
         on_object: Callable[[Any], None],
-        silence_deadline: float = inf,
+        silence_deadline_s: float = inf,
     ) -> None:
-        """Take `silence_deadline` as the time in s at which a silent watch ends before its idle time-out."""
+        """Take `silence_deadline_s` as the time at which a silent watch ends before its idle time-out."""
         self._loop = asyncio.get_running_loop()
         self._host = host
         self._version = version
         self._http = h11.Connection(h11.CLIENT)
         self._reader = JsonObjectReader(on_object)
-        self._last_data_at = self._loop.time()
-        self._silence_deadline = silence_deadline
+        self._last_data_at_s = self._loop.time()
+        self._silence_deadline_s = silence_deadline_s
         self._has_data = False
         self._timer: asyncio.TimerHandle | None = None
         self._transport: asyncio.Transport | None = None
         self.ended: asyncio.Future[None] = self._loop.create_future()
         self._was_overloaded = False
         self.retry_after_s = 0.0
-        self.up_to_date_at: float | None = None
+        self.up_to_date_at_s: float | None = None
 
     def outcome(self) -> WatchOutcome:
         """Return what the watch has achieved so far."""
         if self._was_overloaded:
             return WatchOutcome.OVERLOADED
-        return WatchOutcome.FAILED if self.up_to_date_at is None else WatchOutcome.UP_TO_DATE
+        return WatchOutcome.FAILED if self.up_to_date_at_s is None else WatchOutcome.UP_TO_DATE
 
     # Opening.
 
@@ -124,12 +124,12 @@
         self._finish(WatchEndReason.REJECTED, response.status_code)
 
     def _read_body(self, data: bytes) -> None:
-        self._last_data_at = self._loop.time()  # only a body counts: a head without one is silence
+        self._last_data_at_s = self._loop.time()  # only a body counts: a head without one is silence
         self._has_data = True
         for line in self._reader.split_lines(data):
             self._reader.read_line(line)
             if self._reader.is_between_objects():
-                self.up_to_date_at = self._last_data_at
+                self.up_to_date_at_s = self._last_data_at_s
         if self._reader.buffered_bytes() > MAX_OBJECT_BYTES:
             self._finish(WatchEndReason.OBJECT_TOO_LONG)
 
@@ -145,19 +145,19 @@
 
     def _check_idle(self) -> None:
         """End a silent watch: a machine that stops closes no connection."""
-        time_left_s = self._idle_until() - self._loop.time()
+        time_left_s = self._idle_until_s() - self._loop.time()
         if time_left_s <= 0:
             self._finish(WatchEndReason.IDLE_TIMEOUT)
         else:
             self._timer = self._loop.call_later(time_left_s, self._check_idle)
 
-    def _idle_until(self) -> float:
+    def _idle_until_s(self) -> float:
         """Return when the watch ends unless data is received before."""
-        idle_until = self._last_data_at + IDLE_TIMEOUT_S
-        if self._last_data_at >= self._silence_deadline:
-            return idle_until
-        heartbeat_until = self._last_data_at + HEARTBEAT_TIMEOUT_S if self._has_data else 0.0
-        return min(idle_until, max(self._silence_deadline, heartbeat_until))
+        idle_until_s = self._last_data_at_s + IDLE_TIMEOUT_S
+        if self._last_data_at_s >= self._silence_deadline_s:
+            return idle_until_s
+        heartbeat_until_s = self._last_data_at_s + HEARTBEAT_TIMEOUT_S if self._has_data else 0.0
+        return min(idle_until_s, max(self._silence_deadline_s, heartbeat_until_s))
 
     # The end.
 
--- a/qos_gateway/server/discovery/watch_end_reason.py
+++ b/qos_gateway/server/discovery/watch_end_reason.py
@@ -6,7 +6,7 @@
 
 
 class WatchEndReason(Enum):
-    """The reason in the log event `discovery_watch_ended`; each value is a format of its text."""
+    """The reason in the log event discovery_watch_ended; each value is a format of its text."""
 
     RESPONSE_ENDED = "response_ended"
     CONNECTION_CLOSED = "connection_closed"
--- a/qos_gateway/server/discovery/watch_schedule.py
+++ b/qos_gateway/server/discovery/watch_schedule.py
@@ -24,31 +24,31 @@
     seconds of the loop's clock, waits are seconds.
     """
 
-    __slots__ = ("_backoff_s", "_call_due_at", "_max_backoff_s", "_rng")
+    __slots__ = ("_backoff_s", "_call_due_at_s", "_max_backoff_s", "_rng")
 
     def __init__(self, drain_grace_s: float, rng: random.Random) -> None:
         self._backoff_s = INITIAL_BACKOFF_S
         self._max_backoff_s = min(MAX_BACKOFF_S, MAX_BACKOFF_GRACE_FRACTION * drain_grace_s)
-        self._call_due_at: float | None = None  # for the first call after the list was up to date
+        self._call_due_at_s: float | None = None  # for the first call after the list was up to date
         self._rng = rng
 
-    def on_up_to_date(self, at: float, deadline_s: float = PROPAGATION_DEADLINE_S) -> None:
-        """Note that at `at` this gateway had all that discovery had."""
+    def on_up_to_date(self, at_s: float, deadline_s: float = PROPAGATION_DEADLINE_S) -> None:
+        """Note that at `at_s` this gateway had all that discovery had."""
         self._backoff_s = INITIAL_BACKOFF_S
-        self._call_due_at = at + deadline_s - UPDATE_TIME_S
+        self._call_due_at_s = at_s + deadline_s - UPDATE_TIME_S
 
-    def on_moved(self, at: float) -> None:
+    def on_moved(self, at_s: float) -> None:
         """Note that the agent has changed, which shortens the deadline; a second move extends no deadline."""
-        due_before = self._call_due_at
-        self.on_up_to_date(at, PROPAGATION_DEADLINE_AFTER_MOVE_S)
-        if due_before is not None and due_before > at and self._call_due_at is not None:
-            self._call_due_at = min(due_before, self._call_due_at)
+        due_before_s = self._call_due_at_s
+        self.on_up_to_date(at_s, PROPAGATION_DEADLINE_AFTER_MOVE_S)
+        if due_before_s is not None and due_before_s > at_s and self._call_due_at_s is not None:
+            self._call_due_at_s = min(due_before_s, self._call_due_at_s)
 
-    def silence_deadline(self, now: float) -> float:
+    def silence_deadline_s(self, now_s: float) -> float:
         """Return when a call that begins now ends if it is silent, so that the next begins in time."""
-        if self._call_due_at is None:
+        if self._call_due_at_s is None:
             return inf
-        return max(now + INITIAL_BACKOFF_S, self._call_due_at)
+        return max(now_s + INITIAL_BACKOFF_S, self._call_due_at_s)
 
     def delay_after_disconnect(self) -> float:
         """Return the wait after a watch that had been up to date."""
@@ -56,34 +56,38 @@
         return INITIAL_BACKOFF_S * self._rng.uniform(0.5, 1.0)
 
     def delay_after_failure(
-        self, called_at: float, now: float, deadline_s: float = PROPAGATION_DEADLINE_S
+        self, called_at_s: float, now_s: float, deadline_s: float = PROPAGATION_DEADLINE_S
     ) -> float:
         """Return the wait after a call that was refused, reset, malformed or never answered."""
-        time_left_s = self._take_time_left(called_at, now, deadline_s)
+        time_left_s = self._take_time_left(called_at_s, now_s, deadline_s)
         backoff_s = min(self._backoff_s, self._max_backoff_s, time_left_s)
         self._backoff_s = min(MAX_BACKOFF_S, 2 * self._backoff_s)
         return backoff_s * self._rng.uniform(0.5, 1.0)
 
     def delay_after_overload(
-        self, called_at: float, now: float, retry_after_s: float, deadline_s: float = PROPAGATION_DEADLINE_S
+        self,
+        called_at_s: float,
+        now_s: float,
+        retry_after_s: float,
+        deadline_s: float = PROPAGATION_DEADLINE_S,
     ) -> float:
         """Return the wait after a call that discovery rejected with 429 or 503.
 
         It takes most of the time left: a fleet that retries sooner keeps discovery from serving anyone.
         """
-        time_left_s = self._take_time_left(called_at, now, deadline_s)
+        time_left_s = self._take_time_left(called_at_s, now_s, deadline_s)
         advised_fraction = max(OVERLOAD_MIN_WAIT_FRACTION, retry_after_s / time_left_s)
         min_fraction = min(OVERLOAD_MAX_ADVISED_FRACTION, advised_fraction)
         return time_left_s * self._rng.uniform(min_fraction, 1.0)
 
-    def _take_time_left(self, called_at: float, now: float, deadline_s: float) -> float:
+    def _take_time_left(self, called_at_s: float, now_s: float, deadline_s: float) -> float:
         """Return the time until the next call must begin, at least the initial back-off.
 
         The time of the last up-to-date list limits only the first call after it: later changes cannot be
         older than the call that failed.
         """
-        due_at = self._call_due_at
-        self._call_due_at = None
-        if due_at is None or due_at - now < INITIAL_BACKOFF_S:
-            due_at = called_at + deadline_s - UPDATE_TIME_S
-        return max(INITIAL_BACKOFF_S, due_at - now)
+        due_at_s = self._call_due_at_s
+        self._call_due_at_s = None
+        if due_at_s is None or due_at_s - now_s < INITIAL_BACKOFF_S:
+            due_at_s = called_at_s + deadline_s - UPDATE_TIME_S
+        return max(INITIAL_BACKOFF_S, due_at_s - now_s)
--- a/tests/server/test_discovery_deadlines.py
+++ b/tests/server/test_discovery_deadlines.py
@@ -192,11 +192,11 @@
     schedule.on_up_to_date(0.0)
     schedule.on_moved(100.0)
     first = 100.0 + PROPAGATION_DEADLINE_AFTER_MOVE_S - UPDATE_TIME_S
-    assert schedule.silence_deadline(100.0) == first
+    assert schedule.silence_deadline_s(100.0) == first
     schedule.on_moved(102.0)
-    assert schedule.silence_deadline(102.0) == first
+    assert schedule.silence_deadline_s(102.0) == first
     schedule.on_moved(104.0)
-    assert schedule.silence_deadline(104.0) == 104.0 + PROPAGATION_DEADLINE_AFTER_MOVE_S - UPDATE_TIME_S
+    assert schedule.silence_deadline_s(104.0) == 104.0 + PROPAGATION_DEADLINE_AFTER_MOVE_S - UPDATE_TIME_S
 
 
 def calls_of(gateways: int, per_s: int, wait: Callable[[int, random.Random], float]) -> list[float]:
