--- a/qos_gateway/server/discovery/endpoint_feed.py
+++ b/qos_gateway/server/discovery/endpoint_feed.py
@@ -8,7 +8,7 @@
 from ...types import ListKind, Topology
 from ..config import Config
 from ..endpoints.connections import EndpointConnections
-from ..event_dispatcher import EventDispatcher
+from ..event_dispatcher import EventDispatcher, TopologyNotAppliedError
 from .endpoint_directory import EndpointDirectory
 from .endpoint_list import EndpointUpdate, ListError, parse_update
 
@@ -34,7 +34,10 @@
     def apply(self, update: EndpointUpdate) -> None:
         """Take in a list or changes to it; raises `ListError` where the engine did not."""
         self._registry.apply(update)
-        self._dispatcher.handle(update.topology)
+        try:
+            self._dispatcher.handle(update.topology)
+        except TopologyNotAppliedError as error:
+            raise ListError(str(error)) from error
 
     def on_update(self, update: EndpointUpdate) -> None:
         """Take in what discovery tells."""
--- a/qos_gateway/server/event_dispatcher.py
+++ b/qos_gateway/server/event_dispatcher.py
@@ -1,4 +1,4 @@
-"""The way of an event: through the decision engine, and its actions to whoever carries them out."""
+"""Passes each event to the decision engine, and the engine's actions to the action executor."""
 
 from __future__ import annotations
 
@@ -18,16 +18,19 @@
     Topology,
 )
 from ..units import SECOND
-from .discovery.endpoint_list import ListError
 
 log = logging.getLogger(__name__)
 
-FAULT_RETRY_NS = SECOND // 10  # until a timer whose event met a fault fires again: periodic work must go on
+FAULT_RETRY_NS = SECOND // 10  # until a timer event that raised is repeated, as it restarts periodic work
 NO_REQUEST = 0  # numbers of requests begin at 1
 
 
+class TopologyNotAppliedError(Exception):
+    """The decision engine raised on an endpoint list."""
+
+
 class EventDispatcher:
-    """Hands events to the engine one by one. A fault costs one request a failure, never the process."""
+    """Passes events to the engine one by one. An exception fails at most one request, never the process."""
 
     def __init__(self, engine: DecisionEngine, clock: Callable[[], int]) -> None:
         self.engine = engine
@@ -36,16 +39,16 @@
         self._fail_request: Callable[[int], None]
 
     def bind(self, execute: Callable[[Action], None], fail_request: Callable[[int], None]) -> None:
-        """Name what carries out an action and what fails a request; to be called before the first event."""
+        """Set the receivers of actions and of the numbers of failed requests, before the first event."""
         self._execute = execute
         self._fail_request = fail_request
 
     def handle(self, event: Event, request_id: int = NO_REQUEST) -> None:
-        """Take in one event and carry out what the engine decides.
+        """Pass one event to the engine and execute the resulting actions.
 
-        `request_id` names the request that fails where the engine meets a fault. Raises `ListError` if that
-        event was a list of endpoints: a drain that is lost unnoticed would let requests go to an endpoint
-        about to end, so the watch has to be opened anew at the version before it.
+        `request_id` is the request that fails if the engine raises. Raises `TopologyNotAppliedError` if the
+        engine raises on an endpoint list, so that the caller requests that version again: attempts could
+        otherwise be sent to an endpoint whose drain was missed.
         """
         try:
             actions = self.engine.handle(self._clock(), event)
@@ -58,10 +61,10 @@
         if isinstance(event, TimerFired):
             self._execute(SetTimer(FAULT_RETRY_NS, event.token))
         if isinstance(event, Topology):
-            raise ListError("the list of endpoints was not taken in by the decision engine")
+            raise TopologyNotAppliedError("the list of endpoints was not taken in by the decision engine")
 
     def _execute_all(self, actions: list[Action]) -> None:
-        """Carry out each action by itself: one that fails must not take the engine's next timer with it."""
+        """Execute each action on its own, so that a failed one does not suppress the engine's next timer."""
         for action in actions:
             try:
                 self._execute(action)
