--- a/qos_gateway/__main__.py
+++ b/qos_gateway/__main__.py
@@ -1,4 +1,4 @@
-"""Start one gateway; end with exit status 2 and one plain line on a configuration that cannot be used."""
+"""Run one gateway; exit with status 2 and one line on stderr if the configuration is invalid."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 EXIT_CONFIG_ERROR = 2
 LOG_LEVEL_VARIABLE = "QOS_GATEWAY_LOG_LEVEL"
 LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
-# Blocked wherever no handler is in place: a reload that comes early must not kill the process.
+# Blocked while no handler is installed, as an early reload would end the process.
 RELOAD_SIGNALS = {signal.SIGHUP}
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 log = logging.getLogger("qos_gateway")
 
 
 async def serve(config: Config, loaded_at_s: float) -> None:
-    """Run until SIGTERM or SIGINT, then end in good order; SIGHUP has the configuration read again.
+    """Run until SIGTERM or SIGINT, then shut down gracefully; SIGHUP reloads the configuration.
 
-    `loaded_at_s`: when the program had been imported, on the monotonic clock. Raises `ConfigError` where an
-    address cannot be listened on.
+    `loaded_at_s` is the time on the monotonic clock when the imports were complete. Raises `ConfigError` if
+    an address cannot be listened on.
     """
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
@@ -45,21 +45,21 @@
     try:
         await gateway.start()
     except OSError as error:
-        # An address that is taken, or not this machine's, is as much a wrong setting as one left out.
+        # The configured address is in use or does not belong to this machine.
         raise ConfigError(f"cannot listen: {error}") from None
     log_start(gateway, loaded_at_s, configured_at_s)
-    # What was made so far lives as long as the process: full collections need not look at it again.
+    # All objects so far live as long as the process: full collections can skip them.
     gc.freeze()
     await stop.wait()
     log.info("stopping name=%s", config.name)
     await gateway.stop()
     reloader.close()
-    # The loop takes its handlers along when it closes.
+    # The loop removes its handlers when it closes.
     signal.pthread_sigmask(signal.SIG_BLOCK, RELOAD_SIGNALS)
 
 
 def log_start(gateway: GatewayProcess, loaded_at_s: float, configured_at_s: float) -> None:
-    """Write the parts of the time from the start of the program until clients are served."""
+    """Log the time from the start of the program until clients are served, by phase."""
     now_s = time.monotonic()
     log.info(
         "started name=%s total_s=%.2f program_s=%.2f settings_s=%.2f list_and_listening_s=%.2f "
@@ -74,7 +74,10 @@
 
 
 def log_level(environment: Mapping[str, str]) -> str:
-    """Return the level that the environment asks for, by default info; raises `ConfigError`."""
+    """Return the log level of the environment, by default INFO.
+
+    Raises `ConfigError` if it is not one of `LOG_LEVELS`.
+    """
     level = environment.get(LOG_LEVEL_VARIABLE, "info").upper()
     if level not in LOG_LEVELS:
         raise ConfigError(f"{LOG_LEVEL_VARIABLE}: {level!r} is none of {', '.join(LOG_LEVELS)}")
@@ -82,7 +85,7 @@
 
 
 def main() -> int:
-    """Run one gateway with the configuration that the environment names; return the exit status."""
+    """Run one gateway with the configuration named by the environment, and return the exit status."""
     loaded_at_s = time.monotonic()
     signal.pthread_sigmask(signal.SIG_BLOCK, RELOAD_SIGNALS)
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(name)s %(levelname)s %(message)s")
--- a/qos_gateway/server/observability/invariants.py
+++ b/qos_gateway/server/observability/invariants.py
@@ -1,4 +1,7 @@
-"""Run-time checks of what a gateway must never do: each violation is counted and logged."""
+"""Invariants that are checked at run time: each violation is counted and logged.
+
+Each guard is in the package of the operation that it checks, and reports violations to `InvariantMonitor`.
+"""
 
 from __future__ import annotations
 
@@ -13,12 +16,12 @@
 
 
 class Invariant(Enum):
-    """What is guarded, each at the one place where it happens; the values are parts of the metrics' names."""
+    """The operations that guards check; the values are parts of the metrics' names."""
 
-    SEND = "send"  # an attempt is written only where it may go, in its time, for a client that waits
-    REPEAT = "repeat"  # a request runs twice only where that is harmless
-    CLOSE = "close"  # a connection ends only when its requests have their answers
-    START = "start"  # clients are served only by the list that discovery has told
+    SEND = "send"  # an attempt is written only to an endpoint in service, in time, for an open request
+    REPEAT = "repeat"  # only requests that may be repeated can be executed twice
+    CLOSE = "close"  # a connection ends only after the replies to its requests
+    START = "start"  # clients are served only with the latest endpoint list of discovery
 
 
 class InvariantMonitor:
--- a/qos_gateway/server/observability/logs.py
+++ b/qos_gateway/server/observability/logs.py
@@ -10,9 +10,9 @@
 
 
 class RateLimitFilter(logging.Filter):
-    """Let the first lines of each window through, so that faulty peers cannot use up the CPU with logging.
+    """Pass the first lines of each window, so that faulty peers cannot use up the CPU with logging.
 
-    The first line of the next window carries the number of those that were suppressed.
+    The first line of the next window carries the number of suppressed lines.
     """
 
     def __init__(self) -> None:
@@ -21,7 +21,7 @@
         self._line_count = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Return whether the line is written; append the number of suppressed lines where there are any."""
+        """Return whether the line is written; append the number of suppressed lines if there are any."""
         now_s = time.monotonic()
         if now_s - self._window_started_at_s >= WINDOW_S:
             suppressed = max(0, self._line_count - MAX_LINES)
--- a/qos_gateway/server/observability/metrics.py
+++ b/qos_gateway/server/observability/metrics.py
@@ -15,7 +15,7 @@
 
 PREFIX = "edge_router"
 Key = TypeVar("Key", bound=Enum)
-_UNSAFE_IN_NAME = re.compile(r"[^0-9A-Za-z_-]")  # would be read as structure inside a metric's name
+_UNSAFE_IN_NAME = re.compile(r"[^0-9A-Za-z_-]")  # has a meaning within a metric's name
 
 
 class RequestResult(Enum):
@@ -27,7 +27,7 @@
 
 
 class Metrics:
-    """Counters: each request once, where it is answered, and each attempt once it is wholly written."""
+    """Counters: each request is counted when it is answered, each attempt when its last byte is written."""
 
     def __init__(self, classes: Iterable[bytes], violations: Mapping[Invariant, int] | None = None) -> None:
         """Take the names of the request classes, in the order of their indices, and the violations."""
--- a/qos_gateway/server/observability/retry_causes.py
+++ b/qos_gateway/server/observability/retry_causes.py
@@ -1,4 +1,4 @@
-"""Why a request is sent once more."""
+"""Why a request is retried."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 class RetryCause(Enum):
     """Why a further attempt is made; the values are parts of the metrics' names."""
 
-    HEDGED = "hedged"  # an attempt still waits for its response
+    HEDGED = "hedged"  # an earlier attempt is still in flight
     ERROR = "error"
     OVERLOADED = "overloaded"
     TIMEOUT = "timeout"
--- a/qos_gateway/server/peers.py
+++ b/qos_gateway/server/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between gateways: a sender's address gives its number; any other datagram is dropped."""
+"""Datagrams between gateways. A peer is identified by its address; other datagrams are dropped."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Peers(asyncio.DatagramProtocol):
-    """The UDP socket that all messages to and from other gateways go through."""
+    """The UDP socket for the messages to and from all other gateways."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         own_number: int,
         on_message: Callable[[PeerMessage], None],
     ) -> None:
-        """Take the peers' addresses in the order of their numbers, this gateway's own among them."""
+        """Take the addresses of all gateways by number, including this gateway's own."""
         self._peers = peers
         self._numbers = {peer: number for number, peer in enumerate(peers) if number != own_number}
         self._broadcast_address = broadcast_address
@@ -32,21 +32,24 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send through this socket from now on."""
+        """Use the socket for all further messages."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Pass on a peer's message."""
+        """Report a peer's message."""
         host, port = addr[:2]
         number = self._numbers.get((host, port))
         if number is not None and len(data) <= MAX_MESSAGE_BYTES:
             self._on_message(PeerMessage(number, data))
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore an ICMP error, which a dead peer's port answers with: messages may be lost anyway."""
+        """Ignore an ICMP error, as the port of a stopped peer causes: messages may be lost."""
 
     def send(self, recipient: int | None, data: bytes) -> None:
-        """Send a message to one peer by number, or to all; one over the limit of bytes is dropped."""
+        """Send a message to one peer by number, or to all if `recipient` is None.
+
+        A message of more than `MAX_MESSAGE_BYTES` is logged and dropped.
+        """
         if len(data) > MAX_MESSAGE_BYTES:
             log.error("peer_message_too_long bytes=%d limit=%d", len(data), MAX_MESSAGE_BYTES)
             return
--- a/qos_gateway/server/requests/repeat_guard.py
+++ b/qos_gateway/server/requests/repeat_guard.py
@@ -1,6 +1,6 @@
-"""The guard of repeating: whether a request may run once more, by what its attempts so far have shown.
+"""The repeat guard: whether a request may be executed once more.
 
-It goes by the attempts as they were made and by the list, not by the decision engine's own notes.
+It uses the attempts of this process and the endpoint list, independently of the decision engine's state.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
     @property
     def attempts_started(self) -> int:
-        """Return how many attempts were ordered, those included that were not made."""
+        """Return the number of attempts, including those that were not made."""
 
     @property
     def client_id(self) -> bytes:
@@ -32,7 +32,10 @@
 
 
 class RepeatGuard:
-    """Refuses an attempt, or an invitation to the client to repeat, that could run a request twice."""
+    """Refuses an attempt or a rejection that could lead to a second execution of a request.
+
+    A rejection permits the client to retry. Each refusal is reported as a violation.
+    """
 
     def __init__(
         self,
@@ -40,23 +43,23 @@
         monitor: InvariantMonitor,
         find_endpoint: Callable[[int], Endpoint | None],
     ) -> None:
-        """Take `find_endpoint` to look a listed endpoint up by its id."""
+        """Take `find_endpoint` to return a listed endpoint by its id."""
         self._settings = settings
         self._monitor = monitor
         self._find_endpoint = find_endpoint
 
     def allows_attempt(self, request: RepeatedRequest, endpoint: int, now: int) -> bool:
-        """Return whether a further attempt may be made at an endpoint."""
+        """Return whether a further attempt may be made at an endpoint at `now`, in ns."""
         return self._check(request, self._broken_rule(request, endpoint, now))
 
     def allows_rejection(self, request: RepeatedRequest) -> bool:
-        """Return whether the client may be told that a repeat is harmless: it can reach any endpoint."""
+        """Return whether the client may retry the request at any endpoint."""
         request_class = self._settings.classes[request.class_index]
-        is_harmless = request_class.idempotence is Idempotence.IDEMPOTENT or (
+        is_repeatable = request_class.idempotence is Idempotence.IDEMPOTENT or (
             request_class.idempotence is Idempotence.KEYED
             and request_class.idempotency_scope is IdempotencyScope.ALL
         )
-        if is_harmless or not _first_possible_execution(request.attempts):
+        if is_repeatable or not _first_possible_execution(request.attempts):
             return True
         return self._check(request, "rejected_after_possible_execution")
 
@@ -88,7 +91,7 @@
             return "idempotency_window"
         before, after = self._find_endpoint(first.endpoint), self._find_endpoint(endpoint)
         if before is None or after is None:
-            return None  # one has left the list, and nobody can tell its zone or cell any more
+            return None  # the zone and the cell of an endpoint that is not listed are unknown
         scope = request_class.idempotency_scope
         if scope is IdempotencyScope.ZONE and before.zone != after.zone:
             return "idempotency_zone"
@@ -98,5 +101,5 @@
 
 
 def _first_possible_execution(attempts: Iterable[Attempt]) -> Attempt | None:
-    """Return the first attempt that may have executed, or may yet; None where none may."""
+    """Return the first attempt that may have been executed or may still be, None if there is none."""
     return next((attempt for attempt in attempts if attempt.outcome not in NOT_EXECUTED), None)
--- a/qos_gateway/server/requests/request_log.py
+++ b/qos_gateway/server/requests/request_log.py
@@ -1,6 +1,6 @@
-"""The log of requests: why each was rejected or sent once more, and why each client's connection ended.
+"""The log of requests: the reason of each rejection, each retry, and the end of each client's connection.
 
-The lines are at debug level, as there is one for each event; the metrics count the same reasons at any level.
+The lines are at debug level, as there is one for each event. The metrics count the same reasons.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def retry_cause(attempts: Sequence[Attempt]) -> RetryCause:
-    """Return why a request whose attempts so far are these is sent once more."""
+    """Return the cause of the next attempt of a request with these attempts."""
     if not attempts:
         return RetryCause.NOT_SENT
     last = attempts[-1]
@@ -47,7 +47,7 @@
 
 
 def log_client_close(reason: CloseReason, unanswered: Sequence[bytes]) -> None:
-    """Log the end of a client's connection, with the requests that it leaves without an answer."""
+    """Log the end of a client's connection, with the ids of its unanswered requests."""
     if log.isEnabledFor(logging.DEBUG):
         log.debug(
             "client_closed reason=%s unanswered=%s",
--- a/qos_gateway/server/requests/send_guard.py
+++ b/qos_gateway/server/requests/send_guard.py
@@ -1,4 +1,4 @@
-"""The guard of sending: whether an attempt may be written now, asked where its bytes leave the process."""
+"""The send guard: whether an attempt may be written, checked immediately before its bytes are written."""
 
 from __future__ import annotations
 
@@ -20,13 +20,16 @@
 
 
 class SendGuard:
-    """Refuses an attempt that must not be written: a violation, as what leads to it is prevented."""
+    """Refuses an attempt that must not be written, and reports it as a violation.
+
+    Earlier checks exclude such attempts, so that each refusal shows a fault of this program.
+    """
 
     def __init__(self, monitor: InvariantMonitor) -> None:
         self._monitor = monitor
 
     def allows(self, attempt: Attempt, request: WaitingRequest | None, is_drained: bool, now: int) -> bool:
-        """Return whether an attempt may be written at `now`; `request` is None for a probe."""
+        """Return whether an attempt may be written at `now`, in ns; `request` is None for a health check."""
         rule = self._broken_rule(attempt, request, is_drained, now)
         if rule is None:
             return True
--- a/qos_gateway/server/start_guard.py
+++ b/qos_gateway/server/start_guard.py
@@ -1,4 +1,4 @@
-"""The guard of starting and stopping: clients are served by the newest list, and until all have answers."""
+"""The start guard: clients are served only with the latest endpoint list, and all requests are answered."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def check_start(monitor: InvariantMonitor, engine_has_list: bool, discovery_has_unread: bool) -> None:
-    """Look at a process that is about to accept clients."""
+    """Report a process that is about to accept clients without the latest endpoint list."""
     if not engine_has_list:
         monitor.report(Invariant.START, "no_list")
     if discovery_has_unread:
@@ -14,6 +14,6 @@
 
 
 def check_stop(monitor: InvariantMonitor, unanswered: int) -> None:
-    """Look at a process that has drained and is about to end."""
+    """Report a process that is about to end with unanswered requests, after its drain."""
     if unanswered:
         monitor.report(Invariant.CLOSE, "stopped_with_open_requests")
