--- a/qos_gateway/server/action_executor.py
+++ b/qos_gateway/server/action_executor.py
@@ -1,4 +1,4 @@
-"""Carries out the decision engine's actions, each by one method."""
+"""Executes the decision engine's actions, each type by one method."""
 
 from __future__ import annotations
 
@@ -29,25 +29,25 @@
 from .endpoints.connections import EndpointConnections
 from .event_dispatcher import EventDispatcher
 from .peers import Peers
-from .requests.open_requests import OpenRequests
+from .requests.final_actions import FinalActions
 from .requests.request_attempts import RequestAttempts
 
 log = logging.getLogger(__name__)
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class ActionTargets:
-    """Whom actions have their effect on."""
+    """The parts of the process that actions operate on."""
 
-    requests: OpenRequests
+    requests: FinalActions
     attempts: RequestAttempts
     endpoint_connections: EndpointConnections
     peers: Peers
-    counter: CounterClient | None  # None where quotas go without one
+    counter: CounterClient | None  # None where quotas use no counter
 
 
 class ActionExecutor:
-    """Finds an action's method by the action's type."""
+    """Selects the method of an action by the action's type."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         clock: Callable[[], int],
         probe_timeout: int | None,
     ) -> None:
-        """Take `probe_timeout` in ns; None means that endpoints answer no probes."""
+        """Take `probe_timeout` in ns, None where endpoints support no health checks."""
         self._endpoint_connections = targets.endpoint_connections
         self._peers = targets.peers
         self._counter = targets.counter
@@ -64,7 +64,7 @@
         self._clock = clock
         self._probe_timeout = probe_timeout
         self._loop = asyncio.get_running_loop()
-        # The methods differ in the type of their argument, which the key stands for.
+        # Each method takes actions of the type that is its key.
         self._methods: dict[type[Action], Callable[[Any], None]] = {
             Send: targets.attempts.start,
             CancelAttempt: targets.attempts.cancel,
@@ -80,7 +80,7 @@
         }
 
     def execute(self, action: Action) -> None:
-        """Carry out one action; what this gateway has no means for is logged and dropped."""
+        """Execute one action; an unsupported one is logged and dropped."""
         method = self._methods.get(type(action), self._unsupported)
         method(action)
 
@@ -111,7 +111,7 @@
         log.info("%s", action.text)
 
     def _watch_endpoints(self, action: WatchEndpoints) -> None:
-        """Do nothing: the watch is open from the start of the process."""
+        """Do nothing: the watch is opened at the start of the process."""
 
     def _unsupported(self, action: Action) -> None:
         log.error("action_unsupported action=%s", type(action).__name__)
--- a/qos_gateway/server/gateway.py
+++ b/qos_gateway/server/gateway.py
@@ -1,49 +1,27 @@
-"""One running gateway: builds its parts, connects them, and starts and stops them in order."""
+"""The life of one gateway: its start, its graceful shutdown, and the reload of its configuration."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
 
-from ..decisions.engine import DecisionEngine
-from ..types import CounterReplied
 from ..units import MILLISECOND, SECOND
-from .action_executor import ActionExecutor, ActionTargets
-from .admin.operations import AdminOperations, AdminTargets
-from .admin.server import AdminServer
-from .clients.close_guard import CloseGuard
-from .clients.connections import ClientConnections
 from .config import Config, needs_restart
-from .counter.client import CounterClient
-from .discovery.client import DiscoveryClient
-from .discovery.endpoint_directory import EndpointDirectory
-from .discovery.endpoint_feed import FIRST_LIST_TIMEOUT_S, SOCKET_POLL_S, EndpointFeed
-from .discovery.endpoint_list import EndpointUpdate
-from .endpoints.connections import EndpointConnections
-from .event_dispatcher import EventDispatcher
-from .handover.channel import HandoverChannel
-from .handover.handover import Handover, SharedParts
-from .networking.clock import monotonic_unix_ns
+from .discovery.endpoint_feed import FIRST_LIST_TIMEOUT_S, SOCKET_POLL_S
 from .networking.transient_errors import retry_transient
-from .observability.activity_log import ActivityLog, ActivitySources
-from .observability.invariants import InvariantMonitor
-from .observability.metrics import Metrics
-from .peers import Peers
-from .requests.open_requests import OpenRequests
-from .requests.repeat_guard import RepeatGuard
-from .requests.request_attempts import RequestAttempts
-from .requests.send_guard import SendGuard
+from .observability.activity_log import ActivityGauges
 from .start_guard import check_start, check_stop
+from .wiring import build_parts
 
 log = logging.getLogger(__name__)
 
-KILL_DELAY_NS = 700 * MILLISECOND  # the platform kills so long, and the longest deadline, after SIGTERM ...
-MAX_KILL_DEADLINE_NS = 3 * SECOND  # ... of which it counts so much at most
-KILL_MARGIN_NS = 100 * MILLISECOND  # before it, for answers on their way
-PEER_REPORT_TIME_S = 0.4  # over the longest deadline that a stopping gateway goes on to report to its peers
-RESERVED_DESCRIPTORS = 64  # neither a client's nor a endpoint's: listener, peers, discovery, files
-MIN_CONNECTIONS = 16  # of clients and endpoints together, however few descriptors there are
-ENDPOINT_CONNECTION_FRACTION = 0.5  # a request needs one connection on either side at most
+# The platform kills a process this long after SIGTERM, and the longest deadline of a request class later.
+KILL_DELAY_NS = 700 * MILLISECOND
+MAX_KILL_DEADLINE_NS = 3 * SECOND  # the most that the platform adds for the longest deadline
+KILL_MARGIN_NS = 100 * MILLISECOND  # before the kill, for responses in transit
+PEER_REPORT_TIME_S = (
+    0.4  # after the longest deadline, for which a stopping gateway still reports to its peers
+)
 
 
 class GatewayProcess:
@@ -52,189 +30,94 @@
     def __init__(self, config: Config) -> None:
         """Build all parts; nothing is opened before `start`."""
         self.config = config
-        self.clock = monotonic_unix_ns()
-        self.invariants = InvariantMonitor()
-        self.metrics = Metrics(config.classes, self.invariants.violations)
-        self.activity = ActivityLog()
-        engine = DecisionEngine(config.settings, config.seed, self.clock())
-        self.dispatcher = EventDispatcher(engine, self.clock)
-        self.requests = OpenRequests(config.settings, self.metrics, self.clock, self.dispatcher)
-        self.attempts = RequestAttempts(
-            config.settings, self.clock, self.dispatcher, self.requests, self.activity, self.metrics
-        )
-        connections = max(MIN_CONNECTIONS, config.max_descriptors - RESERVED_DESCRIPTORS)
-        max_endpoint_connections = int(connections * ENDPOINT_CONNECTION_FRACTION)
-        self.endpoint_connections = self._build_endpoints(max_endpoint_connections)
-        self.endpoint_directory = EndpointDirectory(self.endpoint_connections)
-        repeat_guard = RepeatGuard(config.settings, self.invariants, self.endpoint_directory.find_listed)
-        self.requests.bind(self.endpoint_connections, repeat_guard)
-        self.attempts.bind(self.endpoint_connections, SendGuard(self.invariants), repeat_guard)
-        close_guard = CloseGuard(self.invariants, self.metrics, self.requests.client_id)
-        self.clients = ClientConnections(
-            config, self.requests, connections - max_endpoint_connections, close_guard
-        )
-        self.peers = Peers(
-            config.peers, config.peer_broadcast, config.settings.position, self.dispatcher.handle
-        )
-        self.counter = self._build_counter()
-        self.executor = self._build_executor()
-        self.dispatcher.bind(self.executor.execute, self.requests.fail_after_fault)
-        self.endpoint_feed = EndpointFeed(self.endpoint_directory, self.dispatcher)
-        self.discovery = self._build_discovery(self.endpoint_feed.apply_cached(config))
-        self.handover = self._build_handover()
-        self.handover_channel = self._build_handover_channel()
-        self.operations = self._build_operations()
-        self.admin_server = None if config.admin is None else AdminServer(config.admin, self.operations)
-
-    def _build_endpoints(self, max_connections: int) -> EndpointConnections:
-        return EndpointConnections(
-            max_connections,
-            self.config.connect_timeout / SECOND,
-            self.config.connection_idle / SECOND,
-            self.config.settings.drain_grace / SECOND,
-            self.clock,
-            self.attempts.on_attempt_ended,
-            self.metrics,
-            self.attempts.on_response_started,
-            self.attempts.is_wanted,
-            self.attempts.allows_send,
-        )
-
-    def _build_counter(self) -> CounterClient | None:
-        config = self.config
-        if config.counter is None:
-            return None
-        return CounterClient(
-            config.counter,
-            config.counter_timeout / SECOND,
-            config.connect_timeout / SECOND,
-            self._on_counter_reply,
-        )
-
-    def _build_executor(self) -> ActionExecutor:
-        targets = ActionTargets(
-            self.requests, self.attempts, self.endpoint_connections, self.peers, self.counter
-        )
-        probe_timeout = self.config.connect_timeout if self.config.settings.may_probe else None
-        return ActionExecutor(targets, self.dispatcher, self.clock, probe_timeout)
-
-    def _build_discovery(self, cached: EndpointUpdate | None) -> DiscoveryClient:
-        config = self.config
-        client = DiscoveryClient(
-            config.discovery,
-            config.zones,
-            config.machine_classes,
-            None if cached is None else cached.topology.version,
-            self.endpoint_feed.on_update,
-            config.settings.drain_grace / SECOND,
-        )
-        if cached is not None:
-            client.note_known(cached)
-        return client
-
-    def _build_handover(self) -> Handover:
-        parts = SharedParts(self.clients, self.endpoint_connections, self.discovery, self.endpoint_directory)
-        return Handover(parts, self.config.settings, self.clock, self.dispatcher, self.endpoint_feed.apply)
-
-    def _build_handover_channel(self) -> HandoverChannel | None:
-        """Without an inherited listening socket no two processes serve at a time."""
-        if self.config.shared_folder is None or self.config.inherited_descriptor is None:
-            return None
-        return HandoverChannel(self.config.shared_folder, self.config.name, self.handover)
-
-    def _build_operations(self) -> AdminOperations:
-        targets = AdminTargets(
-            self.clients,
-            self.requests,
-            self.endpoint_directory,
-            self.metrics,
-            self.dispatcher,
-            self.handover,
-            self.handover_channel,
-        )
-        return AdminOperations(targets, self.clock)
-
-    def _on_counter_reply(self, reply: CounterReplied) -> None:
-        self.activity.counter_outcomes[reply.outcome] += 1
-        self.dispatcher.handle(reply)
-
-    # The life of the process.
+        self.parts = build_parts(config)
 
     def is_ready(self) -> bool:
         """Return whether any endpoint takes requests."""
-        return self.endpoint_connections.has_usable()
+        return self.parts.endpoint_connections.has_usable()
 
     async def start(self) -> None:
-        """Open the sockets, the clients' last, when requests can be served.
+        """Open all sockets, the clients' last, when requests can be served.
 
-        Raises OSError where an address cannot be listened on.
+        Raises OSError if an address cannot be listened on.
         """
-        config = self.config
-        if config.peer_listen is not None and config.settings.may_message:
+        parts, services = self.parts, self.parts.services
+        if self.config.peer_listen is not None and self.config.settings.may_message:
             await retry_transient(self._listen_to_peers)
-        if self.admin_server is not None:
-            await self.admin_server.start()
-        self.discovery.start()
-        if self.counter is not None:
-            self.counter.start()
-        self.activity.start(ActivitySources(self.requests, self.clients, self.endpoint_connections))
-        await self.endpoint_feed.wait_for_first(self.endpoint_connections)
-        if self.handover_channel is not None:
-            received = await self.handover_channel.request_state()
+        if services.admin_server is not None:
+            await services.admin_server.start()
+        parts.discovery.start()
+        if parts.counter is not None:
+            parts.counter.start()
+        parts.observability.activity.start(self._activity_gauges())
+        await parts.endpoint_feed.wait_for_first(parts.endpoint_connections)
+        if services.handover_channel is not None:
+            received = await services.handover_channel.request_state()
             if received is not None:
-                self.handover.restore_state(received, self.endpoint_feed.is_received())
+                services.handover.restore_state(received, parts.endpoint_feed.is_received())
         await self._read_from_discovery()
-        check_start(self.invariants, self.dispatcher.engine.started, self.discovery.has_unread_data())
-        await self.clients.start()
-        if self.handover_channel is not None:
-            await self.handover_channel.listen()
-        log.info("listening on=%s:%d", config.listen[0], self.clients.port)
+        invariants, engine = parts.observability.invariants, parts.dispatcher.engine
+        check_start(invariants, engine.started, parts.discovery.has_unread_data())
+        await parts.clients.start()
+        if services.handover_channel is not None:
+            await services.handover_channel.listen()
+        log.info("listening on=%s:%d", self.config.listen[0], parts.clients.port)
+
+    def _activity_gauges(self) -> ActivityGauges:
+        clients, connections = self.parts.clients, self.parts.endpoint_connections
+        return ActivityGauges(
+            open_requests=self.parts.requests.__len__,
+            client_connections=clients.connection_count,
+            endpoint_connections=lambda: connections.open_connections,
+            idle_endpoint_connections=connections.idle_count,
+        )
 
     async def _read_from_discovery(self) -> None:
-        """Let the loop read what discovery has sent: it binds this process from its first request on."""
+        """Wait until the event loop has read what discovery sent: it applies from the first request on."""
         loop = asyncio.get_running_loop()
-        give_up_at = loop.time() + FIRST_LIST_TIMEOUT_S
-        while self.discovery.has_unread_data() and loop.time() < give_up_at:
+        give_up_at_s = loop.time() + FIRST_LIST_TIMEOUT_S
+        while self.parts.discovery.has_unread_data() and loop.time() < give_up_at_s:
             await asyncio.sleep(SOCKET_POLL_S)
 
     async def _listen_to_peers(self) -> None:
         loop = asyncio.get_running_loop()
-        await loop.create_datagram_endpoint(lambda: self.peers, local_addr=self.config.peer_listen)
+        await loop.create_datagram_endpoint(lambda: self.parts.peers, local_addr=self.config.peer_listen)
 
     async def stop(self) -> None:
-        """Answer all that was taken in, then close everything."""
-        settings = self.config.settings
-        longest_deadline = max(request_class.deadline for request_class in settings.classes)
+        """Answer all requests that were received, then close everything."""
+        parts, settings = self.parts, self.config.settings
+        longest_deadline_ns = max(request_class.deadline for request_class in settings.classes)
         loop = asyncio.get_running_loop()
-        report_until = loop.time() + longest_deadline / SECOND + PEER_REPORT_TIME_S
-        # What comes from now on has its answer before the platform may kill this process.
-        killed_after = min(longest_deadline, MAX_KILL_DEADLINE_NS) + KILL_DELAY_NS
-        self.requests.latest_deadline = self.clock() + killed_after - KILL_MARGIN_NS
-        await self.clients.drain()
-        check_stop(self.invariants, self.requests.unanswered())
-        self.activity.stop()
-        await self.discovery.close()
-        self.endpoint_connections.close()
+        report_until_s = loop.time() + longest_deadline_ns / SECOND + PEER_REPORT_TIME_S
+        # Further requests are answered before the platform may kill this process.
+        kill_delay_ns = min(longest_deadline_ns, MAX_KILL_DEADLINE_NS) + KILL_DELAY_NS
+        parts.deadlines.latest_deadline = parts.clock() + kill_delay_ns - KILL_MARGIN_NS
+        await parts.clients.drain()
+        check_stop(parts.observability.invariants, parts.requests.unanswered())
+        parts.observability.activity.stop()
+        await parts.discovery.close()
+        parts.endpoint_connections.close()
         if settings.may_message and settings.gateway_count > 1:
-            # The engine's timer goes on to report that nothing is used here. Peers, which the customers now
-            # lean on, would hold this gateway's slices of the quotas back for one that fell silent.
-            await asyncio.sleep(max(0.0, report_until - loop.time()))
+            # The engine's timer still reports that this gateway uses no quota. Peers would otherwise reserve
+            # its slices, as for a gateway without reports, while they serve its customers.
+            await asyncio.sleep(max(0.0, report_until_s - loop.time()))
         self._close_services()
 
     def _close_services(self) -> None:
-        self.peers.close()
-        if self.counter is not None:
-            self.counter.close()
-        if self.admin_server is not None:
-            self.admin_server.close()
-        if self.handover_channel is not None:
-            self.handover_channel.close()
+        parts, services = self.parts, self.parts.services
+        parts.peers.close()
+        if parts.counter is not None:
+            parts.counter.close()
+        if services.admin_server is not None:
+            services.admin_server.close()
+        if services.handover_channel is not None:
+            services.handover_channel.close()
 
     def reconfigure(self, config: Config) -> None:
-        """Follow discovery and counter to where they are now; all else stays as it is."""
+        """Move to the addresses of discovery and counter in `config`; all other settings need a restart."""
         changed = needs_restart(self.config, config)
         if changed:
             log.warning("configuration_needs_restart settings=%s", ",".join(changed))
-        self.discovery.change_agent(config.discovery)
-        if self.counter is not None and config.counter is not None:
-            self.counter.change_address(config.counter)
+        self.parts.discovery.change_agent(config.discovery)
+        if self.parts.counter is not None and config.counter is not None:
+            self.parts.counter.change_address(config.counter)
--- a/qos_gateway/server/observability/activity_log.py
+++ b/qos_gateway/server/observability/activity_log.py
@@ -1,60 +1,59 @@
-"""A log line at intervals on how attempts and calls to the counter ended."""
+"""A periodic log line with the outcomes of attempts and of calls to the counter."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
 from collections import Counter
+from collections.abc import Callable
 from dataclasses import dataclass
 
 from ...types import Outcome
-from ..clients.connections import ClientConnections
-from ..endpoints.connections import EndpointConnections
-from ..requests.open_requests import OpenRequests
 
 log = logging.getLogger(__name__)
 
-LOG_INTERVAL_S = 10.0  # often enough to see trouble begin, seldom enough to keep days of it
+LOG_INTERVAL_S = 10.0
 
 
-@dataclass(frozen=True, slots=True)
-class ActivitySources:
-    """What the line tells the present numbers of."""
+@dataclass(frozen=True, slots=True, kw_only=True)
+class ActivityGauges:
+    """Callables that return the present number of requests or connections."""
 
-    requests: OpenRequests
-    clients: ClientConnections
-    endpoint_connections: EndpointConnections
+    open_requests: Callable[[], int]
+    client_connections: Callable[[], int]
+    endpoint_connections: Callable[[], int]
+    idle_endpoint_connections: Callable[[], int]
 
 
 class ActivityLog:
-    """Counts outcomes between two lines; it shows trouble that no single attempt does."""
+    """Counts the outcomes between two lines, which show faults that no single attempt shows."""
 
     def __init__(self) -> None:
         self.attempt_outcomes: Counter[Outcome] = Counter()
         self.counter_outcomes: Counter[Outcome] = Counter()
         self._timer: asyncio.TimerHandle | None = None
 
-    def start(self, sources: ActivitySources) -> None:
-        """Write the first line one interval from now."""
+    def start(self, gauges: ActivityGauges) -> None:
+        """Write the first line after one interval."""
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(LOG_INTERVAL_S, self._write, sources)
+        self._timer = loop.call_later(LOG_INTERVAL_S, self._write, gauges)
 
     def stop(self) -> None:
-        """Write no further line."""
+        """Stop the periodic line."""
         if self._timer is not None:
             self._timer.cancel()
 
-    def _write(self, sources: ActivitySources) -> None:
-        self.start(sources)
+    def _write(self, gauges: ActivityGauges) -> None:
+        self.start(gauges)
         log.info(
             "activity attempts=%s counter=%s requests=%d client_connections=%d "
             "endpoint_connections=%d endpoint_connections_idle=%d",
             _format_outcomes(self.attempt_outcomes),
             _format_outcomes(self.counter_outcomes),
-            len(sources.requests),
-            sources.clients.connection_count(),
-            sources.endpoint_connections.open_connections,
-            sources.endpoint_connections.idle_count(),
+            gauges.open_requests(),
+            gauges.client_connections(),
+            gauges.endpoint_connections(),
+            gauges.idle_endpoint_connections(),
         )
         self.attempt_outcomes.clear()
         self.counter_outcomes.clear()
--- /dev/null
+++ b/qos_gateway/server/requests/attempt_results.py
@@ -0,0 +1,122 @@
+"""What the connections to endpoints report of attempts, as responses to clients and events of the engine."""
+
+from __future__ import annotations
+
+from typing import cast
+
+from ...types import AttemptEnded, Outcome, ProbeEnded, ResponseStarted
+from ..clients.pending_replies import StreamedReply
+from ..endpoints.attempt import Attempt, ProbeAttempt
+from ..endpoints.responses import LoadReport
+from ..networking.value_stream import FlowControl
+from ..observability.activity_log import ActivityLog
+from ..observability.metrics import RequestResult
+from .final_replies import FAILED_REPLY
+from .open_request import OpenRequest
+from .request_context import RequestContext
+from .send_guard import SendGuard
+
+MAX_QUOTA_USAGE_PERCENT = 60_000  # the engine's field has 16 bits
+QUOTA_USAGE_KEY = "used"  # in an endpoint's load report
+
+
+class AttemptResults:
+    """Handles the calls of the connections to endpoints."""
+
+    def __init__(self, context: RequestContext, send_guard: SendGuard, activity: ActivityLog) -> None:
+        self._report_names = context.settings.report_names
+        self._clock = context.clock
+        self._requests = context.requests
+        self._handle = context.dispatcher.handle
+        self._send_guard = send_guard
+        self._activity = activity
+
+    def is_wanted(self, attempt: Attempt) -> bool:
+        """Return whether the client of an attempt that is about to be written is still connected."""
+        request = self._requests.get(attempt.request)
+        return request is None or not self._requests.client_has_left(request)
+
+    def allows_send(self, attempt: Attempt, is_drained: bool, now: int) -> bool:
+        """Return whether the send guard allows writing an attempt at `now`, in ns."""
+        request = None if isinstance(attempt, ProbeAttempt) else self._requests.get(attempt.request)
+        return self._send_guard.allows(attempt, request, is_drained, now)
+
+    def on_response_started(self, attempt: Attempt, length: int, flow: FlowControl) -> StreamedReply | None:
+        """Start to stream a large value to the client.
+
+        Returns None if the request is answered or another attempt's value is being streamed.
+        """
+        number = attempt.request
+        request = self._requests[number]
+        if request.closed or request.streaming_attempt is not None:
+            return None
+        request.streaming_attempt = attempt
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+        pending_reply = request.pending_reply
+        stream = pending_reply.client.start_stream(pending_reply, length, flow)
+        elapsed = _time_to_first_byte(attempt)
+        self._handle(ResponseStarted(number, elapsed, attempt.number, attempt.endpoint), number)
+        return None if request.closed else stream
+
+    def on_attempt_ended(
+        self, attempt: Attempt, outcome: Outcome, value: bytes | None, report: LoadReport
+    ) -> None:
+        """Answer the client if this was the response, and report the end of the attempt to the engine."""
+        elapsed = max(0, self._clock() - attempt.started_at)
+        load_report = self._load_report(report)
+        if isinstance(attempt, ProbeAttempt):
+            self._handle(ProbeEnded(outcome, attempt.endpoint, elapsed, load_report))
+            return
+        self._activity.attempt_outcomes[outcome] += 1
+        number = attempt.request
+        request = self._requests[number]
+        request.attempts_in_flight.pop(attempt.number, None)
+        if request.streaming_attempt is attempt:
+            elapsed = _time_to_first_byte(attempt)  # its client determines the time of the remaining bytes
+        if not request.closed:
+            self._answer_with(request, attempt, outcome, value)
+        event = AttemptEnded(
+            request_id=number,
+            request_finished=request.closed or request.streaming_attempt is not None,
+            actual_units=0,
+            endpoint=attempt.endpoint,
+            quota_usage=_quota_usage(report),
+            outcome=outcome,
+            elapsed=elapsed,
+            attempt=attempt.number,
+            load_report=load_report,
+        )
+        self._handle(event, number)
+        self._requests.remove_if_finished(number, request)
+
+    def _answer_with(
+        self, request: OpenRequest, attempt: Attempt, outcome: Outcome, value: bytes | None
+    ) -> None:
+        """Answer an open request if the end of this attempt decides its final response."""
+        number = attempt.request
+        if request.streaming_attempt is attempt:
+            if outcome is Outcome.OK:
+                stream = cast(StreamedReply, request.pending_reply.stream)
+                self._requests.answer(number, request, stream.finish(), RequestResult.SERVED)
+            else:
+                self._requests.answer(number, request, FAILED_REPLY, RequestResult.FAILED)
+        elif outcome is Outcome.OK and value is not None:
+            reply = b"$%d\r\n%b\r\n" % (len(value), value)
+            self._requests.answer(number, request, reply, RequestResult.SERVED)
+
+    def _load_report(self, report: LoadReport) -> tuple[float, ...]:
+        """Return the values that the settings name, in their order; empty unless all are reported."""
+        names = self._report_names
+        return tuple(report[name] for name in names) if report and report.keys() >= set(names) else ()
+
+
+def _time_to_first_byte(attempt: Attempt) -> int:
+    return max(0, attempt.response_started_at - attempt.started_at)
+
+
+def _quota_usage(report: LoadReport) -> int:
+    """Return one more than the percentage of the customer's quota in use, or 0 if it is not reported."""
+    if QUOTA_USAGE_KEY not in report:
+        return 0
+    return 1 + min(MAX_QUOTA_USAGE_PERCENT, int(report[QUOTA_USAGE_KEY]))
--- /dev/null
+++ b/qos_gateway/server/requests/client_requests.py
@@ -0,0 +1,87 @@
+"""Requests of the clients' connections: submitted to the engine, shed, or ended by a disconnect."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from ...types import Arrival, ClientDisconnected, RejectReason
+from ..clients.pending_replies import PendingReply
+from ..clients.request_parser import ClientRequest
+from ..endpoints.attempt import Attempt
+from ..observability.metrics import RequestResult
+from .final_replies import REJECTED_REPLY
+from .request_context import RequestContext
+from .request_deadlines import RequestDeadlines
+from .request_log import log_rejection
+
+
+class CancellableAttempts(Protocol):
+    """What the clients' requests need of the connections to endpoints."""
+
+    def has_usable(self) -> bool:
+        """Return whether any endpoint takes requests."""
+
+    def cancel_attempt(self, attempt: Attempt) -> None:
+        """End an attempt whose response is no longer needed."""
+
+    def cancel_unsent(self, attempt: Attempt) -> None:
+        """End an attempt unless its last byte is sent."""
+
+
+class ClientRequests:
+    """Handles the calls of the clients' connections."""
+
+    def __init__(
+        self, context: RequestContext, deadlines: RequestDeadlines, attempts: CancellableAttempts
+    ) -> None:
+        self._requests = context.requests
+        self._deadlines = deadlines
+        self._attempts = attempts
+        self._handle = context.dispatcher.handle
+        self._metrics = context.metrics
+
+    def is_ready(self) -> bool:
+        """Return whether a request could be forwarded."""
+        return self._attempts.has_usable()
+
+    def submit(self, client_request: ClientRequest, pending_reply: PendingReply, waited_s: float) -> None:
+        """Open a request that was received `waited_s` ago, and pass it to the engine.
+
+        Raises `InvalidCommandError` while another request with the same id is unanswered.
+        """
+        deadline = self._deadlines.deadline_of(client_request, waited_s)
+        number = self._requests.add(client_request, pending_reply, deadline)
+        arrival = Arrival(
+            request_id=number,
+            class_index=client_request.class_index,
+            plan_index=client_request.plan_index,
+            customer_id=client_request.customer_id,
+            deadline=deadline,
+            units=client_request.units,
+            gateway_spread=client_request.gateway_spread,
+            first_gateway=client_request.first_gateway,
+            options=client_request.options,
+        )
+        self._handle(arrival, number)
+        request = self._requests.get(number)
+        if request is not None:  # the engine has not ended it at once
+            self._deadlines.schedule(number, request)
+
+    def shed(self, client_request: ClientRequest, pending_reply: PendingReply) -> None:
+        """Reject a request over the gateway's limits without passing it to the engine."""
+        log_rejection(client_request.request_id, RejectReason.LOAD_LIMIT, 0)
+        self._metrics.rejections[RejectReason.LOAD_LIMIT] += 1
+        self._metrics.count_request(client_request.class_index, RequestResult.REJECTED)
+        pending_reply.client.reply(pending_reply, REJECTED_REPLY)
+
+    def client_disconnected(self, number: int) -> None:
+        """Close a request whose client disconnected; attempts that are not wholly written are cancelled."""
+        request = self._requests.get_unanswered(number)
+        if request is None:
+            return
+        self._requests.close(number, request)
+        self._handle(ClientDisconnected(number))
+        if request.streaming_attempt is not None:
+            self._attempts.cancel_attempt(request.streaming_attempt)
+        for attempt in list(request.attempts_in_flight.values()):
+            self._attempts.cancel_unsent(attempt)
--- /dev/null
+++ b/qos_gateway/server/requests/request_context.py
@@ -0,0 +1,22 @@
+"""What all parts that handle requests share."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from ...types import Settings
+from ..event_dispatcher import EventDispatcher
+from ..observability.metrics import Metrics
+from .open_requests import OpenRequests
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class RequestContext:
+    """The table of open requests, and what changes to it are decided by and reported to."""
+
+    settings: Settings
+    clock: Callable[[], int]  # ns
+    requests: OpenRequests
+    dispatcher: EventDispatcher
+    metrics: Metrics
--- /dev/null
+++ b/qos_gateway/server/wiring.py
@@ -0,0 +1,259 @@
+"""Builds the parts of a gateway, in an order in which each part takes the earlier ones.
+
+The event dispatcher is the one exception: the executor of the engine's actions is set last.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from ..decisions.engine import DecisionEngine
+from ..types import CounterReplied
+from ..units import SECOND
+from .action_executor import ActionExecutor, ActionTargets
+from .admin.operations import AdminOperations, AdminTargets
+from .admin.server import AdminServer
+from .clients.close_guard import CloseGuard
+from .clients.connections import ClientConnections
+from .config import Config
+from .counter.client import CounterClient
+from .discovery.client import DiscoveryClient
+from .discovery.endpoint_directory import EndpointDirectory
+from .discovery.endpoint_feed import EndpointFeed
+from .endpoints.connections import EndpointConnections
+from .event_dispatcher import EventDispatcher
+from .handover.channel import HandoverChannel
+from .handover.handover import Handover, SharedParts
+from .networking.clock import monotonic_unix_ns
+from .observability.activity_log import ActivityLog
+from .observability.invariants import InvariantMonitor
+from .observability.metrics import Metrics
+from .peers import Peers
+from .requests.attempt_results import AttemptResults
+from .requests.client_requests import ClientRequests
+from .requests.final_actions import FinalActions
+from .requests.open_requests import OpenRequests
+from .requests.repeat_guard import RepeatGuard
+from .requests.request_attempts import RequestAttempts
+from .requests.request_context import RequestContext
+from .requests.request_deadlines import RequestDeadlines
+from .requests.send_guard import SendGuard
+
+RESERVED_DESCRIPTORS = 64  # for listeners, peers, discovery, counter, operators and files
+MIN_CONNECTIONS = 16  # of clients and endpoints together
+ENDPOINT_CONNECTION_FRACTION = 0.5  # a request needs at most one connection on either side
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class Observability:
+    """What the parts report to."""
+
+    invariants: InvariantMonitor
+    metrics: Metrics
+    activity: ActivityLog
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class Services:
+    """The parts for operators and for the other process of an upgrade."""
+
+    handover: Handover
+    handover_channel: HandoverChannel | None  # None where no other process can take over
+    operations: AdminOperations
+    admin_server: AdminServer | None
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class GatewayParts:
+    """The parts of one gateway, connected to each other; nothing is opened yet."""
+
+    clock: Callable[[], int]  # ns
+    observability: Observability
+    dispatcher: EventDispatcher
+    executor: ActionExecutor
+    requests: OpenRequests
+    deadlines: RequestDeadlines
+    endpoint_connections: EndpointConnections
+    endpoint_directory: EndpointDirectory
+    endpoint_feed: EndpointFeed
+    clients: ClientConnections
+    peers: Peers
+    counter: CounterClient | None
+    discovery: DiscoveryClient
+    services: Services
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class _Core:
+    """The parts that need no connections; most other parts take some of them."""
+
+    config: Config
+    observability: Observability
+    context: RequestContext
+
+
+def build_parts(config: Config) -> GatewayParts:
+    """Build all parts of a gateway, and apply the endpoint list of the configuration.
+
+    A running event loop is needed.
+    """
+    core = _build_core(config)
+    clock, dispatcher = core.context.clock, core.context.dispatcher
+    max_connections = max(MIN_CONNECTIONS, config.max_descriptors - RESERVED_DESCRIPTORS)
+    max_endpoint_connections = int(max_connections * ENDPOINT_CONNECTION_FRACTION)
+    connections = _build_endpoint_connections(core, max_endpoint_connections)
+    directory = EndpointDirectory(connections)
+    deadlines = RequestDeadlines(core.context, connections)
+    clients = _build_clients(core, deadlines, connections, max_connections - max_endpoint_connections)
+    peers = Peers(config.peers, config.peer_broadcast, config.settings.position, dispatcher.handle)
+    counter = _build_counter(core)
+    executor = _build_executor(core, connections, directory, peers, counter)
+    feed = EndpointFeed(directory, dispatcher)
+    discovery = _build_discovery(config, feed)
+    handover = Handover(
+        SharedParts(clients, connections, discovery, directory),
+        config.settings,
+        clock,
+        dispatcher,
+        feed.apply,
+    )
+    return GatewayParts(
+        clock=clock,
+        observability=core.observability,
+        dispatcher=dispatcher,
+        executor=executor,
+        requests=core.context.requests,
+        deadlines=deadlines,
+        endpoint_connections=connections,
+        endpoint_directory=directory,
+        endpoint_feed=feed,
+        clients=clients,
+        peers=peers,
+        counter=counter,
+        discovery=discovery,
+        services=_build_services(core, clients, directory, handover),
+    )
+
+
+def _build_core(config: Config) -> _Core:
+    clock = monotonic_unix_ns()
+    invariants = InvariantMonitor()
+    metrics = Metrics(config.classes, invariants.violations)
+    engine = DecisionEngine(config.settings, config.seed, clock())
+    context = RequestContext(
+        settings=config.settings,
+        clock=clock,
+        requests=OpenRequests(metrics),
+        dispatcher=EventDispatcher(engine, clock),
+        metrics=metrics,
+    )
+    observability = Observability(invariants=invariants, metrics=metrics, activity=ActivityLog())
+    return _Core(config=config, observability=observability, context=context)
+
+
+def _build_endpoint_connections(core: _Core, max_connections: int) -> EndpointConnections:
+    config, observability = core.config, core.observability
+    results = AttemptResults(core.context, SendGuard(observability.invariants), observability.activity)
+    return EndpointConnections(
+        max_connections=max_connections,
+        connect_timeout_s=config.connect_timeout / SECOND,
+        max_idle_s=config.connection_idle / SECOND,
+        drain_grace_s=config.settings.drain_grace / SECOND,
+        clock=core.context.clock,
+        on_attempt_ended=results.on_attempt_ended,
+        metrics=observability.metrics,
+        on_response_started=results.on_response_started,
+        is_wanted=results.is_wanted,
+        allows_send=results.allows_send,
+    )
+
+
+def _build_clients(
+    core: _Core, deadlines: RequestDeadlines, connections: EndpointConnections, max_connections: int
+) -> ClientConnections:
+    context = core.context
+    client_requests = ClientRequests(context, deadlines, connections)
+    close_guard = CloseGuard(core.observability.invariants, context.metrics, context.requests.client_id)
+    return ClientConnections(core.config, client_requests, max_connections, close_guard)
+
+
+def _build_counter(core: _Core) -> CounterClient | None:
+    config = core.config
+    if config.counter is None:
+        return None
+    outcomes = core.observability.activity.counter_outcomes
+    handle = core.context.dispatcher.handle
+
+    def on_reply(reply: CounterReplied) -> None:
+        outcomes[reply.outcome] += 1
+        handle(reply)
+
+    return CounterClient(
+        config.counter, config.counter_timeout / SECOND, config.connect_timeout / SECOND, on_reply
+    )
+
+
+def _build_executor(
+    core: _Core,
+    connections: EndpointConnections,
+    directory: EndpointDirectory,
+    peers: Peers,
+    counter: CounterClient | None,
+) -> ActionExecutor:
+    """Build the executor of the engine's actions, and set it in the event dispatcher."""
+    context, settings = core.context, core.config.settings
+    repeat_guard = RepeatGuard(settings, core.observability.invariants, directory.find_listed)
+    final_actions = FinalActions(context, repeat_guard)
+    targets = ActionTargets(
+        requests=final_actions,
+        attempts=RequestAttempts(context, connections, repeat_guard),
+        endpoint_connections=connections,
+        peers=peers,
+        counter=counter,
+    )
+    probe_timeout = core.config.connect_timeout if settings.may_probe else None
+    executor = ActionExecutor(targets, context.dispatcher, context.clock, probe_timeout)
+    context.dispatcher.bind(executor.execute, final_actions.fail_after_fault)
+    return executor
+
+
+def _build_discovery(config: Config, feed: EndpointFeed) -> DiscoveryClient:
+    cached = feed.apply_cached(config)
+    discovery = DiscoveryClient(
+        agent=config.discovery,
+        zones=config.zones,
+        machine_classes=config.machine_classes,
+        version=None if cached is None else cached.topology.version,
+        on_update=feed.on_update,
+        drain_grace_s=config.settings.drain_grace / SECOND,
+    )
+    if cached is not None:
+        discovery.note_known(cached)
+    return discovery
+
+
+def _build_services(
+    core: _Core, clients: ClientConnections, directory: EndpointDirectory, handover: Handover
+) -> Services:
+    config = core.config
+    handover_channel = None
+    # Two processes serve at the same time only if the listening socket is inherited.
+    if config.shared_folder is not None and config.inherited_descriptor is not None:
+        handover_channel = HandoverChannel(config.shared_folder, config.name, handover)
+    targets = AdminTargets(
+        clients=clients,
+        requests=core.context.requests,
+        endpoint_directory=directory,
+        metrics=core.observability.metrics,
+        dispatcher=core.context.dispatcher,
+        handover=handover,
+        handover_channel=handover_channel,
+    )
+    operations = AdminOperations(targets, core.context.clock)
+    return Services(
+        handover=handover,
+        handover_channel=handover_channel,
+        operations=operations,
+        admin_server=None if config.admin is None else AdminServer(config.admin, operations),
+    )
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -35,9 +35,10 @@
 from qos_gateway.server.endpoints.connection import EndpointConnection
 from qos_gateway.server.endpoints.connection_pool import ConnectionPool
 from qos_gateway.server.gateway import GatewayProcess
+from qos_gateway.server.requests.attempt_results import AttemptResults
+from qos_gateway.server.requests.client_requests import ClientRequests
 from qos_gateway.server.requests.open_requests import OpenRequests
 from qos_gateway.server.requests.repeat_guard import RepeatGuard
-from qos_gateway.server.requests.request_attempts import RequestAttempts
 from qos_gateway.server.requests.send_guard import SendGuard
 from qos_gateway.server.start_guard import check_start
 from qos_gateway.types import Health, RequestClass
@@ -79,29 +80,29 @@
         if next(numbers) % LOST_EVERY:
             answer(self, number, request, *rest)
         else:
-            self._close(number, request)
+            self.close(number, request)
 
     _patch(OpenRequests, "answer", forget)
 
 
 def mix_values_up() -> None:
     """Give a client the value of the request before."""
-    answer_with = RequestAttempts._answer_with  # noqa: SLF001
+    answer_with = AttemptResults._answer_with  # noqa: SLF001
     values = [b"none"]
 
-    def mix(self: RequestAttempts, request: Any, attempt: Attempt, outcome: Any, value: bytes | None) -> None:
+    def mix(self: AttemptResults, request: Any, attempt: Attempt, outcome: Any, value: bytes | None) -> None:
         if value is not None:
             values.append(value)
             value = values.pop(0)
         answer_with(self, request, attempt, outcome, value)
 
-    _patch(RequestAttempts, "_answer_with", mix)
+    _patch(AttemptResults, "_answer_with", mix)
 
 
 def ignore_leaving() -> None:
     """Go on for clients that have left."""
     _patch(ClientSocketProtocol, "has_hung_up", lambda _: False)
-    _patch(OpenRequests, "client_disconnected", _nothing)
+    _patch(ClientRequests, "client_disconnected", _nothing)
     _disable_guards()
 
 
@@ -229,7 +230,7 @@
     """Close everything on SIGTERM."""
 
     async def stop(self: GatewayProcess) -> None:
-        self.clients.abort()
+        self.parts.clients.abort()
 
     _patch(GatewayProcess, "stop", stop)
 
--- a/tests/server/test_admin.py
+++ b/tests/server/test_admin.py
@@ -241,9 +241,10 @@
             for number, ending in enumerate((success_reply(b"v"), b"-ERR failed\r\n")):
                 client.send(call_command("charge", number))
                 connection, _ = await harness.endpoint.next_command()
-                assert metric_values(harness.gateway.operations.render_metrics())["in_progress"] == 1
+                assert metric_values(harness.gateway.services.operations.render_metrics())["in_progress"] == 1
                 assert (
-                    metric_values(harness.gateway.operations.render_metrics())["upstream_tries"] == number + 1
+                    metric_values(harness.gateway.services.operations.render_metrics())["upstream_tries"]
+                    == number + 1
                 )
                 connection.send(ending)
                 await client.next_message()
@@ -252,7 +253,7 @@
             client.send(b"*1\r\n$4\r\nPING\r\n*2\r\n$8\r\nCALL.GET\r\n$1\r\nx\r\n")
             assert await client.next_message() == b"PONG"  # neither is a request
             await client.next_message()
-            values = metric_values(harness.gateway.operations.render_metrics())
+            values = metric_values(harness.gateway.services.operations.render_metrics())
             assert [values[f"handled.charge.{how.value}"] for how in RequestResult] == [1, 1, 1]
             assert sum(n for name, n in values.items() if name.startswith("handled.")) == 3
             assert (values["upstream_tries"], values["in_progress"]) == (2, 0)
@@ -265,14 +266,14 @@
     async def test() -> None:
         async with gateway_harness() as harness:
             gateway = harness.gateway
-            assert not await gateway.operations.set_endpoint_disabled("nobody", True)
-            assert not await gateway.operations.set_endpoint_disabled("nobody", False)
+            assert not await gateway.services.operations.set_endpoint_disabled("nobody", True)
+            assert not await gateway.services.operations.set_endpoint_disabled("nobody", False)
             client = await harness.connect_client()
             client.send(call_command(number=1))
             connection, _ = await harness.endpoint.next_command()
             for _ in range(2):
-                assert await gateway.operations.set_endpoint_disabled("s-1", True)
-            assert metric_values(gateway.operations.render_metrics())["skipped_order_servers"] == 1
+                assert await gateway.services.operations.set_endpoint_disabled("s-1", True)
+            assert metric_values(gateway.services.operations.render_metrics())["skipped_order_servers"] == 1
             connection.send(success_reply(b"v"))
             assert await client.next_message() == b"v"  # what it had is finished
             client.send(call_command(number=2))
@@ -286,10 +287,10 @@
             await wait_until(lambda: gateway.discovery._list.version == 4)
             client.send(call_command(number=3))
             assert str(await client.next_message()).startswith("BUSY")
-            assert metric_values(gateway.operations.render_metrics())["skipped_order_servers"] == 1
-            assert await gateway.operations.set_endpoint_disabled("s-1", False)
-            assert await gateway.operations.set_endpoint_disabled("s-1", False)
-            assert metric_values(gateway.operations.render_metrics())["skipped_order_servers"] == 0
+            assert metric_values(gateway.services.operations.render_metrics())["skipped_order_servers"] == 1
+            assert await gateway.services.operations.set_endpoint_disabled("s-1", False)
+            assert await gateway.services.operations.set_endpoint_disabled("s-1", False)
+            assert metric_values(gateway.services.operations.render_metrics())["skipped_order_servers"] == 0
             while not harness.endpoint.commands.qsize():
                 client.send(call_command(number=4))
                 answered = asyncio.ensure_future(client.next_message())
--- a/tests/server/test_client_connections.py
+++ b/tests/server/test_client_connections.py
@@ -306,8 +306,8 @@
             assert set(answers[most:]) == {"BUSY"}
             await wait_until(lambda: len(requests) == 1)
             assert harness.gateway.clients.deferred_bytes == 0
-            assert harness.gateway.metrics.rejections[RejectReason.LOAD_LIMIT] == 300 - most
-            assert not harness.gateway.invariants.violations
+            assert harness.gateway.observability.metrics.rejections[RejectReason.LOAD_LIMIT] == 300 - most
+            assert not harness.gateway.observability.invariants.violations
             assert str(await client.next_message()) == "ERR out of time"
 
     run_on_loop(test)
--- a/tests/server/test_client_disconnects.py
+++ b/tests/server/test_client_disconnects.py
@@ -12,7 +12,7 @@
 
 from qos_gateway.server.clients import connection as client_connection
 from qos_gateway.server.endpoints import connections as endpoints
-from qos_gateway.server.gateway import GatewayProcess
+from qos_gateway.server.wiring import GatewayParts
 from qos_gateway.types import Action, Arrival, AttemptEnded, ClientDisconnected, Outcome, Reject, Send
 from tests.support.scripted_engine import ScriptedEngine, only_endpoint, script_engine
 from tests.support.servers import (
@@ -62,10 +62,10 @@
     def ignore(number: int) -> None:
         del number
 
-    harness.gateway.requests.on_deadline = ignore  # type: ignore[method-assign]
+    harness.gateway.deadlines.on_deadline = ignore  # type: ignore[method-assign]
 
 
-def delay_connects(gateway: GatewayProcess) -> DelayedConnects:
+def delay_connects(gateway: GatewayParts) -> DelayedConnects:
     delayed = DelayedConnects(asyncio.get_running_loop())
     gateway.endpoint_connections.loop = delayed  # type: ignore[assignment]
     return delayed
--- a/tests/server/test_endpoint_feed.py
+++ b/tests/server/test_endpoint_feed.py
@@ -53,9 +53,9 @@
         gateway = GatewayProcess(make_config(1, endpoint_list(5, endpoint_entry("s-1", 1))))
         assert gateway.is_ready()
         await with_timeout(gateway.start())
-        assert gateway.clients.port > 0
-        await gateway.discovery.close()
-        gateway.clients.abort()
+        assert gateway.parts.clients.port > 0
+        await gateway.parts.discovery.close()
+        gateway.parts.clients.abort()
 
     run_on_loop(test)
 
@@ -73,13 +73,13 @@
 
         async def opened() -> None:
             ready.append(gateway.is_ready())
-            await ClientConnections.start(gateway.clients)
+            await ClientConnections.start(gateway.parts.clients)
 
-        monkeypatch.setattr(gateway.clients, "start", opened)
+        monkeypatch.setattr(gateway.parts.clients, "start", opened)
         await with_timeout(gateway.start())
         assert ready == [False]
-        await gateway.discovery.close()
-        gateway.clients.abort()
+        await gateway.parts.discovery.close()
+        gateway.parts.clients.abort()
         agent.close()
 
     run_on_loop(test)
@@ -90,12 +90,12 @@
         monkeypatch.setattr("qos_gateway.server.discovery.endpoint_feed.FIRST_LIST_TIMEOUT_S", 0.01)
         async with gateway_harness() as harness:
             harness.discovery.send_update(endpoint_list(2))
-            await wait_until(lambda: not harness.gateway.is_ready())
+            await wait_until(lambda: not harness.process.is_ready())
             client = await harness.connect_client()
             client.send(b"*1\r\n$4\r\nPING\r\n")
             assert str(await client.next_message()).startswith("LOADING")
             harness.discovery.send_update(endpoint_list(3, endpoint_entry("s-1", harness.endpoint.port)))
-            await wait_until(harness.gateway.is_ready)
+            await wait_until(harness.process.is_ready)
             client.send(b"*1\r\n$4\r\nPING\r\n")
             assert await client.next_message() == b"PONG"
 
@@ -150,12 +150,12 @@
             discovery.first_update = endpoint_list(1, endpoint_entry("s-1", endpoint.port))
             gateway = GatewayProcess(make_config(discovery.port))
             looks = [True, True, False, False]
-            monkeypatch.setattr(gateway.discovery, "has_unread_data", lambda: looks.pop(0))
+            monkeypatch.setattr(gateway.parts.discovery, "has_unread_data", lambda: looks.pop(0))
             await with_timeout(gateway.start())
             assert looks == []
-            assert not gateway.invariants.violations
-            await gateway.discovery.close()
-            gateway.endpoint_connections.close()
-            gateway.clients.abort()
+            assert not gateway.parts.observability.invariants.violations
+            await gateway.parts.discovery.close()
+            gateway.parts.endpoint_connections.close()
+            gateway.parts.clients.abort()
 
     run_on_loop(test)
--- a/tests/server/test_endpoint_list.py
+++ b/tests/server/test_endpoint_list.py
@@ -56,7 +56,7 @@
             servers = harness.gateway.dispatcher.engine.load_balancer.registry.endpoints
             await wait_until(lambda: endpoint_id("new") in servers)
             assert servers[endpoint_id("old")].endpoint.started_at == 0
-            start = harness.gateway.config.settings.initial_capacity_fraction
+            start = harness.process.config.settings.initial_capacity_fraction
             fraction = harness.gateway.dispatcher.engine.load_balancer.slow_start.fraction(
                 harness.gateway.clock(), servers[endpoint_id("new")]
             )
--- a/tests/server/test_graceful_shutdown.py
+++ b/tests/server/test_graceful_shutdown.py
@@ -48,7 +48,7 @@
             client = await harness.connect_client()
             client.send(call_command(number=1))
             connection, _ = await harness.endpoint.next_command()
-            stopping = asyncio.create_task(harness.gateway.stop())
+            stopping = asyncio.create_task(harness.process.stop())
             await wait_until(lambda: harness.gateway.clients.closing)
             connection.send(success_reply(b"v"))
             assert [await client.next_message(), await client.next_message()] == [b"v", None]
@@ -97,7 +97,7 @@
             await wait_until(
                 lambda: any(c.commands.partial_since for c in harness.gateway.clients._new_connections)
             )
-            stopping = asyncio.create_task(harness.gateway.stop())
+            stopping = asyncio.create_task(harness.process.stop())
             assert str(await client.next_message()) == "BUSY"
             client.send(
                 call_command(number=1)[-3:]
@@ -125,7 +125,7 @@
             client = await harness.connect_client()
             client.send(call_command(number=1))
             first, _ = await harness.endpoint.next_command()
-            stopping = asyncio.create_task(harness.gateway.stop())
+            stopping = asyncio.create_task(harness.process.stop())
             await wait_until(lambda: harness.gateway.clients.closing)
             killed = harness.gateway.clock() + SECOND // 2 + 7 * SECOND // 10
             client.send(call_command(number=2))
--- a/tests/server/test_guards.py
+++ b/tests/server/test_guards.py
@@ -187,7 +187,7 @@
             harness.gateway.executor.execute(Send(number, only_endpoint(harness), 0))
             harness.gateway.executor.execute(Reject(number, 0))
             assert str(await client.next_message()) == "ERR failed"
-            assert harness.gateway.invariants.violations == {Invariant.REPEAT: 2}
+            assert harness.gateway.observability.invariants.violations == {Invariant.REPEAT: 2}
             assert harness.endpoint.commands.empty()
             connection.send(success_reply(b"late"))
 
@@ -209,7 +209,7 @@
             harness.gateway.dispatcher.handle(Topology(0, 2, (entry,)))  # type: ignore[arg-type]
             client.send(call_command(number=2, wait_ms=100))
             assert str(await client.next_message()) == "ERR out of time"
-            assert harness.gateway.invariants.violations == {Invariant.SEND: 1}
+            assert harness.gateway.observability.invariants.violations == {Invariant.SEND: 1}
             assert harness.endpoint.commands.empty()
 
     run_on_loop(test)
@@ -224,6 +224,6 @@
             await wait_until(lambda: len(harness.gateway.requests) == 1)
             harness.gateway.clients.abort()
             assert await client.next_message() is None
-            assert harness.gateway.invariants.violations == {Invariant.CLOSE: 1}
+            assert harness.gateway.observability.invariants.violations == {Invariant.CLOSE: 1}
 
     run_on_loop(test)
--- a/tests/server/test_handover.py
+++ b/tests/server/test_handover.py
@@ -35,7 +35,7 @@
 
 def captured(harness: GatewayHarness) -> dict[str, Any]:
     """The state as the next process receives it."""
-    line = encode_message(StateResponse(harness.gateway.handover.capture_state()))
+    line = encode_message(StateResponse(harness.gateway.services.handover.capture_state()))
     raw: dict[str, Any] = json.loads(line)["state"]
     return raw
 
@@ -56,13 +56,13 @@
                 == old.gateway.endpoint_connections.max_connections
                 == 1 + EXTRA_ENDPOINT_CONNECTIONS
             )
-            new.gateway.handover.restore_state(ReceivedState(raw), list_is_current=True)
+            new.gateway.services.handover.restore_state(ReceivedState(raw), list_is_current=True)
             assert new.gateway.clients.max_connections == max_clients - raw["clients"]
             assert new.gateway.endpoint_connections.max_connections == max_endpoints - raw["backends"]
             assert old.gateway.clients.buffer_memory == int(memory * FRACTIONS.outgoing)
             assert new.gateway.clients.buffer_memory == int(memory * FRACTIONS.incoming)
             for harness in (old, new):
-                harness.gateway.handover.on_other_process_ended()
+                harness.gateway.services.handover.on_other_process_ended()
                 assert harness.gateway.clients.max_connections == max_clients
                 assert harness.gateway.endpoint_connections.max_connections == max_endpoints
                 assert harness.gateway.clients.buffer_memory == memory
@@ -79,7 +79,7 @@
         async with gateway_harness() as old, gateway_harness() as new:
             raw = captured(old)
             raw["list"] = endpoint_list(9, *(endpoint_entry(f"s-{n}", 1) for n in range(3)))
-            new.gateway.handover.restore_state(ReceivedState(raw), list_is_current)
+            new.gateway.services.handover.restore_state(ReceivedState(raw), list_is_current)
             assert new.gateway.endpoint_directory.listed_count() == (1 if list_is_current else 3)
 
     run_on_loop(test)
@@ -98,7 +98,7 @@
                 new.gateway.endpoint_connections.max_connections,
             )
             with caplog.at_level(logging.ERROR):
-                new.gateway.handover.restore_state(ReceivedState(raw), list_is_current=True)
+                new.gateway.services.handover.restore_state(ReceivedState(raw), list_is_current=True)
             assert "handover_state_invalid" in caplog.text
             assert (
                 new.gateway.clients.max_connections,
--- a/tests/server/test_held_values.py
+++ b/tests/server/test_held_values.py
@@ -79,7 +79,9 @@
                 connection, _ = await harness.endpoint.next_command()
                 held[2] = connection
             held[large].abort()
-            await wait_until(lambda: harness.gateway.activity.attempt_outcomes[Outcome.RESET] == 1)
+            await wait_until(
+                lambda: harness.gateway.observability.activity.attempt_outcomes[Outcome.RESET] == 1
+            )
             held[small].send(success_reply(b"small"))
             answers = [await client.next_message(), await client.next_message()]
             if order == "large last":
--- a/tests/server/test_large_values.py
+++ b/tests/server/test_large_values.py
@@ -33,7 +33,7 @@
 
 
 def figures(harness: GatewayHarness) -> tuple[int, int, int]:
-    return tuple(harness.gateway.metrics.requests[0].values())  # type: ignore[return-value]
+    return tuple(harness.gateway.observability.metrics.requests[0].values())  # type: ignore[return-value]
 
 
 @pytest.mark.parametrize(
@@ -142,11 +142,11 @@
 
     async def test() -> None:
         async with gateway_harness() as harness:
-            requests = harness.gateway.requests
+            deadlines = harness.gateway.deadlines
             client = await harness.connect_client()
             client.send(call_command(wait_ms=200))
             connection, _ = await harness.endpoint.next_command()
-            requests.latest_deadline = requests.clock() + SECOND * 4 // 10
+            deadlines.latest_deadline = deadlines.clock() + SECOND * 4 // 10
             connection.send(success_reply(value(100_000))[:50_000])
             end = asyncio.ensure_future(client.reader.read())
             for _ in range(1000):
@@ -155,7 +155,7 @@
                     break
                 await asyncio.sleep(0.02)
             await with_timeout(end)
-            late = requests.clock() - requests.latest_deadline
+            late = deadlines.clock() - deadlines.latest_deadline
             assert 0 < late < endpoint_connection.MAX_OVERTIME_S * SECOND // 2
 
     run_on_loop(test)
@@ -305,7 +305,7 @@
                 pooled.last_data_at = 0.0
             pooled.last_data_at = last_data_at - 61.0
             pooled._check_stall()
-            assert harness.gateway.activity.attempt_outcomes[Outcome.RESET] == 1
+            assert harness.gateway.observability.activity.attempt_outcomes[Outcome.RESET] == 1
 
     run_on_loop(test)
 
--- a/tests/server/test_momentary_failures.py
+++ b/tests/server/test_momentary_failures.py
@@ -76,10 +76,10 @@
             discovery.first_update = endpoint_list(1, endpoint_entry("s-1", endpoint.port))
             gateway = GatewayProcess(make_config(discovery.port))
             await with_timeout(gateway.start())
-            assert gateway.clients.port > 0
-            await gateway.discovery.close()
-            gateway.endpoint_connections.close()
-            gateway.clients.abort()
+            assert gateway.parts.clients.port > 0
+            await gateway.parts.discovery.close()
+            gateway.parts.endpoint_connections.close()
+            gateway.parts.clients.abort()
 
     run_on_loop(test)
 
--- a/tests/server/test_peers.py
+++ b/tests/server/test_peers.py
@@ -112,7 +112,9 @@
             gateway = GatewayProcess(parse(raw, {}))
             await with_timeout(gateway.start())
             stopping = asyncio.create_task(gateway.stop())
-            await wait_until(lambda: gateway.clients.closing and gateway.clients.connection_count() == 0)
+            await wait_until(
+                lambda: gateway.parts.clients.closing and gateway.parts.clients.connection_count() == 0
+            )
             told.at.clear()
             await wait_until(lambda: len(told.at) >= 3)
             assert not stopping.done()
--- a/tests/server/test_requests.py
+++ b/tests/server/test_requests.py
@@ -8,7 +8,7 @@
 import pytest
 
 from qos_gateway.server.endpoints.attempt import Attempt
-from qos_gateway.server.requests.request_attempts import MAX_QUOTA_USAGE_PERCENT
+from qos_gateway.server.requests.attempt_results import MAX_QUOTA_USAGE_PERCENT
 from qos_gateway.types import (
     Action,
     Arrival,
@@ -325,7 +325,7 @@
             client.abort()
             await wait_until(lambda: bool(engine.events_of(ClientDisconnected)))
             assert not engine.events_of(AttemptEnded)
-            timer = harness.gateway.requests._requests[engine.events_of(Arrival)[0].request_id].timer
+            timer = harness.gateway.requests._requests[engine.events_of(Arrival)[0].request_id].deadline_timer
             assert timer is not None
             assert not timer.cancelled()
             pass_deadline(harness, engine)
--- a/tests/support/scripted_engine.py
+++ b/tests/support/scripted_engine.py
@@ -45,11 +45,11 @@
 
 def pass_deadline(harness: GatewayHarness, engine: ScriptedEngine) -> None:
     """Let the latest request's deadline pass, however fast the machine is."""
-    requests = harness.gateway.requests
+    deadlines = harness.gateway.deadlines
     clock = harness.gateway.clock
-    requests.clock = lambda: clock() + 60 * SECOND
-    requests.on_deadline(engine.events_of(Arrival)[-1].request_id)
-    requests.clock = clock
+    deadlines.clock = lambda: clock() + 60 * SECOND
+    deadlines.on_deadline(engine.events_of(Arrival)[-1].request_id)
+    deadlines.clock = clock
 
 
 def only_endpoint(harness: GatewayHarness) -> int:
--- a/tests/support/servers.py
+++ b/tests/support/servers.py
@@ -280,8 +280,9 @@
 class GatewayHarness:
     """A gateway with one endpoint and its discovery, and clients for it."""
 
-    def __init__(self, gateway: GatewayProcess, discovery: FakeDiscovery, endpoint: FakeEndpoint) -> None:
-        self.gateway = gateway
+    def __init__(self, process: GatewayProcess, discovery: FakeDiscovery, endpoint: FakeEndpoint) -> None:
+        self.process = process
+        self.gateway = process.parts
         self.discovery = discovery
         self.endpoint = endpoint
 
@@ -295,10 +296,11 @@
     endpoint = FakeEndpoint()
     async with listening(discovery), listening(endpoint):
         discovery.first_update = endpoint_list(1, endpoint_entry("s-1", endpoint.port))
-        gateway = GatewayProcess(make_config(discovery.port, None, counter, **changes))
-        await with_timeout(gateway.start())
+        process = GatewayProcess(make_config(discovery.port, None, counter, **changes))
+        gateway = process.parts
+        await with_timeout(process.start())
         try:
-            yield GatewayHarness(gateway, discovery, endpoint)
+            yield GatewayHarness(process, discovery, endpoint)
         finally:
             await gateway.discovery.close()
             gateway.endpoint_connections.close()
