--- a/qos_gateway/server/discovery/endpoint_feed.py
+++ b/qos_gateway/server/discovery/endpoint_feed.py
@@ -8,6 +8,7 @@
 
 from ...types import ListKind, Topology
 from ..config import Config
+from ..event_dispatcher import TopologyNotAppliedError
 from .endpoint_directory import EndpointDirectory
 from .endpoint_list import EndpointUpdate, parse_update
 from .errors import ListError
@@ -23,7 +24,7 @@
     """Passes events to the decision engine."""
 
     def handle(self, event: Topology) -> None:
-        """Apply a list; raises `ListError` where the engine did not apply it."""
+        """Apply a list; raises `TopologyNotAppliedError` where the engine did not."""
 
 
 class UsableEndpoints(Protocol):
@@ -48,7 +49,10 @@
     def apply(self, update: EndpointUpdate) -> None:
         """Apply a list or changes to it; raises `ListError` where the engine did not apply it."""
         self._directory.apply(update)
-        self._dispatcher.handle(update.topology)
+        try:
+            self._dispatcher.handle(update.topology)
+        except TopologyNotAppliedError as error:
+            raise ListError(str(error)) from error
 
     def on_update(self, update: EndpointUpdate) -> None:
         """Apply an update from discovery; raises `ListError` where the engine did not apply it."""
--- a/qos_gateway/server/requests/request_log.py
+++ b/qos_gateway/server/requests/request_log.py
@@ -1,6 +1,6 @@
 """The log of requests: why each was rejected or sent once more.
 
-The lines are at debug level, as there is one for each event; the metrics count the same reasons at any level.
+The lines are at debug level, as there is one for each event. The metrics count the same reasons.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def retry_cause(attempts: Sequence[Attempt]) -> RetryCause:
-    """Return why a request whose attempts so far are these is sent once more."""
+    """Return the cause of the next attempt of a request with these attempts."""
     if not attempts:
         return RetryCause.NOT_SENT
     last = attempts[-1]
