--- a/qos_gateway/server/action_executor.py
+++ b/qos_gateway/server/action_executor.py
@@ -104,7 +104,9 @@
             self._unsupported(action)
             return
         now = self._clock()
-        attempt = ProbeAttempt(action.endpoint, now, now + self._probe_timeout)
+        attempt = ProbeAttempt(
+            endpoint=action.endpoint, started_at_ns=now, expires_at_ns=now + self._probe_timeout
+        )
         self._endpoint_connections.start_attempt(attempt, self._probe_timeout / SECOND)
 
     def _log_line(self, action: LogLine) -> None:
--- a/qos_gateway/server/endpoints/attempt.py
+++ b/qos_gateway/server/endpoints/attempt.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING, NamedTuple
+from dataclasses import dataclass, field
+from typing import NamedTuple, Protocol
 
 import hiredis
 
@@ -11,14 +12,9 @@
 from ...units import MILLISECOND
 from .responses import read_probe_response, read_response
 
-if TYPE_CHECKING:
-    from .connection import EndpointConnection
-
-CommandParts = tuple[tuple[bytes, ...], bytes, bytes, tuple[bytes, ...]]
-
 
 class AttemptCommand(NamedTuple):
-    """The client's command, divided where the deadline of an attempt goes in."""
+    """The client's command, divided where the deadline of an attempt is inserted."""
 
     command_start: tuple[bytes, ...]
     pairs_before_deadline: bytes
@@ -26,74 +22,70 @@
     body: tuple[bytes, ...]
 
 
-_PROBE_COMMAND = AttemptCommand((b"INFO", b"load"), b"", b"", ())
+class AttemptConnection(Protocol):
+    """The connection that carries an attempt, as far as the end of the attempt needs it."""
+
+    has_unsent: bool
+
+    def close(self) -> None:
+        """Close at once."""
 
+    def limit_overtime(self) -> None:
+        """Bound the time that a response which has begun may still take."""
 
+
+@dataclass(slots=True, kw_only=True, eq=False, repr=False)
 class Attempt:
-    """One attempt of one request at one endpoint; times are in ns on the gateway's clock."""
-
-    __slots__ = (
-        "command",
-        "connection",
-        "ended",
-        "endpoint",
-        "expires_at",
-        "number",
-        "outcome",
-        "request",
-        "response_started_at",
-        "send_deadline",
-        "started_at",
-        "timer",
-    )
-
-    read_response = staticmethod(read_response)  # the meaning of a whole response to it
-
-    def __init__(
-        self,
-        request: int,
-        number: int,
-        endpoint: int,
-        started_at: int,
-        expires_at: int,
-        command_parts: CommandParts,
-        send_deadline: int = 0,
-    ) -> None:
-        """Take `send_deadline` as the time from which on it must not be written; 0 for none."""
-        self.request = request
-        self.number = number
-        self.endpoint = endpoint
-        self.started_at = started_at
-        self.expires_at = expires_at
-        self.send_deadline = send_deadline
-        self.command = AttemptCommand(*command_parts)
-        self.response_started_at = 0  # when a large value's first bytes came
-        self.ended = False  # its result has been reported
-        self.outcome: Outcome | None = None  # how it ended, None before
-        self.connection: EndpointConnection | None = None
-        self.timer: asyncio.TimerHandle | None = None
-
-    def payload(self, now: int) -> bytes:
-        """Return the client's own bytes, but for `d`: the time left to this attempt in ms, rounded up."""
+    """One attempt of one request at one endpoint; times are read from the gateway's clock."""
+
+    request: int
+    number: int
+    endpoint: int
+    started_at_ns: int
+    expires_at_ns: int
+    command: AttemptCommand
+    send_deadline_ns: int = 0  # the command must not be written at this time or later; 0 for no such limit
+    response_started_at_ns: int = field(default=0, init=False)  # when the first bytes of a large value came
+    ended: bool = field(default=False, init=False)  # its result is reported
+    outcome: Outcome | None = field(default=None, init=False)  # None until it has ended
+    connection: AttemptConnection | None = field(default=None, init=False)
+    timer: asyncio.TimerHandle | None = field(default=None, init=False)  # its own time-out
+
+    read_response = staticmethod(read_response)
+
+    def payload(self, now_ns: int) -> bytes:
+        """Return the client's command with `d` set to the attempt's remaining time in ms, rounded up."""
         command = self.command
-        time_left_ms = max(1, -(-(self.expires_at - now) // MILLISECOND))
+        time_left_ms = max(1, -(-(self.expires_at_ns - now_ns) // MILLISECOND))
         pairs = b"%bd=%d%b" % (command.pairs_before_deadline, time_left_ms, command.pairs_after_deadline)
         words: tuple[bytes, ...] = (*command.command_start, pairs, *command.body)
         packed: bytes = hiredis.pack_command(words)  # type: ignore[arg-type]  # its stub lacks bytes
         return packed
 
 
+_PROBE_COMMAND = AttemptCommand(
+    command_start=(b"INFO", b"load"), pairs_before_deadline=b"", pairs_after_deadline=b"", body=()
+)
+
+
 class ProbeAttempt(Attempt):
-    """Asks a endpoint for its load, on a pooled connection like any attempt, but for no request."""
+    """A request for an endpoint's load report, which belongs to no client's request."""
 
     __slots__ = ()
 
     read_response = staticmethod(read_probe_response)
 
-    def __init__(self, endpoint: int, started_at: int, expires_at: int) -> None:
-        super().__init__(0, 0, endpoint, started_at, expires_at, _PROBE_COMMAND)
-
-    def payload(self, now: int) -> bytes:  # noqa: ARG002  # a probe tells no deadline
+    def __init__(self, *, endpoint: int, started_at_ns: int, expires_at_ns: int) -> None:
+        super().__init__(
+            request=0,
+            number=0,
+            endpoint=endpoint,
+            started_at_ns=started_at_ns,
+            expires_at_ns=expires_at_ns,
+            command=_PROBE_COMMAND,
+        )
+
+    def payload(self, now_ns: int) -> bytes:  # noqa: ARG002  # a probe carries no deadline
         """Return the probe's command."""
         packed: bytes = hiredis.pack_command(self.command.command_start)  # type: ignore[arg-type]
         return packed
--- a/qos_gateway/server/endpoints/connection_pool.py
+++ b/qos_gateway/server/endpoints/connection_pool.py
@@ -149,7 +149,7 @@
 
         Its time-out may be due in the same turn of the loop, and not have run yet.
         """
-        is_over = attempt.expires_at <= now or 0 < attempt.send_deadline <= now
+        is_over = attempt.expires_at_ns <= now or 0 < attempt.send_deadline_ns <= now
         return is_over or self._is_grace_over()
 
     def _is_grace_over(self) -> bool:
--- a/qos_gateway/server/endpoints/connections.py
+++ b/qos_gateway/server/endpoints/connections.py
@@ -158,7 +158,7 @@
         if pool is None:
             self.loop.call_soon(self.connect_failed, attempt)
         else:
-            pool.start(attempt, attempt.started_at)
+            pool.start(attempt, attempt.started_at_ns)
 
     def request_written(self, attempt: Attempt) -> None:
         """Count an attempt whose last byte is sent, unless it is a probe."""
--- a/qos_gateway/server/endpoints/response_receiver.py
+++ b/qos_gateway/server/endpoints/response_receiver.py
@@ -76,7 +76,7 @@
     def _start_stream(self, attempt: Attempt, flow: FlowControl) -> ValueStream | None:
         self.parser = hiredis.Reader()
         self.parser.feed(EMPTY_VALUE_START)
-        attempt.response_started_at = self._clock()
+        attempt.response_started_at_ns = self._clock()
         length = self._frames.large
         sink = self._response_started(attempt, length, flow)
         return None if sink is None else ValueStream(sink, length)
--- a/qos_gateway/server/requests/repeat_guard.py
+++ b/qos_gateway/server/requests/repeat_guard.py
@@ -84,7 +84,7 @@
     def _broken_key_rule(
         self, request_class: RequestClass, first: Attempt, endpoint: int, now: int
     ) -> str | None:
-        if now - first.started_at >= request_class.idempotency_window:
+        if now - first.started_at_ns >= request_class.idempotency_window:
             return "idempotency_window"
         before, after = self._find_endpoint(first.endpoint), self._find_endpoint(endpoint)
         if before is None or after is None:
--- a/qos_gateway/server/requests/request_attempts.py
+++ b/qos_gateway/server/requests/request_attempts.py
@@ -10,7 +10,7 @@
 from ...types import AttemptEnded, CancelAttempt, Outcome, ProbeEnded, ResponseStarted, Send, Settings
 from ...units import SECOND
 from ..clients.pending_replies import StreamedReply
-from ..endpoints.attempt import Attempt, ProbeAttempt
+from ..endpoints.attempt import Attempt, AttemptCommand, ProbeAttempt
 from ..endpoints.connections import EndpointConnections
 from ..endpoints.responses import LoadReport
 from ..event_dispatcher import EventDispatcher
@@ -82,9 +82,16 @@
         has_own_timeout = 0 < action.timeout < time_left
         expires = now + (action.timeout if has_own_timeout else time_left)
         call = request.call
-        parts = (call.command_start, call.pairs_before_deadline, call.pairs_after_deadline, call.body)
         attempt = Attempt(
-            action.request_id, index, action.endpoint, now, expires, parts, action.send_deadline
+            request=action.request_id,
+            number=index,
+            endpoint=action.endpoint,
+            started_at_ns=now,
+            expires_at_ns=expires,
+            command=AttemptCommand(
+                call.command_start, call.pairs_before_deadline, call.pairs_after_deadline, call.body
+            ),
+            send_deadline_ns=action.send_deadline,
         )
         request.attempts.append(attempt)
         request.attempts_in_flight[index] = attempt
@@ -159,7 +166,7 @@
         if attempt.timer is not None:
             attempt.timer.cancel()
         relay = request.slot.client.start_stream(request.slot, length, flow)
-        elapsed = max(0, attempt.response_started_at - attempt.started_at)
+        elapsed = max(0, attempt.response_started_at_ns - attempt.started_at_ns)
         self._handle(ResponseStarted(number, elapsed, attempt.number, attempt.endpoint), number)
         return None if request.closed else relay
 
@@ -167,7 +174,7 @@
         self, attempt: Attempt, outcome: Outcome, value: bytes | None, report: LoadReport
     ) -> None:
         """Answer the client where this was the response, and tell the engine how the attempt ended."""
-        elapsed = max(0, self._clock() - attempt.started_at)
+        elapsed = max(0, self._clock() - attempt.started_at_ns)
         load_report = self._load_report(report)
         if isinstance(attempt, ProbeAttempt):
             self._handle(ProbeEnded(outcome, attempt.endpoint, elapsed, load_report))
@@ -178,7 +185,7 @@
         request.attempts_in_flight.pop(attempt.number, None)
         if request.streaming_attempt is attempt:
             elapsed = max(
-                0, attempt.response_started_at - attempt.started_at
+                0, attempt.response_started_at_ns - attempt.started_at_ns
             )  # what came after it was the network's time
         if not request.closed:
             self._answer_with(request, attempt, outcome, value)
--- a/qos_gateway/server/requests/send_guard.py
+++ b/qos_gateway/server/requests/send_guard.py
@@ -42,10 +42,10 @@
             return None
         if request.closed:
             return "answered_request"
-        if attempt.expires_at <= now:
+        if attempt.expires_at_ns <= now:
             return "time_over"
-        if attempt.expires_at > request.deadline:
+        if attempt.expires_at_ns > request.deadline:
             return "deadline_beyond_request"
-        if 0 < attempt.send_deadline <= now:
+        if 0 < attempt.send_deadline_ns <= now:
             return "idempotency_window"
         return None
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -108,16 +108,16 @@
 def promise_too_much_time() -> None:
     """Tell order servers more time than the client has."""
     payload = Attempt.payload
-    _patch(Attempt, "payload", lambda self, now: payload(self, now - SECOND))
+    _patch(Attempt, "payload", lambda self, now_ns: payload(self, now_ns - SECOND))
 
 
 def alter_commands() -> None:
     """Send order servers the customer's number in other letters."""
     payload = Attempt.payload
 
-    def alter(self: Attempt, now: int) -> bytes:
+    def alter(self: Attempt, now_ns: int) -> bytes:
         customer = self.command.command_start[1]
-        return payload(self, now).replace(customer, customer.upper().replace(b"0", b"F"), 1)
+        return payload(self, now_ns).replace(customer, customer.upper().replace(b"0", b"F"), 1)
 
     _patch(Attempt, "payload", alter)
 
--- a/tests/server/test_endpoint_connections.py
+++ b/tests/server/test_endpoint_connections.py
@@ -10,6 +10,7 @@
 import pytest
 
 from qos_gateway.server.endpoints import response_receiver
+from qos_gateway.server.endpoints.connection import EndpointConnection
 from qos_gateway.server.endpoints.responses import AttemptResult, LoadReport, read_load_report, read_response
 from qos_gateway.server.networking.clock import monotonic_unix_ns
 from qos_gateway.server.networking.resp import ResponseFrames
@@ -145,7 +146,7 @@
             connection, _ = await endpoint.next_command()
             connection.send(b"*3\r\n$5\r\nhal")
             pooled = attempt.connection
-            assert pooled is not None
+            assert isinstance(pooled, EndpointConnection)
             await wait_until(lambda: pooled.timer is not None)
             connection.abort()
             assert (await b.end())[:2] == (1, Outcome.RESET)
@@ -184,7 +185,7 @@
         async with endpoint_harness(endpoint) as b:
             attempt = b.start(1)
             connection, _ = await endpoint.next_command()
-            assert attempt.connection is not None
+            assert isinstance(attempt.connection, EndpointConnection)
             monkeypatch.setattr(attempt.connection.responses, "parser", FeedRecorder())
             connection.send(b"*3\r\n$1\r\nv\r\n*100000000\r\n")
             assert (await b.end())[1] is Outcome.RESET
@@ -266,7 +267,10 @@
                 server.setblocking(False)
                 taken, _ = await with_timeout(loop.sock_accept(server))
                 await wait_until(
-                    lambda: attempt.connection is not None and attempt.connection.transport is not None
+                    lambda: (
+                        isinstance(attempt.connection, EndpointConnection)
+                        and attempt.connection.transport is not None
+                    )
                 )
                 if how == "reset":
                     taken.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/tests/server/test_guards.py
+++ b/tests/server/test_guards.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from qos_gateway.server.endpoints.attempt import Attempt
+from qos_gateway.server.endpoints.attempt import Attempt, AttemptCommand
 from qos_gateway.server.observability.invariants import Invariant, InvariantMonitor
 from qos_gateway.server.requests.repeat_guard import RepeatGuard
 from qos_gateway.server.requests.send_guard import SendGuard
@@ -26,7 +26,7 @@
 
 SECOND = 1_000_000_000
 IDEMPOTENT, KEYED, NOT_IDEMPOTENT = 0, 1, 2  # classes of the settings of the tests
-PARTS = ((b"CALL.GET", b"c", b"i"), b"", b"", ())
+COMMAND = AttemptCommand((b"CALL.GET", b"c", b"i"), b"", b"", ())
 
 
 @dataclass
@@ -47,7 +47,14 @@
 def attempt_at(
     endpoint: int = 1, started_at: int = 0, outcome: Outcome | None = None, expires_at: int = 2 * SECOND
 ) -> Attempt:
-    attempt = Attempt(1, 0, endpoint, started_at, expires_at, PARTS)
+    attempt = Attempt(
+        request=1,
+        number=0,
+        endpoint=endpoint,
+        started_at_ns=started_at,
+        expires_at_ns=expires_at,
+        command=COMMAND,
+    )
     attempt.ended = outcome is not None
     attempt.outcome = outcome
     return attempt
@@ -75,7 +82,7 @@
 ) -> None:
     monitor = InvariantMonitor()
     attempt = attempt_at(expires_at=expires_at)
-    attempt.send_deadline = send_deadline
+    attempt.send_deadline_ns = send_deadline
     request = replace(FakeRequest(), **request_changes)  # type: ignore[arg-type]
     assert SendGuard(monitor).allows(attempt, request, drained, SECOND) is (rule is None)
     assert monitor.violations[Invariant.SEND] == (rule is not None)
--- a/tests/support/endpoint_harness.py
+++ b/tests/support/endpoint_harness.py
@@ -6,7 +6,7 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 
-from qos_gateway.server.endpoints.attempt import Attempt
+from qos_gateway.server.endpoints.attempt import Attempt, AttemptCommand
 from qos_gateway.server.endpoints.connections import EndpointConnections
 from qos_gateway.server.endpoints.responses import LoadReport
 from qos_gateway.server.networking.clock import monotonic_unix_ns
@@ -56,8 +56,15 @@
         send_deadline: int = 0,
     ) -> Attempt:
         now = CLOCK()
-        command_parts = ((b"CALL.POST", b"c", b"i"), b"c=x,", b",k=y", (body,))
-        attempt = Attempt(request, 0, endpoint, now, now + 3 * SECOND, command_parts, send_deadline)
+        attempt = Attempt(
+            request=request,
+            number=0,
+            endpoint=endpoint,
+            started_at_ns=now,
+            expires_at_ns=now + 3 * SECOND,
+            command=AttemptCommand((b"CALL.POST", b"c", b"i"), b"c=x,", b",k=y", (body,)),
+            send_deadline_ns=send_deadline,
+        )
         self.pools.start_attempt(attempt, timeout)
         return attempt
 
