--- /dev/null
+++ b/qos_gateway/server/endpoints/attempt_reporter.py
@@ -0,0 +1,61 @@
+"""Reports on attempts to the requests that they belong to: the one place where an attempt ends."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Protocol
+
+from ...types import Outcome
+from ..networking.value_stream import FlowControl, ResponseSink
+from ..observability.metrics import Metrics
+from .attempt import Attempt, ProbeAttempt
+from .responses import AttemptResult
+
+
+class AttemptListener(Protocol):
+    """The requests' side of attempts."""
+
+    def on_attempt_ended(self, attempt: Attempt, result: AttemptResult, /) -> None:
+        """Handle the end of an attempt; called exactly once for each, never before its start returns."""
+
+    def on_response_started(self, attempt: Attempt, length: int, flow: FlowControl, /) -> ResponseSink | None:
+        """Return the sink of a large value of `length` bytes, or None to cancel the attempt."""
+
+    def is_wanted(self, attempt: Attempt, /) -> bool:
+        """Return whether the client of an attempt still waits for its response."""
+
+    def allows_send(self, attempt: Attempt, is_drained: bool, now_ns: int, /) -> bool:
+        """Return whether an attempt may be written now; called right before the write."""
+
+
+class AttemptReporter:
+    """Ends each attempt exactly once, and counts the attempts that are written."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, listener: AttemptListener, metrics: Metrics) -> None:
+        self._loop = loop
+        self._on_attempt_ended = listener.on_attempt_ended
+        self._metrics = metrics
+
+    def record_written(self, attempt: Attempt) -> None:
+        """Count an attempt whose last byte is sent, unless it is a probe."""
+        if not isinstance(attempt, ProbeAttempt):
+            self._metrics.attempts += 1
+
+    def finish(self, attempt: Attempt, result: AttemptResult) -> None:
+        """End an attempt and report its result; has no effect on an attempt that has ended."""
+        if attempt.ended:
+            return
+        attempt.ended = True
+        attempt.outcome = result.outcome
+        attempt.connection = None
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+            attempt.timer = None
+        self._on_attempt_ended(attempt, result)
+
+    def finish_later(self, attempt: Attempt, outcome: Outcome) -> None:
+        """End an attempt without a response in the next turn of the event loop.
+
+        An attempt that fails while it is started ends this way, as its end is never reported before.
+        """
+        self._loop.call_soon(self.finish, attempt, AttemptResult.without_response(outcome))
--- a/qos_gateway/server/endpoints/connection.py
+++ b/qos_gateway/server/endpoints/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a endpoint: it carries one attempt at a time, and is idle in between."""
+"""One connection to an endpoint: connecting, active with one attempt, idle, or closed."""
 
 from __future__ import annotations
 
@@ -7,44 +7,56 @@
 import select
 import socket
 from contextlib import suppress
-from typing import TYPE_CHECKING, cast
+from typing import Protocol, cast
 
 import hiredis
 
 from ...types import Outcome
+from ..config import Address
+from ..networking.transient_errors import is_shortage
 from ..observability.logs import RateLimitFilter
 from .attempt import Attempt
+from .connection_context import ConnectionContext
+from .response_deadline import ResponseDeadline
 from .response_receiver import ResponseReceiver
 from .responses import AttemptResult
 
-if TYPE_CHECKING:
-    from .connection_pool import ConnectionPool
-
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
 
-RECEIVE_BUFFER_BYTES = 64 << 10  # of a response that the system keeps unread: what one read may bring
-MAX_OVERTIME_S = 0.3  # in which a large value may go on past the client's time: half a second late it is lost
-STALE_RESET_WINDOW_S = 0.02  # after a request's last byte, over a round trip: a reset within it answers it
+RECEIVE_BUFFER_BYTES = 64 << 10  # in the system; bounds what one read returns
+STALE_RESET_WINDOW_S = 0.02  # after a request's last byte, above a round trip: a reset in it is the answer
+
+
+class ConnectionListener(Protocol):
+    """What a connection reports its changes of state to."""
+
+    def on_connected(self, connection: EndpointConnection, /) -> None:
+        """Send the attempt that the connection was opened for, or close the connection."""
+
+    def on_released(self, connection: EndpointConnection, /) -> None:
+        """Take back a connection that has become idle, to be reused or closed."""
+
+    def on_closed(self, connection: EndpointConnection, /) -> None:
+        """Forget a closed connection; may be called more than once for one connection."""
 
 
 class EndpointConnection(asyncio.Protocol):
-    """A connection that is connecting, active with an attempt, idle in its pool, or closed.
+    """A connection that carries one attempt at a time.
 
-    An attempt's bytes are known to be sent once the write buffer is empty.
+    All bytes of an attempt are sent once the write buffer is empty.
     """
 
     __slots__ = (
+        "address",
         "attempt",
         "connect_task",
+        "context",
+        "deadline",
         "has_unsent",
         "idle_before_request_s",
         "idle_since",
-        "last_data_at",
-        "overtime_since",
-        "owner",
-        "paused",
-        "pool",
+        "listener",
         "responses",
         "timer",
         "transport",
@@ -52,66 +64,98 @@
         "written_at",
     )
 
-    def __init__(self, pool: ConnectionPool, attempt: Attempt) -> None:
-        """Create a connection of `pool` that is opened for `attempt`."""
-        self.pool = pool
-        self.owner = pool.owner
+    def __init__(
+        self, address: Address, attempt: Attempt, listener: ConnectionListener, context: ConnectionContext
+    ) -> None:
+        """Create a connection for `attempt`; `connect` opens it."""
+        self.address = address
+        self.listener = listener
+        self.context = context
         self.attempt: Attempt | None = attempt  # None while it is idle or closed
         self.transport: asyncio.Transport | None = None  # None until it is connected
         self.connect_task: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None  # of the connect, then of a response that has begun
-        self.responses = ResponseReceiver(self.owner.clock, self.owner.response_started)
-        self.unread_poll = select.poll()  # made once: it is asked before each request
+        self.responses = ResponseReceiver(context.clock, context.attempt_listener)
+        self.deadline = ResponseDeadline()
+        self.unread_poll = select.poll()  # kept, as it is used before each request
         self.has_unsent = True
-        self.paused = False
         self.written_at = 0.0
-        self.last_data_at = 0.0
-        self.overtime_since = 0.0  # from when on the client's time is over, 0 before; pauses do not count
-        self.idle_since = 0.0  # 0 until its first response has come
+        self.idle_since = 0.0  # 0 until its first response is complete
         self.idle_before_request_s: float | None = None  # None on its first request
 
+    # States.
+
+    def is_connecting(self) -> bool:
+        """Return whether it is being opened for its first attempt."""
+        return self.transport is None and self.attempt is not None
+
     def is_active(self) -> bool:
-        """Return whether it carries an attempt, or is opened for one."""
-        return self.attempt is not None
+        """Return whether it is connected and carries an attempt."""
+        return self.transport is not None and self.attempt is not None
+
+    def is_idle(self) -> bool:
+        """Return whether it is connected and carries no attempt."""
+        return self.attempt is None and self.transport is not None and not self.transport.is_closing()
 
     def is_closed(self) -> bool:
-        """Return whether nothing can be sent or read: not connected yet, or no longer."""
-        return self.transport is None or self.transport.is_closing()
+        """Return whether it is closed or closing."""
+        return self.attempt is None if self.transport is None else self.transport.is_closing()
 
     def is_expired(self, now: float) -> bool:
         """Return whether it has been idle for so long that its endpoint may have dropped it."""
-        return now - self.idle_since >= self.owner.keep_alive.idle_limit_s
+        return now - self.idle_since >= self.context.keep_alive.idle_limit_s
 
-    def is_clean(self) -> bool:
-        """Return whether it is open, with neither bytes nor an end unread in its socket.
+    def is_reusable(self) -> bool:
+        """Return whether it is idle, with neither data nor an end of stream unread in its socket.
 
-        A repeated response would be taken for the next one, and a request that is written behind an end
-        may be thought to have been executed.
+        A repeated response would be taken for the next one. A request that is written after the end of the
+        stream would count as possibly executed.
         """
-        return not self.is_closed() and not self.unread_poll.poll(0)
+        return self.is_idle() and not self.unread_poll.poll(0)
+
+    # Transitions.
+
+    def connect(self, timeout_s: float) -> None:
+        """Open it; on failure its attempt ends as certainly not executed."""
+        loop = self.context.loop
+        self.timer = loop.call_later(timeout_s, self.fail, Outcome.CONNECT_FAILED)
+        self.connect_task = loop.create_task(self._connect())
+
+    async def _connect(self) -> None:
+        try:
+            await self.context.loop.create_connection(lambda: self, *self.address)
+        except OSError as error:
+            self.fail(Outcome.NOT_SENT if is_shortage(error) else Outcome.CONNECT_FAILED)
 
-    def send(self, attempt: Attempt, now: int) -> None:
-        """Write an attempt's request, now in ns on the gateway's clock."""
+    def send(self, attempt: Attempt, now_ns: int) -> None:
+        """Write an attempt's request, at `now_ns` on the gateway's clock."""
         transport = self.transport
-        assert transport is not None  # an attempt is sent once the connection is up
-        owner = self.owner
+        assert transport is not None  # an attempt is sent on an established connection
+        context = self.context
         attempt.connection = self
         self.attempt = attempt
         self.has_unsent = True
-        self.overtime_since = 0.0
-        self.written_at = owner.time()
+        self.deadline.reset()
+        self.written_at = context.time()
         if self.idle_since:
             self.idle_before_request_s = self.written_at - self.idle_since
-            owner.keep_alive.record_reuse(self.idle_before_request_s)
-        transport.write(attempt.payload(now))
-        # A write that met a broken connection leaves the transport closing, with nothing sent.
+            context.keep_alive.record_reuse(self.idle_before_request_s)
+        transport.write(attempt.payload(now_ns))
+        # A write on a broken connection leaves the transport closing, with nothing sent.
         self.has_unsent = transport.is_closing() or transport.get_write_buffer_size() > 0
         if not self.has_unsent:
-            owner.request_written(attempt)
+            context.reporter.record_written(attempt)
+
+    def fail(self, outcome: Outcome) -> None:
+        """Close it and end its attempt, if it has one, without a response."""
+        attempt = self.attempt
+        self.close()
+        if attempt is not None:
+            self.context.reporter.finish(attempt, AttemptResult.without_response(outcome))
 
     def close(self) -> None:
-        """Close at once: nothing more is sent, and what still comes is dropped."""
-        if self.attempt is not None:
+        """Close at once: nothing more is sent, and received data is discarded. Its attempt does not end."""
+        if self.is_active():
             self._shut_down()
         self.attempt = None
         self.cancel_timer()
@@ -119,18 +163,19 @@
             self.transport.abort()
         elif self.connect_task is not None:
             self.connect_task.cancel()
-        self.pool.remove(self)
+        self.listener.on_closed(self)
 
     def _shut_down(self) -> None:
-        """End the connection in the system now; the transport does so in a later turn of the loop.
+        """Shut the socket down now, as the transport does so only in a later turn of the event loop.
 
-        By then the request's next attempt is written, and bytes may have left that counted as never sent.
+        The request's next attempt could be written before that turn, and unsent bytes could still be sent.
         """
-        if self.transport is None or self.transport.is_closing():
+        transport = cast(asyncio.Transport, self.transport)
+        if transport.is_closing():
             return
-        descriptor = self.transport.get_extra_info("socket").fileno()
+        descriptor = transport.get_extra_info("socket").fileno()
         borrowed = socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0, descriptor)
-        with suppress(OSError):  # the other side was first
+        with suppress(OSError):  # the endpoint has closed it already
             borrowed.shutdown(socket.SHUT_RDWR)
         borrowed.detach()
 
@@ -140,55 +185,56 @@
             self.timer.cancel()
             self.timer = None
 
+    # Flow control of a large value.
+
     def pause(self) -> None:
-        """Stop reading: the client does not take the value as fast as it comes."""
-        if not self.paused and not self.is_closed():
-            self.paused = True
+        """Stop reading until `resume`, as the client takes the value more slowly than it is received."""
+        if not self.deadline.is_paused and not self.is_closed():
+            self.deadline.is_paused = True
             cast(asyncio.Transport, self.transport).pause_reading()
 
     def resume(self) -> None:
-        """Read on."""
-        if self.paused and not self.is_closed():
-            self.paused = False
-            self.last_data_at = self.owner.time()
+        """Continue to read."""
+        if self.deadline.is_paused and not self.is_closed():
+            self.deadline.resume(self.context.time())
             cast(asyncio.Transport, self.transport).resume_reading()
 
     # Calls of the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Set the socket up and hand the connection to its pool."""
+        """Configure the socket and report the connection as established."""
+        was_closed = self.is_closed()  # while it was connecting
         self.transport = cast(asyncio.Transport, transport)
-        if not self.is_active():
+        if was_closed:
             self.transport.abort()
             return
-        # With no room in the buffer a write goes out at once, and a pause tells that some of it did not.
+        # With a limit of 0 each write is sent at once, and `pause_writing` reports that bytes remain unsent.
         self.transport.set_write_buffer_limits(high=0)
         sock = self.transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         self.unread_poll.register(sock.fileno(), select.POLLIN)
-        self.pool.connected(self)
+        self.cancel_timer()
+        self.listener.on_connected(self)
 
     def pause_writing(self) -> None:
-        """Note that some of the request is still in the write buffer."""
+        """Record that a part of the request is still in the write buffer."""
         self.has_unsent = True
 
     def resume_writing(self) -> None:
-        """Note that the last byte of the request is sent."""
+        """Record that the last byte of the request is sent."""
         if self.has_unsent and self.attempt is not None:
-            self.owner.request_written(self.attempt)
+            self.context.reporter.record_written(self.attempt)
         self.has_unsent = False
 
     def data_received(self, data: bytes) -> None:
-        """Take the next bytes of the attempt's response, and end the attempt with the last of them."""
+        """Read the next bytes of the attempt's response; the last of them end the attempt."""
         attempt = self.attempt
         if attempt is None or self.has_unsent:
-            self.close()  # whatever comes next on this connection could belong to any request
-            if attempt is not None:
-                self.owner.connect_failed(attempt)
+            self.fail(Outcome.CONNECT_FAILED)  # a response before its request cannot be matched to one
             return
         try:
             result = self.responses.receive(attempt, data, self)
-        except (ValueError, hiredis.ProtocolError) as error:  # the framing, the parser or the meaning
+        except (ValueError, hiredis.ProtocolError) as error:  # of the framing, the parser or the content
             self._fail_malformed(str(error))
             return
         if result is None:
@@ -198,62 +244,57 @@
             self.cancel_timer()
         self.attempt = None
         if self.responses.ended_with_data:
-            self.pool.release(self)
+            if self.deadline.is_paused:
+                self.resume()
+            self.idle_since = self.context.time()
+            self.listener.on_released(self)
         else:
-            self.close()  # what follows is unexpected or unwanted, and more of it may come
-        self.owner.finish_attempt(attempt, result)
+            self.close()  # more unexpected data may follow
+        self.context.reporter.finish(attempt, result)
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # any end means the same
-        """End the attempt, and count a reset that answers a request on a reused connection."""
+        """End the attempt, and count a reset in reply to a request on a reused connection."""
         attempt = self.attempt
         self.attempt = None
         self.cancel_timer()
-        self.pool.remove(self)
+        self.listener.on_closed(self)
         if attempt is None:
             return
         if self.idle_before_request_s is not None and self._was_reset_at_once():
-            self.owner.keep_alive.record_reset(self.idle_before_request_s)
+            self.context.keep_alive.record_reset(self.idle_before_request_s)
         outcome = Outcome.CONNECT_FAILED if self.has_unsent else Outcome.RESET
-        self.owner.finish_attempt(attempt, AttemptResult.without_response(outcome))
+        self.context.reporter.finish(attempt, AttemptResult.without_response(outcome))
 
     def _was_reset_at_once(self) -> bool:
-        """Return whether the connection ended right after the request, with no byte of a response."""
-        return not self.responses.is_midway() and self.owner.time() - self.written_at <= STALE_RESET_WINDOW_S
+        """Return whether the connection ended right after the request, without a byte of a response."""
+        since_written_s = self.context.time() - self.written_at
+        return not self.responses.is_midway() and since_written_s <= STALE_RESET_WINDOW_S
 
-    def _await_more(self) -> None:
-        self.last_data_at = self.owner.time()
-        if self.timer is None:
-            self.timer = self.owner.loop.call_later(self.responses.stall_timeout_s(), self._check_stall)
+    # Deadline of a response that has begun.
 
     def limit_overtime(self) -> None:
-        """Wait for a response that has begun a little longer: its client's time is over."""
-        self.overtime_since = self.owner.time()
+        """Bound the time that the response may still take, as its client's deadline has passed."""
+        self.deadline.start_overtime(self.context.time())
         self.cancel_timer()
-        self._check_stall()
-
-    def _check_stall(self) -> None:
-        """Fail a response that no longer comes; time in which the client takes nothing is not counted."""
-        owner = self.owner
-        now = owner.time()
-        if self.paused:
-            self.last_data_at = now
-            self.overtime_since = now if self.overtime_since else 0.0
-        time_left_s = self._waits_until() - now
+        self._check_deadline()
+
+    def _await_more(self) -> None:
+        self.deadline.last_data_at = self.context.time()
+        if self.timer is None:
+            stall_timeout_s = self.responses.stall_timeout_s()
+            self.timer = self.context.loop.call_later(stall_timeout_s, self._check_deadline)
+
+    def _check_deadline(self) -> None:
+        """Fail a response whose deadline has passed; check again later otherwise."""
+        time_left_s = self.deadline.time_left_s(self.context.time(), self.responses.stall_timeout_s())
         if time_left_s > 0.0:
-            self.timer = owner.loop.call_later(time_left_s, self._check_stall)
+            self.timer = self.context.loop.call_later(time_left_s, self._check_deadline)
         else:
             self.timer = None
-            self._fail_malformed("response over time" if self.overtime_since else "response stalled")
-
-    def _waits_until(self) -> float:
-        """Return until when a response that has begun is waited for."""
-        if not self.overtime_since:
-            return self.last_data_at + self.responses.stall_timeout_s()
-        return self.overtime_since + MAX_OVERTIME_S
+            is_overtime = self.deadline.overtime_since > 0.0
+            self._fail_malformed("response over time" if is_overtime else "response stalled")
 
     def _fail_malformed(self, reason: str) -> None:
-        """End the attempt, which may have been executed; nothing that follows here can be told apart."""
-        attempt = cast(Attempt, self.attempt)
-        log.warning("response_malformed endpoint=%s:%d error=%s", *self.pool.address, reason)
-        self.close()
-        self.owner.finish_attempt(attempt, AttemptResult.without_response(Outcome.RESET))
+        """End the attempt as possibly executed, and close: what follows cannot be read."""
+        log.warning("response_malformed endpoint=%s:%d error=%s", *self.address, reason)
+        self.fail(Outcome.RESET)
--- /dev/null
+++ b/qos_gateway/server/endpoints/connection_context.py
@@ -0,0 +1,22 @@
+"""What all connections to endpoints share."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from .attempt_reporter import AttemptListener, AttemptReporter
+from .keep_alive import KeepAliveEstimator
+
+
+@dataclass(slots=True, kw_only=True)
+class ConnectionContext:
+    """The clocks and the shared parts that connections and their pools use."""
+
+    loop: asyncio.AbstractEventLoop
+    time: Callable[[], float]  # the event loop's clock, in s
+    clock: Callable[[], int]  # the gateway's clock, in ns
+    keep_alive: KeepAliveEstimator
+    attempt_listener: AttemptListener
+    reporter: AttemptReporter
--- a/qos_gateway/server/endpoints/response_receiver.py
+++ b/qos_gateway/server/endpoints/response_receiver.py
@@ -8,35 +8,34 @@
 
 from ...types import Outcome
 from ..networking.resp import ResponseFrames
-from ..networking.value_stream import FlowControl, ResponseSink, ValueStream
+from ..networking.value_stream import FlowControl, ValueStream
 from .attempt import Attempt
+from .attempt_reporter import AttemptListener
 from .responses import AttemptResult
 
-RESPONSE_STALL_TIMEOUT_S = 0.25  # without a further byte of a response; far over a slow writer's gaps
-LARGE_RESPONSE_STALL_TIMEOUT_S = 5.0  # longer: the client has the first bytes, and no retry can follow
-EMPTY_VALUE_START = b"*3\r\n$0\r\n\r\n"  # what the parser is given in place of a streamed value
-
-ResponseStartedCallback = Callable[[Attempt, int, FlowControl], "ResponseSink | None"]
+RESPONSE_STALL_TIMEOUT_S = 0.25  # without a further byte; far above the gaps of a slow sender
+LARGE_RESPONSE_STALL_TIMEOUT_S = 5.0  # longer, as no retry is possible once the client has the first bytes
+EMPTY_VALUE_START = b"*3\r\n$0\r\n\r\n"  # replaces a streamed value in the parser's input
 
 
 class ResponseReceiver:
-    """Reads the responses that come on one connection, one after the other."""
+    """Reads the responses on one connection, one after the other."""
 
-    __slots__ = ("_clock", "_frames", "_response_started", "_value_stream", "ended_with_data", "parser")
+    __slots__ = ("_attempt_listener", "_clock", "_frames", "_value_stream", "ended_with_data", "parser")
 
-    def __init__(self, clock: Callable[[], int], response_started: ResponseStartedCallback) -> None:
-        """Ask `response_started` for the sink of each large value; None cancels the attempt."""
+    def __init__(self, clock: Callable[[], int], attempt_listener: AttemptListener) -> None:
+        """Take `clock` in ns; `attempt_listener` provides the sink of each large value."""
         self._clock = clock
-        self._response_started = response_started
+        self._attempt_listener = attempt_listener
         self._frames = ResponseFrames()
-        self._value_stream: ValueStream | None = None  # of the large value that is on its way
+        self._value_stream: ValueStream | None = None  # of the large value that is being received
         self.parser = hiredis.Reader()
-        self.ended_with_data = True  # nothing followed the last response
+        self.ended_with_data = True  # no data followed the last response
 
     def receive(self, attempt: Attempt, data: bytes, flow: FlowControl) -> AttemptResult | None:
         """Return the attempt's result once its response is complete or no longer wanted, None before.
 
-        Raises ValueError or hiredis.ProtocolError where the response is malformed.
+        Raises ValueError or hiredis.ProtocolError if the response is malformed.
         """
         frames = self._frames
         response_end = frames.scan(data, 0)
@@ -55,15 +54,18 @@
         return result
 
     def is_midway(self) -> bool:
-        """Return whether a response has begun and not ended."""
+        """Return whether a response has begun and is incomplete."""
         return self._frames.midway
 
     def stall_timeout_s(self) -> float:
-        """Return for how long the response that has begun may stay away."""
+        """Return the longest time without a further byte of a response that has begun."""
         return RESPONSE_STALL_TIMEOUT_S if self._value_stream is None else LARGE_RESPONSE_STALL_TIMEOUT_S
 
     def _stream_value(self, attempt: Attempt, data: bytes, flow: FlowControl) -> bool:
-        """Pass a large value on as it comes, and parse the rest; return whether it is still wanted."""
+        """Write a large value's part of `data` to its sink and parse the rest.
+
+        Return whether the value is still wanted.
+        """
         value_start = 0
         if self._value_stream is None:
             value_start = self._frames.large_at
@@ -71,12 +73,12 @@
             if self._value_stream is None:
                 return False
         self.parser.feed(self._value_stream.feed(data[value_start:]))
-        return not attempt.ended  # its client may have left while it was written to
+        return not attempt.ended  # the write may have found the client disconnected
 
     def _start_stream(self, attempt: Attempt, flow: FlowControl) -> ValueStream | None:
         self.parser = hiredis.Reader()
         self.parser.feed(EMPTY_VALUE_START)
         attempt.response_started_at_ns = self._clock()
         length = self._frames.large
-        sink = self._response_started(attempt, length, flow)
+        sink = self._attempt_listener.on_response_started(attempt, length, flow)
         return None if sink is None else ValueStream(sink, length)
--- a/qos_gateway/server/gateway.py
+++ b/qos_gateway/server/gateway.py
@@ -19,7 +19,7 @@
 from .discovery.endpoint_directory import EndpointDirectory
 from .discovery.endpoint_feed import FIRST_LIST_TIMEOUT_S, SOCKET_POLL_S, EndpointFeed
 from .discovery.endpoint_list import EndpointUpdate
-from .endpoints.connections import EndpointConnections
+from .endpoints.connections import EndpointConnections, EndpointLimits
 from .event_dispatcher import EventDispatcher
 from .handover.channel import HandoverChannel
 from .handover.handover import Handover, SharedParts
@@ -87,18 +87,13 @@
         self.admin_server = None if config.admin is None else AdminServer(config.admin, self.operations)
 
     def _build_endpoints(self, max_connections: int) -> EndpointConnections:
-        return EndpointConnections(
-            max_connections,
-            self.config.connect_timeout / SECOND,
-            self.config.connection_idle / SECOND,
-            self.config.settings.drain_grace / SECOND,
-            self.clock,
-            self.attempts.on_attempt_ended,
-            self.metrics,
-            self.attempts.on_response_started,
-            self.attempts.is_wanted,
-            self.attempts.allows_send,
+        limits = EndpointLimits(
+            max_connections=max_connections,
+            connect_timeout_s=self.config.connect_timeout / SECOND,
+            max_idle_s=self.config.connection_idle / SECOND,
+            drain_grace_s=self.config.settings.drain_grace / SECOND,
         )
+        return EndpointConnections(limits, self.clock, self.attempts, self.metrics)
 
     def _build_counter(self) -> CounterClient | None:
         config = self.config
--- a/qos_gateway/server/requests/request_attempts.py
+++ b/qos_gateway/server/requests/request_attempts.py
@@ -12,7 +12,7 @@
 from ..clients.pending_replies import StreamedReply
 from ..endpoints.attempt import Attempt, AttemptCommand, ProbeAttempt
 from ..endpoints.connections import EndpointConnections
-from ..endpoints.responses import LoadReport
+from ..endpoints.responses import AttemptResult, LoadReport
 from ..event_dispatcher import EventDispatcher
 from ..networking.value_stream import FlowControl
 from ..observability.activity_log import ActivityLog
@@ -170,10 +170,9 @@
         self._handle(ResponseStarted(number, elapsed, attempt.number, attempt.endpoint), number)
         return None if request.closed else relay
 
-    def on_attempt_ended(
-        self, attempt: Attempt, outcome: Outcome, value: bytes | None, report: LoadReport
-    ) -> None:
+    def on_attempt_ended(self, attempt: Attempt, result: AttemptResult) -> None:
         """Answer the client where this was the response, and tell the engine how the attempt ended."""
+        outcome, value, report = result
         elapsed = max(0, self._clock() - attempt.started_at_ns)
         load_report = self._load_report(report)
         if isinstance(attempt, ProbeAttempt):
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -40,7 +40,7 @@
 from qos_gateway.server.requests.request_attempts import RequestAttempts
 from qos_gateway.server.requests.send_guard import SendGuard
 from qos_gateway.server.start_guard import check_start
-from qos_gateway.types import Health, RequestClass
+from qos_gateway.types import Health, Outcome, RequestClass
 from qos_gateway.units import SECOND
 
 LOST_EVERY = 20
@@ -243,11 +243,11 @@
     """Send nothing on after some seconds."""
     start = ConnectionPool.start
 
-    def fail(self: ConnectionPool, attempt: Attempt, now: int) -> None:
-        if self.owner.loop.time() - STARTED_AT_S[0] < FAIL_AFTER_S:
-            start(self, attempt, now)
+    def fail(self: ConnectionPool, attempt: Attempt, now_ns: int) -> None:
+        if asyncio.get_running_loop().time() - STARTED_AT_S[0] < FAIL_AFTER_S:
+            start(self, attempt, now_ns)
         else:
-            self.owner.loop.call_soon(self.owner.connect_failed, attempt)
+            self._reporter.finish_later(attempt, Outcome.CONNECT_FAILED)
 
     _patch(ConnectionPool, "start", fail)
     start_process = GatewayProcess.start
--- a/tests/server/test_client_disconnects.py
+++ b/tests/server/test_client_disconnects.py
@@ -11,7 +11,7 @@
 import pytest
 
 from qos_gateway.server.clients import connection as client_connection
-from qos_gateway.server.endpoints import connections as endpoints
+from qos_gateway.server.endpoints.connection_pool import REUSE_DELAY_S
 from qos_gateway.server.gateway import GatewayProcess
 from qos_gateway.types import Action, Arrival, AttemptEnded, ClientDisconnected, Outcome, Reject, Send
 from tests.support.scripted_engine import ScriptedEngine, only_endpoint, script_engine
@@ -67,7 +67,7 @@
 
 def delay_connects(gateway: GatewayProcess) -> DelayedConnects:
     delayed = DelayedConnects(asyncio.get_running_loop())
-    gateway.endpoint_connections.loop = delayed  # type: ignore[assignment]
+    gateway.endpoint_connections.context.loop = delayed  # type: ignore[assignment]
     return delayed
 
 
@@ -261,14 +261,14 @@
     client.send(1)
     await with_timeout(delayed.requested.wait())
     pool = harness.gateway.endpoint_connections._pools[endpoint]
-    connected = pool.connected
+    on_connected = pool.on_connected
 
     def leave_first(link: Any) -> None:
-        pool.connected = connected  # type: ignore[method-assign]
+        pool.on_connected = on_connected  # type: ignore[method-assign]
         client.leave(how)
-        connected(link)
+        on_connected(link)
 
-    pool.connected = leave_first  # type: ignore[method-assign]
+    pool.on_connected = leave_first  # type: ignore[method-assign]
     delayed.allowed.set()
     return 0
 
@@ -311,7 +311,7 @@
             and harness.gateway.clients.connection_count() == 0
         )
     )
-    await asyncio.sleep(2 * endpoints.REUSE_DELAY_S)
+    await asyncio.sleep(2 * REUSE_DELAY_S)
     engine.events.clear()
 
 
--- a/tests/server/test_connection_pool.py
+++ b/tests/server/test_connection_pool.py
@@ -39,7 +39,7 @@
         endpoint = FakeEndpoint()
         async with endpoint_harness(endpoint) as b:
             clock = [100.0]
-            b.pools.time = lambda: clock[0]
+            b.pools.context.time = lambda: clock[0]
             b.start(1)
             connection, _ = await endpoint.next_command()
             connection.send(success_reply(b"v"))
@@ -127,7 +127,7 @@
         endpoint = FakeEndpoint()
         async with endpoint_harness(endpoint) as b:
             clock = [100.0]
-            b.pools.time = lambda: clock[0]
+            b.pools.context.time = lambda: clock[0]
 
             async def reused_after(idle_s: float, reset: bool) -> bool:
                 """Send a request after one that was idle so long; return whether both used one connection."""
@@ -223,7 +223,7 @@
     async def test() -> None:
         endpoint = FakeEndpoint()
         async with endpoint_harness(endpoint, most=1) as b:
-            b.pools.time = lambda: 100.0
+            b.pools.context.time = lambda: 100.0
             for number in range(3):
                 b.start(number)
                 connection, _ = await endpoint.next_command()
@@ -301,8 +301,8 @@
         endpoint = FakeEndpoint()
         async with endpoint_harness(endpoint, grace=grace_s) as b:
             pool = b.pools._pools[7]
-            now = b.pools.loop.time()
-            b.pools.time = lambda: now
+            now = b.pools.context.loop.time()
+            b.pools.context.time = lambda: now
             b.pools.set_address(7, None)
             assert pool.drain_ends_at is not None
             assert now <= pool.drain_ends_at <= max(now, now + grace_s - 0.15)
--- a/tests/server/test_large_values.py
+++ b/tests/server/test_large_values.py
@@ -9,7 +9,7 @@
 
 from qos_gateway.server.clients import connections, timeouts
 from qos_gateway.server.endpoints import connection as endpoint_connection
-from qos_gateway.server.endpoints import response_receiver
+from qos_gateway.server.endpoints import response_deadline, response_receiver
 from qos_gateway.server.networking.resp import (
     MAX_BUFFERED_VALUE_BYTES,
     MAX_VALUE_BYTES,
@@ -138,7 +138,7 @@
 
 
 def test_value_in_flow_ends_before_a_stopping_process_is_killed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(endpoint_connection, "MAX_OVERTIME_S", 10.0)
+    monkeypatch.setattr(response_deadline, "MAX_OVERTIME_S", 10.0)
 
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -156,7 +156,7 @@
                 await asyncio.sleep(0.02)
             await with_timeout(end)
             late = requests.clock() - requests.latest_deadline
-            assert 0 < late < endpoint_connection.MAX_OVERTIME_S * SECOND // 2
+            assert 0 < late < response_deadline.MAX_OVERTIME_S * SECOND // 2
 
     run_on_loop(test)
 
@@ -296,15 +296,16 @@
             for at in range(0, len(answer) - 9, 9):
                 connection.send(answer[at : at + 9])
                 (pooled,) = harness.gateway.endpoint_connections._pools[only_endpoint(harness)].connections
-                await wait_until(lambda pooled=pooled: pooled.last_data_at > 0.0)  # type: ignore[misc]
-                last_data_at = pooled.last_data_at
-                pooled.last_data_at = last_data_at - 59.0  # a piece a minute, as it were
-                pooled._check_stall()
+                deadline = pooled.deadline
+                await wait_until(lambda deadline=deadline: deadline.last_data_at > 0.0)  # type: ignore[misc]
+                last_data_at = deadline.last_data_at
+                deadline.last_data_at = last_data_at - 59.0  # a piece a minute, as it were
+                pooled._check_deadline()
                 assert pooled.timer is not None
                 assert pooled.attempt is not None
-                pooled.last_data_at = 0.0
-            pooled.last_data_at = last_data_at - 61.0
-            pooled._check_stall()
+                deadline.last_data_at = 0.0
+            deadline.last_data_at = last_data_at - 61.0
+            pooled._check_deadline()
             assert harness.gateway.activity.attempt_outcomes[Outcome.RESET] == 1
 
     run_on_loop(test)
--- a/tests/support/endpoint_harness.py
+++ b/tests/support/endpoint_harness.py
@@ -7,10 +7,10 @@
 from contextlib import asynccontextmanager
 
 from qos_gateway.server.endpoints.attempt import Attempt, AttemptCommand
-from qos_gateway.server.endpoints.connections import EndpointConnections
-from qos_gateway.server.endpoints.responses import LoadReport
+from qos_gateway.server.endpoints.connections import EndpointConnections, EndpointLimits
+from qos_gateway.server.endpoints.responses import AttemptResult, LoadReport
 from qos_gateway.server.networking.clock import monotonic_unix_ns
-from qos_gateway.server.networking.value_stream import ResponseSink
+from qos_gateway.server.networking.value_stream import FlowControl, ResponseSink
 from qos_gateway.server.observability.metrics import Metrics
 from qos_gateway.types import Outcome
 from tests.support.servers import (
@@ -35,18 +35,24 @@
     def __init__(self, most: int, connect: float, idle: float, grace: float) -> None:
         self.ends: asyncio.Queue[EndedAttempt] = asyncio.Queue()
         self.metrics = Metrics(())
-        self.pools = EndpointConnections(
-            most,
-            connect,
-            idle,
-            grace,
-            CLOCK,
-            lambda attempt, *end: self.ends.put_nowait((attempt.request, *end)),
-            self.metrics,
-            lambda _attempt, _length, _flow: self.sink,
+        limits = EndpointLimits(
+            max_connections=most, connect_timeout_s=connect, max_idle_s=idle, drain_grace_s=grace
         )
+        self.pools = EndpointConnections(limits, CLOCK, self, self.metrics)
         self.sink: ResponseSink | None = None
 
+    def on_attempt_ended(self, attempt: Attempt, result: AttemptResult) -> None:
+        self.ends.put_nowait((attempt.request, *result))
+
+    def on_response_started(self, _attempt: Attempt, _length: int, _flow: FlowControl) -> ResponseSink | None:
+        return self.sink
+
+    def is_wanted(self, _attempt: Attempt) -> bool:
+        return True
+
+    def allows_send(self, _attempt: Attempt, _is_drained: bool, _now_ns: int) -> bool:
+        return True
+
     def start(
         self,
         request: int,
