--- a/qos_gateway/server/clients/command_reader.py
+++ b/qos_gateway/server/clients/command_reader.py
@@ -32,7 +32,7 @@
     @property
     def is_midway(self) -> bool:
         """Whether a command has begun and not ended."""
-        return self._frames.midway
+        return self._frames.is_midway
 
     def restart_timeout(self) -> None:
         """Count the time of an incomplete command from now on: its bytes were not read before."""
--- a/qos_gateway/server/endpoints/response_receiver.py
+++ b/qos_gateway/server/endpoints/response_receiver.py
@@ -40,7 +40,7 @@
         frames = self._frames
         response_end = frames.scan(data, 0)
         received = data if response_end < 0 else data[:response_end]
-        if not frames.large:
+        if not frames.large_value_bytes:
             self.parser.feed(received)
         elif not self._stream_value(attempt, received, flow):
             self.ended_with_data = False
@@ -49,13 +49,13 @@
             return None
         result = attempt.read_response(self.parser.gets())
         self._value_stream = None
-        frames.large = 0
+        frames.large_value_bytes = 0
         self.ended_with_data = response_end == len(data)
         return result
 
     def is_midway(self) -> bool:
         """Return whether a response has begun and is incomplete."""
-        return self._frames.midway
+        return self._frames.is_midway
 
     def stall_timeout_s(self) -> float:
         """Return the longest time without a further byte of a response that has begun."""
@@ -68,7 +68,7 @@
         """
         value_start = 0
         if self._value_stream is None:
-            value_start = self._frames.large_at
+            value_start = self._frames.large_value_start
             self._value_stream = self._start_stream(attempt, flow)
             if self._value_stream is None:
                 return False
@@ -79,6 +79,6 @@
         self.parser = hiredis.Reader()
         self.parser.feed(EMPTY_VALUE_START)
         attempt.response_started_at_ns = self._clock()
-        length = self._frames.large
+        length = self._frames.large_value_bytes
         sink = self._attempt_listener.on_response_started(attempt, length, flow)
         return None if sink is None else ValueStream(sink, length)
--- a/qos_gateway/server/networking/__init__.py
+++ b/qos_gateway/server/networking/__init__.py
@@ -1,1 +1,1 @@
-"""What both sides of the gateway share: RESP framing, streams of large values, the clock, passing errors."""
+"""Networking for both sides: RESP framing, streams of large values, the clock, transient errors."""
--- a/qos_gateway/server/networking/clock.py
+++ b/qos_gateway/server/networking/clock.py
@@ -1,4 +1,4 @@
-"""The clock that times are compared on."""
+"""The gateway's clock."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 def monotonic_unix_ns() -> Callable[[], int]:
-    """Return a clock in ns that never goes back and reads Unix time at its start.
+    """Return a monotonic clock in ns that reads Unix time when this is called.
 
-    Times of other machines, as a request's `born_ms`, can therefore be compared with it.
+    It can be compared with times of other machines, such as a request's `born_ms`.
     """
-    offset = time.time_ns() - time.monotonic_ns()
-    return lambda: offset + time.monotonic_ns()
+    offset_ns = time.time_ns() - time.monotonic_ns()
+    return lambda: offset_ns + time.monotonic_ns()
--- a/qos_gateway/server/networking/resp.py
+++ b/qos_gateway/server/networking/resp.py
@@ -1,81 +1,93 @@
-"""Find the end of each RESP2 message, and reject headers that ask for more than the protocol allows."""
+"""Find the end of each RESP2 message, and reject headers that exceed the protocol's limits."""
 
 from __future__ import annotations
 
-MAX_BUFFERED_VALUE_BYTES = 64 << 10  # of one value that is held whole
-MAX_VALUE_BYTES = 4 << 20  # of a endpoint's value; a larger one than is buffered is streamed to the client
-FRAMING_BYTES = 4096  # a command's names, other arguments and headers, beside its value
+MAX_BUFFERED_VALUE_BYTES = 64 << 10  # of one value that is kept in memory until it is complete
+MAX_VALUE_BYTES = 4 << 20  # of an endpoint's value; above the limit for buffered values it is streamed
+FRAMING_BYTES = 4096  # a command's names, headers and arguments other than its value
 MAX_COMMAND_BYTES = MAX_BUFFERED_VALUE_BYTES + FRAMING_BYTES
-MAX_ARGUMENTS = 16  # of a command; the longest that a client has a use for holds five
+MAX_ARGUMENTS = 16  # of a command; no valid command has more than five
 MAX_REPORT_BYTES = 1024  # of a response's load report or usage items
-MAX_USAGE_ITEMS = 16  # where a response gives its usage as an array
+MAX_USAGE_ITEMS = 16  # in a response whose usage is an array
 MAX_LINE_BYTES = 512  # of a header or an error line
-MAX_LENGTH_DIGITS = 9  # of a length in a header, so that int() never meets a long number
+MAX_LENGTH_DIGITS = 9  # of a length in a header; bounds the cost of int()
 RESPONSE_ITEMS = 3  # value, usage, load report
-MAX_DEPTH = 2  # arrays in one another in a response
+MAX_DEPTH = 2  # of nested arrays in a response
 
 CRLF = b"\r\n"
 CRLF_BYTES = 2
 ARRAY = b"*"
 BULK_STRING = b"$"
+ERROR = b"-"
+SIMPLE_STRING = b"+"
+INTEGER = b":"
 NULL_LENGTH = b"-1"
-RESPONSE_KINDS = (BULK_STRING, ARRAY, b"-", b"+", b":")  # the last three: error, status, integer
+RESPONSE_TYPES = (BULK_STRING, ARRAY, ERROR, SIMPLE_STRING, INTEGER)
 RESPONSE_HEADER = b"*%d\r\n" % RESPONSE_ITEMS
 
-INCOMPLETE = -1  # `scan`: the message goes on behind the data
-NO_VALUE = -1  # a header that is an element of its own: nothing follows that belongs to it
-ARRAY_OPENED = -2  # a header behind which the elements of an array follow
+INCOMPLETE = -1  # returned by `scan`: the message does not end in the data
+NO_VALUE = -1  # a header that is a complete element: no value follows
+ARRAY_OPENED = -2  # a header that the elements of an array follow
 
 
 class FrameError(ValueError):
-    """Report that nothing which follows on this connection can be read; the text says why."""
+    """Data that cannot be part of a message, so that the next one cannot be found; the text says why."""
 
 
 class FrameScanner:
-    """Find the end of each message, ahead of hiredis, which trusts every header.
+    """Finds the end of each message, before hiredis reads it.
 
-    hiredis would allocate an array's slots before its first element arrives (a hundred million of them, for
-    each garbage collection to walk), does not check the two bytes behind a value, and reads types of RESP3.
+    hiredis trusts every header: it allocates an array's slots before the first element arrives, which may be
+    a hundred million for each garbage collection to walk. It does not check the two bytes after a value, and
+    it reads types of RESP3.
     """
 
-    __slots__ = ("_array_elements_left", "_partial", "_size", "_value_bytes_left", "large", "large_at")
+    __slots__ = (
+        "_array_elements_left",
+        "_command_bytes",
+        "_partial",
+        "_value_bytes_left",
+        "large_value_bytes",
+        "large_value_start",
+    )
 
     def __init__(self) -> None:
         self._array_elements_left: list[int] = []  # one count for each open array, the innermost last
-        self._partial = b""  # start of a header, or of the CR LF behind a value
-        self._value_bytes_left = NO_VALUE  # of the value that is open
-        self._size = 0  # bytes of the command's values so far
-        self.large = 0  # bytes of the message's value where that is too large to be held whole, else 0
-        self.large_at = 0  # where it begins in the data in which its header ended
+        self._partial = b""  # the received start of a header, or of the CR LF after a value
+        self._value_bytes_left = NO_VALUE  # of the value that has begun
+        self._command_bytes = 0  # bytes of the command's arguments so far
+        self.large_value_bytes = 0  # length of the message's value if it is too large to be buffered, else 0
+        self.large_value_start = 0  # its position in the data in which its header ended
 
     @property
-    def midway(self) -> bool:
-        """Whether a message has begun and not ended."""
+    def is_midway(self) -> bool:
+        """Whether a message has begun and is incomplete."""
         return bool(self._array_elements_left or self._partial or self._value_bytes_left >= 0)
 
-    def scan(self, data: bytes, at: int) -> int:
-        """Return where in `data` the message ends that begins or goes on at `at`; `INCOMPLETE` if behind it.
+    def scan(self, data: bytes, start: int) -> int:
+        """Return where in `data` the message ends that begins or continues at `start`, or `INCOMPLETE`.
 
-        Raises `FrameError` where the data cannot be part of a message.
+        Raises `FrameError` if the data cannot be part of a message.
         """
+        position = start
         if self._value_bytes_left >= 0:
-            at = self._continue_value(data, at)
+            position = self._continue_value(data, position)
             if self._value_bytes_left >= 0:
                 return INCOMPLETE
             if self._end_element():
-                return at
-        return self._scan_elements(data, at)
+                return position
+        return self._scan_elements(data, position)
 
-    def _scan_elements(self, data: bytes, at: int) -> int:
-        """Scan from a header on; a value that has come whole, the usual case, is checked without a call."""
+    def _scan_elements(self, data: bytes, position: int) -> int:
+        """Scan from a header on; a value that is complete, the usual case, is checked without a call."""
         size = len(data)
-        while at < size:
-            line_end = data.find(b"\n", at, at + MAX_LINE_BYTES) + 1
+        while position < size:
+            line_end = data.find(b"\n", position, position + MAX_LINE_BYTES) + 1
             if not line_end:
-                return self._hold_partial_line(data[at : at + MAX_LINE_BYTES])
-            line = self._partial + data[at:line_end]
+                return self._keep_partial_line(data[position : position + MAX_LINE_BYTES])
+            line = self._partial + data[position:line_end]
             self._partial = b""
-            at = line_end
+            position = line_end
             if line[-2:] != CRLF:
                 raise FrameError("line does not end in CR LF")
             length = self._parse_header(line)
@@ -83,59 +95,59 @@
                 continue
             if length >= 0:
                 if length > MAX_BUFFERED_VALUE_BYTES:
-                    self.large = length
-                    self.large_at = at
-                value_end = at + length
-                at = value_end + CRLF_BYTES
-                if at > size:
-                    return self._hold_value(data, line_end, length)
-                if data[value_end:at] != CRLF:
+                    self.large_value_bytes = length
+                    self.large_value_start = line_end
+                value_end = line_end + length
+                position = value_end + CRLF_BYTES
+                if position > size:
+                    return self._begin_value(data, line_end, length)
+                if data[value_end:position] != CRLF:
                     raise FrameError("value longer than its length")
             if self._end_element():
-                return at
+                return position
         return INCOMPLETE
 
-    def _hold_partial_line(self, part: bytes) -> int:
+    def _keep_partial_line(self, part: bytes) -> int:
         line = self._partial + part
         if len(line) >= MAX_LINE_BYTES:
             raise FrameError("line too long")
-        self._check_kind(line[:1])
+        self._check_type(line[:1])
         self._partial = line
         return INCOMPLETE
 
-    def _hold_value(self, data: bytes, at: int, length: int) -> int:
+    def _begin_value(self, data: bytes, value_start: int, length: int) -> int:
         self._value_bytes_left = length
-        self._continue_value(data, at)
+        self._continue_value(data, value_start)
         return INCOMPLETE
 
-    def _continue_value(self, data: bytes, at: int) -> int:
-        """Read on in the open value and the CR LF behind it; return where that ends in `data`."""
-        taken = min(self._value_bytes_left, len(data) - at)
-        at += taken
-        self._value_bytes_left -= taken
+    def _continue_value(self, data: bytes, position: int) -> int:
+        """Scan the rest of the value that has begun and its CR LF; return where they end in `data`."""
+        value_bytes = min(self._value_bytes_left, len(data) - position)
+        position += value_bytes
+        self._value_bytes_left -= value_bytes
         if self._value_bytes_left == 0:
-            end = min(len(data), at + CRLF_BYTES - len(self._partial))
-            self._partial += data[at:end]
-            at = end
+            line_end = min(len(data), position + CRLF_BYTES - len(self._partial))
+            self._partial += data[position:line_end]
+            position = line_end
             if not CRLF.startswith(self._partial):
                 raise FrameError("value longer than its length")
             if self._partial == CRLF:
                 self._partial = b""
                 self._value_bytes_left = NO_VALUE
-        return at
+        return position
 
     def _end_element(self) -> bool:
-        """Count one element as ended; return whether the whole message has ended with it."""
-        left = self._array_elements_left
-        while left:
-            left[-1] -= 1
-            if left[-1]:
+        """Count one element as complete; return whether the message is complete with it."""
+        elements_left = self._array_elements_left
+        while elements_left:
+            elements_left[-1] -= 1
+            if elements_left[-1]:
                 return False
-            left.pop()
+            elements_left.pop()
         return True
 
-    def _check_kind(self, kind: bytes) -> None:
-        """Raise `FrameError` where no header may begin with this type byte."""
+    def _check_type(self, type_byte: bytes) -> None:
+        """Raise `FrameError` if the next header cannot begin with this type byte."""
         raise NotImplementedError
 
     def _parse_header(self, line: bytes) -> int:
@@ -159,51 +171,51 @@
 
 
 class CommandFrames(FrameScanner):
-    """Scan clients' commands: arrays of bulk strings."""
+    """Scans clients' commands: arrays of bulk strings."""
 
     __slots__ = ()
 
-    def _check_kind(self, kind: bytes) -> None:
-        if kind != (BULK_STRING if self._array_elements_left else ARRAY):
+    def _check_type(self, type_byte: bytes) -> None:
+        if type_byte != (BULK_STRING if self._array_elements_left else ARRAY):
             raise FrameError("expected an array of bulk strings")
 
     def _parse_header(self, line: bytes) -> int:
-        self._check_kind(line[:1])
+        self._check_type(line[:1])
         if not self._array_elements_left:
-            count = _parse_length(line, MAX_ARGUMENTS)
-            if not count:
+            argument_count = _parse_length(line, MAX_ARGUMENTS)
+            if not argument_count:
                 raise FrameError("empty command")
-            self._array_elements_left.append(count)
-            self._size = 0
+            self._array_elements_left.append(argument_count)
+            self._command_bytes = 0
             return ARRAY_OPENED
         length = _parse_length(line, MAX_BUFFERED_VALUE_BYTES)
-        self._size += length
-        if self._size > MAX_COMMAND_BYTES:
+        self._command_bytes += length
+        if self._command_bytes > MAX_COMMAND_BYTES:
             raise FrameError("command too long")
         return length
 
 
 class ResponseFrames(FrameScanner):
-    """Scan endpoints' responses: arrays of value, usage and load report; errors; answers to probes."""
+    """Scans endpoints' responses: arrays of value, usage and load report; errors; replies to probes."""
 
     __slots__ = ()
 
-    def _check_kind(self, kind: bytes) -> None:
+    def _check_type(self, type_byte: bytes) -> None:
         if self._array_elements_left == [RESPONSE_ITEMS]:  # at its first item, which is the value
-            is_allowed = kind == BULK_STRING
+            is_allowed = type_byte == BULK_STRING
         else:
-            is_allowed = kind in RESPONSE_KINDS
+            is_allowed = type_byte in RESPONSE_TYPES
         if not is_allowed:
             raise FrameError("not a value")
 
     def _parse_header(self, line: bytes) -> int:
-        kind = line[:1]
-        self._check_kind(kind)
-        if kind == BULK_STRING:
+        type_byte = line[:1]
+        self._check_type(type_byte)
+        if type_byte == BULK_STRING:
             if not self._array_elements_left or self._array_elements_left == [RESPONSE_ITEMS]:
                 return _parse_length(line, MAX_VALUE_BYTES)
             return _parse_nullable_length(line, MAX_REPORT_BYTES)
-        if kind == ARRAY:
+        if type_byte == ARRAY:
             return self._open_array(line)
         return NO_VALUE
 
--- a/qos_gateway/server/networking/transient_errors.py
+++ b/qos_gateway/server/networking/transient_errors.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment: which errors pass by themselves, and trying again until they have."""
+"""System calls that fail transiently: which errors may pass without a change, and retries until they do."""
 
 from __future__ import annotations
 
@@ -12,37 +12,40 @@
 
 Result = TypeVar("Result")
 
-# No descriptor, buffer or memory is left, in the process or in the system; a device fails.
+# No descriptor, buffer or memory is available in the process or the system, or a device fails.
 TRANSIENT_ERRNOS = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN, errno.EINTR, errno.EIO}
 )
-# What this machine lacks for a connection, whoever it would lead to.
+# This machine lacks a resource for a connection, whatever its destination.
 SHORTAGE_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL})
 RETRY_INTERVAL_S = 0.05
 START_RETRY_TIME_S = 5.0  # at the start of a process, which has to be ready within 10 s
 
 
 def is_transient(error: OSError) -> bool:
-    """Return whether a call that failed so may succeed soon, with nothing changed by anyone."""
+    """Return whether a repeated call may succeed soon although nothing is changed."""
     return error.errno in TRANSIENT_ERRNOS
 
 
 def is_shortage(error: OSError) -> bool:
-    """Return whether a connect failed for lack of descriptors, memory or ports, whatever the peer does."""
+    """Return whether a connect failed for lack of descriptors, memory or ports on this machine."""
     return error.errno in SHORTAGE_ERRNOS
 
 
 async def retry_transient(
-    call: Callable[[], Awaitable[Result]], time_s: float = START_RETRY_TIME_S
+    call: Callable[[], Awaitable[Result]], retry_time_s: float = START_RETRY_TIME_S
 ) -> Result:
-    """Return what the call returns once it succeeds; raise OSError where it fails otherwise or for long."""
+    """Call until it succeeds and return its result.
+
+    Raises OSError if the call fails with an error that is not transient, or fails after `retry_time_s`.
+    """
     loop = asyncio.get_running_loop()
-    give_up_at = loop.time() + time_s
+    retry_until = loop.time() + retry_time_s
     while True:
         try:
             return await call()
         except OSError as error:
-            if not is_transient(error) or loop.time() >= give_up_at:
+            if not is_transient(error) or loop.time() >= retry_until:
                 raise
             log.warning("call_failed_for_now error=%s", error)
         await asyncio.sleep(RETRY_INTERVAL_S)
--- a/qos_gateway/server/networking/value_stream.py
+++ b/qos_gateway/server/networking/value_stream.py
@@ -1,10 +1,10 @@
-"""Streaming of large values: each part is passed on as it arrives instead of being held whole."""
+"""Streaming of large values: each part is written to a sink as it is received."""
 
 from __future__ import annotations
 
 from typing import Protocol
 
-LINE_END_BYTES = len(b"\r\n")
+CRLF_BYTES = 2
 
 
 class FlowControl(Protocol):
@@ -14,7 +14,7 @@
         """Stop reading until `resume` is called."""
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue to read."""
 
 
 class ResponseSink(Protocol):
@@ -25,17 +25,18 @@
 
 
 class ValueStream:
-    """The large value of one response on its way to a sink."""
+    """Splits the bytes of one response into its large value, which goes to a sink, and the rest."""
 
     __slots__ = ("_line_end_bytes_left", "_sink", "_value_bytes_left")
 
     def __init__(self, sink: ResponseSink, length: int) -> None:
+        """Write the next `length` bytes to `sink`."""
         self._sink = sink
         self._value_bytes_left = length
-        self._line_end_bytes_left = LINE_END_BYTES
+        self._line_end_bytes_left = CRLF_BYTES
 
     def feed(self, data: bytes) -> bytes:
-        """Write the value's part of `data` to the sink; return what follows the value and its line end."""
+        """Write the value's part of `data` to the sink; return what follows the value and its CR LF."""
         part = data[: self._value_bytes_left]
         self._value_bytes_left -= len(part)
         line_end_bytes = min(self._line_end_bytes_left, len(data) - len(part))
--- a/tests/server/test_endpoint_connections.py
+++ b/tests/server/test_endpoint_connections.py
@@ -165,7 +165,7 @@
         ends = [frames.scan(whole[at : at + size], 0) for at in range(0, len(whole), size)]
         assert ends[:-1] == [-1] * (len(ends) - 1)
         assert ends[-1] == (len(whole) - 1) % size + 1
-        assert not frames.midway
+        assert not frames.is_midway
 
     run_on_loop(test)
 
--- a/tests/server/test_large_values.py
+++ b/tests/server/test_large_values.py
@@ -320,8 +320,8 @@
     frames, answer = ResponseFrames(), success_reply(value(70_000))
     head = answer.index(b"\r\n", 5) + 2
     assert frames.scan(answer[: head - 3], 0) == -1
-    assert not frames.large
+    assert not frames.large_value_bytes
     assert frames.scan(answer[head - 3 : 5000], 0) == -1
-    assert (frames.large, frames.large_at) == (70_000, 3)
+    assert (frames.large_value_bytes, frames.large_value_start) == (70_000, 3)
     with pytest.raises(FrameError):
         ResponseFrames().scan(b"*3\r\n$%d\r\n" % (MAX_VALUE_BYTES + 1), 0)
