--- a/qos_gateway/server/requests/attempt_results.py
+++ b/qos_gateway/server/requests/attempt_results.py
@@ -7,7 +7,7 @@
 from ...types import AttemptEnded, Outcome, ProbeEnded, ResponseStarted
 from ..clients.pending_replies import StreamedReply
 from ..endpoints.attempt import Attempt, ProbeAttempt
-from ..endpoints.responses import LoadReport
+from ..endpoints.responses import AttemptResult, LoadReport
 from ..networking.value_stream import FlowControl
 from ..observability.activity_log import ActivityLog
 from ..observability.metrics import RequestResult
@@ -59,11 +59,10 @@
         self._handle(ResponseStarted(number, elapsed, attempt.number, attempt.endpoint), number)
         return None if request.closed else stream
 
-    def on_attempt_ended(
-        self, attempt: Attempt, outcome: Outcome, value: bytes | None, report: LoadReport
-    ) -> None:
+    def on_attempt_ended(self, attempt: Attempt, result: AttemptResult) -> None:
         """Answer the client if this was the response, and report the end of the attempt to the engine."""
-        elapsed = max(0, self._clock() - attempt.started_at)
+        outcome, value, report = result
+        elapsed = max(0, self._clock() - attempt.started_at_ns)
         load_report = self._load_report(report)
         if isinstance(attempt, ProbeAttempt):
             self._handle(ProbeEnded(outcome, attempt.endpoint, elapsed, load_report))
@@ -112,7 +111,7 @@
 
 
 def _time_to_first_byte(attempt: Attempt) -> int:
-    return max(0, attempt.response_started_at - attempt.started_at)
+    return max(0, attempt.response_started_at_ns - attempt.started_at_ns)
 
 
 def _quota_usage(report: LoadReport) -> int:
--- a/qos_gateway/server/requests/request_attempts.py
+++ b/qos_gateway/server/requests/request_attempts.py
@@ -8,7 +8,7 @@
 
 from ...types import AttemptEnded, CancelAttempt, Outcome, Send
 from ...units import SECOND
-from ..endpoints.attempt import Attempt
+from ..endpoints.attempt import Attempt, AttemptCommand
 from .open_request import OpenRequest
 from .repeat_guard import RepeatGuard
 from .request_context import RequestContext
@@ -64,15 +64,15 @@
             request=action.request_id,
             number=index,
             endpoint=action.endpoint,
-            started_at=now,
-            expires_at=now + (action.timeout if has_own_timeout else time_left),
-            command_parts=(
+            started_at_ns=now,
+            expires_at_ns=now + (action.timeout if has_own_timeout else time_left),
+            command=AttemptCommand(
                 command.command_start,
                 command.pairs_before_deadline,
                 command.pairs_after_deadline,
                 command.body,
             ),
-            send_deadline=action.send_deadline,
+            send_deadline_ns=action.send_deadline,
         )
         request.attempts.append(attempt)
         request.attempts_in_flight[index] = attempt
--- a/qos_gateway/server/wiring.py
+++ b/qos_gateway/server/wiring.py
@@ -21,7 +21,7 @@
 from .discovery.client import DiscoveryClient, DiscoveryOptions
 from .discovery.endpoint_directory import EndpointDirectory
 from .discovery.endpoint_feed import EndpointFeed
-from .endpoints.connections import EndpointConnections
+from .endpoints.connections import EndpointConnections, EndpointLimits
 from .event_dispatcher import EventDispatcher
 from .handover.channel import HandoverChannel
 from .handover.handover import Handover, SharedParts
@@ -155,18 +155,13 @@
 def _build_endpoint_connections(core: _Core, max_connections: int) -> EndpointConnections:
     config, observability = core.config, core.observability
     results = AttemptResults(core.context, SendGuard(observability.invariants), observability.activity)
-    return EndpointConnections(
+    limits = EndpointLimits(
         max_connections=max_connections,
         connect_timeout_s=config.connect_timeout / SECOND,
         max_idle_s=config.connection_idle / SECOND,
         drain_grace_s=config.settings.drain_grace / SECOND,
-        clock=core.context.clock,
-        on_attempt_ended=results.on_attempt_ended,
-        metrics=observability.metrics,
-        on_response_started=results.on_response_started,
-        is_wanted=results.is_wanted,
-        allows_send=results.allows_send,
     )
+    return EndpointConnections(limits, core.context.clock, results, observability.metrics)
 
 
 def _build_clients(
--- a/soak/mutants.py
+++ b/soak/mutants.py
@@ -41,7 +41,7 @@
 from qos_gateway.server.requests.repeat_guard import RepeatGuard
 from qos_gateway.server.requests.send_guard import SendGuard
 from qos_gateway.server.start_guard import check_start
-from qos_gateway.types import Health, RequestClass
+from qos_gateway.types import Health, Outcome, RequestClass
 from qos_gateway.units import SECOND
 
 LOST_EVERY = 20
@@ -109,16 +109,16 @@
 def promise_too_much_time() -> None:
     """Tell order servers more time than the client has."""
     payload = Attempt.payload
-    _patch(Attempt, "payload", lambda self, now: payload(self, now - SECOND))
+    _patch(Attempt, "payload", lambda self, now_ns: payload(self, now_ns - SECOND))
 
 
 def alter_commands() -> None:
     """Send order servers the customer's number in other letters."""
     payload = Attempt.payload
 
-    def alter(self: Attempt, now: int) -> bytes:
+    def alter(self: Attempt, now_ns: int) -> bytes:
         customer = self.command.command_start[1]
-        return payload(self, now).replace(customer, customer.upper().replace(b"0", b"F"), 1)
+        return payload(self, now_ns).replace(customer, customer.upper().replace(b"0", b"F"), 1)
 
     _patch(Attempt, "payload", alter)
 
@@ -245,11 +245,11 @@
     """Send nothing on after some seconds."""
     start = ConnectionPool.start
 
-    def fail(self: ConnectionPool, attempt: Attempt, now: int) -> None:
-        if self.owner.loop.time() - STARTED_AT_S[0] < FAIL_AFTER_S:
-            start(self, attempt, now)
+    def fail(self: ConnectionPool, attempt: Attempt, now_ns: int) -> None:
+        if asyncio.get_running_loop().time() - STARTED_AT_S[0] < FAIL_AFTER_S:
+            start(self, attempt, now_ns)
         else:
-            self.owner.loop.call_soon(self.owner.connect_failed, attempt)
+            self._reporter.finish_later(attempt, Outcome.CONNECT_FAILED)
 
     _patch(ConnectionPool, "start", fail)
     start_process = GatewayProcess.start
--- a/tests/server/test_large_values.py
+++ b/tests/server/test_large_values.py
@@ -9,7 +9,7 @@
 
 from qos_gateway.server.clients import timeouts
 from qos_gateway.server.endpoints import connection as endpoint_connection
-from qos_gateway.server.endpoints import response_receiver
+from qos_gateway.server.endpoints import response_deadline, response_receiver
 from qos_gateway.server.networking.resp import (
     MAX_BUFFERED_VALUE_BYTES,
     MAX_VALUE_BYTES,
@@ -138,7 +138,7 @@
 
 
 def test_value_in_flow_ends_before_a_stopping_process_is_killed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(endpoint_connection, "MAX_OVERTIME_S", 10.0)
+    monkeypatch.setattr(response_deadline, "MAX_OVERTIME_S", 10.0)
 
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -156,7 +156,7 @@
                 await asyncio.sleep(0.02)
             await with_timeout(end)
             late = deadlines.clock() - deadlines.latest_deadline
-            assert 0 < late < endpoint_connection.MAX_OVERTIME_S * SECOND // 2
+            assert 0 < late < response_deadline.MAX_OVERTIME_S * SECOND // 2
 
     run_on_loop(test)
 
@@ -299,15 +299,16 @@
             for at in range(0, len(answer) - 9, 9):
                 connection.send(answer[at : at + 9])
                 (pooled,) = harness.gateway.endpoint_connections._pools[only_endpoint(harness)].connections
-                await wait_until(lambda pooled=pooled: pooled.last_data_at > 0.0)  # type: ignore[misc]
-                last_data_at = pooled.last_data_at
-                pooled.last_data_at = last_data_at - 59.0  # a piece a minute, as it were
-                pooled._check_stall()
+                deadline = pooled.deadline
+                await wait_until(lambda deadline=deadline: deadline.last_data_at > 0.0)  # type: ignore[misc]
+                last_data_at = deadline.last_data_at
+                deadline.last_data_at = last_data_at - 59.0  # a piece a minute, as it were
+                pooled._check_deadline()
                 assert pooled.timer is not None
                 assert pooled.attempt is not None
-                pooled.last_data_at = 0.0
-            pooled.last_data_at = last_data_at - 61.0
-            pooled._check_stall()
+                deadline.last_data_at = 0.0
+            deadline.last_data_at = last_data_at - 61.0
+            pooled._check_deadline()
             assert harness.gateway.observability.activity.attempt_outcomes[Outcome.RESET] == 1
 
     run_on_loop(test)
@@ -322,8 +323,8 @@
     frames, answer = ResponseFrames(), success_reply(value(70_000))
     head = answer.index(b"\r\n", 5) + 2
     assert frames.scan(answer[: head - 3], 0) == -1
-    assert not frames.large
+    assert not frames.large_value_bytes
     assert frames.scan(answer[head - 3 : 5000], 0) == -1
-    assert (frames.large, frames.large_at) == (70_000, 3)
+    assert (frames.large_value_bytes, frames.large_value_start) == (70_000, 3)
     with pytest.raises(FrameError):
         ResponseFrames().scan(b"*3\r\n$%d\r\n" % (MAX_VALUE_BYTES + 1), 0)
