--- a/qos_gateway/decisions/handover.py
+++ b/qos_gateway/decisions/handover.py
@@ -1,7 +1,6 @@
-"""Hand the decision engine's state over from one process to the next, and share what is limited meanwhile.
+"""Handover of the decision engine's state from one process to the next.
 
-Until the old process is gone both count as one gateway, so each keeps a fraction of the buckets and their
-refill.
+Until the old process ends both count as one gateway, so each keeps a fraction of the buckets and refill.
 """
 
 from __future__ import annotations
@@ -11,19 +10,17 @@
 from .engine import DecisionEngine
 from .snapshot import EngineSnapshot, MeanSnapshot
 
-WHOLE = 1.0  # the fraction of a process that shares with no other
-
 
 @dataclass(frozen=True, slots=True)
 class HandoverFractions:
-    """What each of two processes keeps of what they share; together not over 1."""
+    """The fraction of shared limits that each of two processes keeps; their sum is at most 1."""
 
     outgoing: float
     incoming: float
 
 
 def capture(engine: DecisionEngine, now: int, fractions: HandoverFractions) -> EngineSnapshot:
-    """Return what the next process must know; from here on this one keeps its fraction alone."""
+    """Return the state for the next process, and reduce this engine to the outgoing fraction."""
     quota = engine.quota
     return EngineSnapshot(
         accounts=quota.capture_accounts(now, fractions.incoming, fractions.outgoing),
@@ -37,7 +34,7 @@
 
 
 def restore(engine: DecisionEngine, now: int, snapshot: EngineSnapshot, incoming_fraction: float) -> None:
-    """Take over a snapshot, decoded for the settings of this engine, and go on with its fraction."""
+    """Restore a snapshot, decoded for the settings of this engine, and use the incoming fraction."""
     engine.quota.restore(now, snapshot, incoming_fraction)
     engine.load_balancer.restore(now, snapshot.load_balancer, incoming_fraction)
     latencies = zip(engine.model.class_latency, snapshot.latency, snapshot.baseline_latency, strict=True)
@@ -47,6 +44,6 @@
 
 
 def complete(engine: DecisionEngine) -> None:
-    """Use all of what was shared, once the other process has ended."""
+    """Use all of what was shared; called once the other process has ended."""
     engine.quota.complete_handover()
     engine.load_balancer.complete_handover()
--- a/qos_gateway/server/gateway.py
+++ b/qos_gateway/server/gateway.py
@@ -133,7 +133,12 @@
         return client
 
     def _build_handover(self) -> Handover:
-        parts = SharedParts(self.clients, self.endpoint_connections, self.discovery, self.endpoint_directory)
+        parts = SharedParts(
+            clients=self.clients,
+            endpoint_connections=self.endpoint_connections,
+            discovery=self.discovery,
+            endpoint_directory=self.endpoint_directory,
+        )
         return Handover(parts, self.config.settings, self.clock, self.dispatcher, self.endpoint_feed.apply)
 
     def _build_handover_channel(self) -> HandoverChannel | None:
--- a/qos_gateway/server/handover/handover.py
+++ b/qos_gateway/server/handover/handover.py
@@ -1,4 +1,4 @@
-"""What one process hands over and the next takes over: state, shares of the limits, operators' calls."""
+"""The state and limits that two processes of a gateway share: captured, restored, and released at the end."""
 
 from __future__ import annotations
 
@@ -20,13 +20,12 @@
 log = logging.getLogger(__name__)
 
 FRACTIONS = HandoverFractions(OUTGOING_FRACTION, INCOMING_FRACTION)
-# What the old process may still add once the next one starts: it still accepts, and retries.
-EXTRA_CLIENT_CONNECTIONS = 4
-EXTRA_ENDPOINT_CONNECTIONS = 8
+EXTRA_CLIENT_CONNECTIONS = 4  # that the old process may accept once the next one starts
+EXTRA_ENDPOINT_CONNECTIONS = 8  # that the old process may open for retries once the next one starts
 WHOLE_MEMORY = 1.0  # the fraction of a process that shares with no other
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class SharedParts:
     """The parts of the process whose state or limits two processes share."""
 
@@ -47,7 +46,7 @@
         dispatcher: EventDispatcher,
         apply_list: Callable[[EndpointUpdate], None],
     ) -> None:
-        """Take `apply_list` as the way of a list of endpoints into this process."""
+        """Take `apply_list` to put an endpoint list into force in this process."""
         self._clients = parts.clients
         self._endpoint_connections = parts.endpoint_connections
         self._discovery = parts.discovery
@@ -58,7 +57,7 @@
         self._apply_list = apply_list
 
     def capture_state(self) -> HandoverState:
-        """Return the state for the next process; connections open here stay so until this process ends."""
+        """Return the state for the next process, and limit this one to the connections that it reports."""
         client_connections = self._clients.connection_count() + EXTRA_CLIENT_CONNECTIONS
         max_endpoint_connections = self._endpoint_connections.open_connections + EXTRA_ENDPOINT_CONNECTIONS
         self._clients.limit(client_connections, FRACTIONS.outgoing)
@@ -71,7 +70,10 @@
         )
 
     def restore_state(self, received: ReceivedState, list_is_current: bool) -> None:
-        """Take over the state of the process before; its list only where discovery has not told of one."""
+        """Restore the previous process's state; its endpoint list only if `list_is_current` is false.
+
+        An invalid state is logged and dropped.
+        """
         engine = self._dispatcher.engine
         try:
             endpoint_list = received.endpoint_list()
@@ -90,12 +92,12 @@
         log.info("handover_completed endpoints_disabled=%d", self._endpoint_directory.admin_disabled_count())
 
     def apply_admin_disabled(self, endpoint: int, disabled: bool) -> None:
-        """Follow an operator's call, whichever process it came to."""
+        """Apply an operator's call, whichever process received it."""
         self._dispatcher.handle(SetEndpointEnabled(endpoint, not disabled))
         self._endpoint_directory.set_admin_disabled(endpoint, disabled)
 
     def on_other_process_ended(self) -> None:
-        """Take the whole of what was shared."""
+        """Use all of what the two processes shared."""
         self._clients.limit(None, WHOLE_MEMORY)
         self._endpoint_connections.limit(None)
         complete(self._dispatcher.engine)
--- a/qos_gateway/server/handover/messages.py
+++ b/qos_gateway/server/handover/messages.py
@@ -1,6 +1,6 @@
 """Messages between two processes of one gateway, and their form on the wire: JSON, one object a line.
 
-Processes of different versions speak it: its keys and their order must not change within a version.
+Processes of different releases exchange them: keys and their order must not change within `VERSION`.
 """
 
 from __future__ import annotations
@@ -18,38 +18,38 @@
 )
 
 VERSION = 1
-WANTED_STATE = "state"  # the one thing that may be asked for
+WANTED_STATE = "state"  # the only value of a request
 
 
 class HandoverMessageError(ValueError):
-    """A message that is not one of this version."""
+    """A message that is malformed or of another version."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandoverState:
-    """What a process hands over."""
+    """State of a process for the next one."""
 
-    endpoint_list: JsonObject | None  # in discovery's own form; None where nothing was received yet
-    client_connections: int  # so many that the process may hold until it ends
+    endpoint_list: JsonObject | None  # in discovery's form; None before the first one
+    client_connections: int  # upper limit of the process until it ends
     max_endpoint_connections: int
     engine: EngineSnapshot
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedState:
-    """A state as it was received. Each part is decoded, and checked, when it is taken over."""
+    """A state as received. Each part is decoded and checked when it is used."""
 
     raw: JsonObject
 
     def endpoint_list(self) -> JsonObject | None:
-        """Return the list of endpoints in discovery's own form."""
+        """Return the endpoint list in discovery's form; raises `SnapshotFormatError` where it is missing."""
         if "list" not in self.raw:
             raise SnapshotFormatError("handover state: key 'list' missing")
         endpoint_list: JsonObject | None = self.raw["list"]
         return endpoint_list
 
     def decode(self, plan_count: int, class_count: int) -> HandoverState:
-        """Return the state; raises `SnapshotFormatError` where it does not fit so many plans and classes."""
+        """Return the state; raises `SnapshotFormatError` unless it fits the numbers of plans and classes."""
         endpoint_list = self.endpoint_list()
         try:
             client_connections = int(self.raw["clients"])
@@ -63,19 +63,19 @@
 
 @dataclass(frozen=True, slots=True)
 class StateRequest:
-    """Asks the process that serves for its state."""
+    """Requests the state of the serving process."""
 
 
 @dataclass(frozen=True, slots=True)
 class StateResponse:
-    """The state that was asked for."""
+    """The requested state."""
 
     state: HandoverState
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointDisabled:
-    """An operator has disabled an endpoint, or enabled it again; asks for an `Acknowledgement`."""
+    """An operator has disabled an endpoint, or enabled it again; requires an `Acknowledgement`."""
 
     endpoint: int
     disabled: bool
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledgement:
-    """The message of that number has been taken in."""
+    """The message with this sequence number has been applied."""
 
     sequence_number: int
 
@@ -120,9 +120,9 @@
 
 
 def decode_message(line: bytes) -> ReceivedMessage | None:
-    """Return the message of a line, or None for one that this version does not know.
+    """Return the message of a line, or None if its kind is unknown.
 
-    Raises `HandoverMessageError` for what is no message of this version.
+    Raises `HandoverMessageError` for a malformed message or another version.
     """
     try:
         raw = json.loads(line)
--- /dev/null
+++ b/qos_gateway/server/handover/open_connections.py
@@ -0,0 +1,77 @@
+"""The open connections to other processes of this gateway, and the operators' calls that they share."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from itertools import count
+from typing import Protocol
+
+from .connection import HandoverConnection
+from .messages import EndpointDisabled, HandoverState
+
+log = logging.getLogger(__name__)
+
+ACKNOWLEDGE_TIMEOUT_S = 0.3  # of an operator's call; its client waits 1 s for the response
+
+
+class HandoverDelegate(Protocol):
+    """What the other process causes in this one."""
+
+    def capture_state(self) -> HandoverState:
+        """Return the state for the next process."""
+
+    def apply_admin_disabled(self, endpoint: int, disabled: bool) -> None:
+        """Apply an operator's call that the other process received."""
+
+    def on_other_process_ended(self) -> None:
+        """Use all of what the two processes shared."""
+
+
+class OpenHandoverConnections:
+    """All open connections; they show whether the other process runs."""
+
+    def __init__(self, delegate: HandoverDelegate) -> None:
+        self.connections: set[HandoverConnection] = set()
+        self._delegate = delegate
+        self._sequence_numbers = count(1)
+
+    def connection_opened(self, connection: HandoverConnection) -> None:
+        """Add the connection."""
+        self.connections.add(connection)
+
+    def connection_closed(self, connection: HandoverConnection) -> None:
+        """Remove the connection; the last one with shared state marks the end of the other process."""
+        self.connections.discard(connection)
+        if connection.state_shared and not any(each.state_shared for each in self.connections):
+            log.info("handover_other_process_ended")
+            self._delegate.on_other_process_ended()
+
+    def capture_state(self) -> HandoverState:
+        """Return the state for the next process."""
+        return self._delegate.capture_state()
+
+    def apply_admin_disabled(self, endpoint: int, disabled: bool) -> None:
+        """Apply an operator's call that the other process received."""
+        self._delegate.apply_admin_disabled(endpoint, disabled)
+
+    async def broadcast_admin_disabled(self, endpoint: int, disabled: bool) -> None:
+        """Send an operator's call to the other process, if one runs; wait for its acknowledgement.
+
+        The wait ends after `ACKNOWLEDGE_TIMEOUT_S`.
+        """
+        pending = [
+            connection.send_acknowledged(EndpointDisabled(endpoint, disabled, next(self._sequence_numbers)))
+            for connection in self.connections
+            if connection.state_shared
+        ]
+        if not pending:
+            return
+        _, unacknowledged = await asyncio.wait(pending, timeout=ACKNOWLEDGE_TIMEOUT_S)
+        if unacknowledged:
+            log.error("handover_call_unacknowledged endpoint=%d disabled=%s", endpoint, disabled)
+
+    def close(self) -> None:
+        """Close all connections at once."""
+        for connection in list(self.connections):
+            connection.abandon()
--- a/tests/server/test_handover_channel.py
+++ b/tests/server/test_handover_channel.py
@@ -11,7 +11,8 @@
 import pytest
 
 from qos_gateway.decisions.snapshot import decode_snapshot
-from qos_gateway.server.handover import channel as handover_channel
+from qos_gateway.server.handover import connection as handover_connection
+from qos_gateway.server.handover import open_connections
 from qos_gateway.server.handover.channel import HandoverChannel
 from qos_gateway.server.handover.messages import HandoverState
 from tests.support.servers import run_on_loop, wait_until, with_timeout
@@ -91,7 +92,7 @@
 def test_call_that_the_other_process_does_not_acknowledge_is_logged_and_goes_on(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(handover_channel, "ACKNOWLEDGE_TIMEOUT_S", 0.01)
+    monkeypatch.setattr(open_connections, "ACKNOWLEDGE_TIMEOUT_S", 0.01)
 
     async def test() -> None:
         channel = await listening_channel(tmp_path, Delegate())
@@ -110,7 +111,7 @@
 def test_message_that_cannot_be_read_ends_the_connection(
     line: bytes, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(handover_channel, "MAX_LINE_BYTES", 1 << 16)
+    monkeypatch.setattr(handover_connection, "MAX_LINE_BYTES", 1 << 16)
 
     async def test() -> None:
         delegate = Delegate()
@@ -120,7 +121,7 @@
         with pytest.raises((ConnectionError, json.JSONDecodeError)):
             await other.next_message()
         assert "handover_message_invalid" in caplog.text
-        await wait_until(lambda: not channel.connections)
+        await wait_until(lambda: not channel._open.connections)
         assert delegate.ended == 0  # no state went over it
         channel.close()
 
