--- a/qos_gateway/server/admin/connection.py
+++ b/qos_gateway/server/admin/connection.py
@@ -1,4 +1,4 @@
-"""One connection of the operators' API: a request within a bounded time, its response, and the end."""
+"""One connection of the admin API: a request within a bounded time, its response, and the close."""
 
 from __future__ import annotations
 
@@ -9,43 +9,43 @@
 from .http import AdminRequest, HttpError, HttpExchange, HttpResponse
 from .routes import find_route
 
-REQUEST_TIMEOUT_S = 2.0  # from connecting until the request is complete; operators wait 1 s for an answer
+REQUEST_TIMEOUT_S = 2.0  # from connecting until the request is complete; operators wait 1 s
 CLOSE_TIMEOUT_S = 0.5  # for the client to take the response and close
 
 
-class ConnectionOwner(Protocol):
-    """The server that a connection belongs to."""
-
-    loop: asyncio.AbstractEventLoop
+class AdminConnectionListener(Protocol):
+    """What a connection calls."""
 
     def connection_opened(self, connection: AdminConnection) -> None:
-        """Count the connection in."""
+        """Add the connection to the open ones."""
 
     def connection_closed(self, connection: AdminConnection) -> None:
-        """Count the connection out."""
+        """Remove the connection from the open ones."""
 
     def handle(self, connection: AdminConnection, request: AdminRequest) -> None:
-        """Answer the connection's one request, now or later."""
+        """Answer the connection's only request, at once or later."""
 
 
 class AdminConnection(asyncio.Protocol):
     """Serve one request, then close."""
 
-    def __init__(self, owner: ConnectionOwner) -> None:
+    def __init__(self, listener: AdminConnectionListener) -> None:
+        """Take `listener` for all events of the connection; a running event loop is needed."""
         self.awaits_request = True
-        self._owner = owner
+        self._listener = listener
+        self._loop = asyncio.get_running_loop()
         self._exchange = HttpExchange(find_route)
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start the time within which the request must be complete."""
+        """Report the connection as open, and start the timeout of its request."""
         self._transport = cast(asyncio.Transport, transport)
         self._start_timer(REQUEST_TIMEOUT_S, self._expire)
-        self._owner.connection_opened(self)
+        self._listener.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Read on in the request; data behind it is dropped."""
+        """Parse the request; data after it is dropped."""
         if not self.awaits_request:
             return
         try:
@@ -57,12 +57,12 @@
             self._write(self._exchange.encode_continue())
             return
         self.awaits_request = False
-        self._owner.handle(self, request)
+        self._listener.handle(self, request)
 
     def answer(self, response: HttpResponse) -> None:
-        """Send the response and let the client close; after a moment the connection is aborted.
+        """Send the response; the connection is aborted unless the client closes it in `CLOSE_TIMEOUT_S`.
 
-        Of several responses, as where the request timed out while it was handled, only the first is sent.
+        Only the first response is sent: a request may time out while it is handled.
         """
         self.awaits_request = False
         self._cancel_timer()
@@ -70,7 +70,7 @@
         if transport.is_closing():
             return
         self._write(self._exchange.encode(response))
-        # Half-close: to close while data is unread would reset the connection, and lose the response.
+        # Half-close: a full close with unread data would reset the connection and lose the response.
         transport.write_eof()
         self._start_timer(CLOSE_TIMEOUT_S, self.abort)
 
@@ -81,10 +81,10 @@
             self._transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # asyncio's signature
-        """Stop the timer and leave the server."""
+        """Stop the timer, and report the connection as closed."""
         self.awaits_request = False
         self._cancel_timer()
-        self._owner.connection_closed(self)
+        self._listener.connection_closed(self)
 
     def _expire(self) -> None:
         self.answer(HttpResponse(408, b"no whole call in time\n"))
@@ -95,7 +95,7 @@
             transport.write(data)
 
     def _start_timer(self, delay_s: float, callback: Callable[[], None]) -> None:
-        self._timer = self._owner.loop.call_later(delay_s, callback)
+        self._timer = self._loop.call_later(delay_s, callback)
 
     def _cancel_timer(self) -> None:
         if self._timer is not None:
--- a/qos_gateway/server/admin/http.py
+++ b/qos_gateway/server/admin/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 for the operators' API, without I/O: one request and its response on each connection."""
+"""HTTP/1.1 for the admin API, without I/O: one request and its response on each connection."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import h11
 
-MAX_HEAD_BYTES = 8 << 10  # a browser's is smaller
+MAX_HEAD_BYTES = 8 << 10  # larger than a browser sends
 MAX_BODY_BYTES = 256  # the identifier of one endpoint
 
 RESPONSE_NOT_STARTED = (h11.IDLE, h11.SEND_RESPONSE)  # h11's states before and after the request's head
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminRequest:
-    """A complete request; the body is text without space around it."""
+    """A complete request; the body is text, stripped of surrounding space."""
 
     head: RequestHead
     body: str
@@ -39,7 +39,7 @@
 
 
 class HttpError(Exception):
-    """Reject a request with a status and a reason, and with status 405 name the method that is allowed."""
+    """A request that is rejected, with the status and the reason; status 405 also has the allowed method."""
 
     def __init__(self, status: int, reason: str, allowed_method: str | None = None) -> None:
         super().__init__(reason)
@@ -47,7 +47,7 @@
         self.allowed_method = allowed_method
 
     def to_response(self) -> HttpResponse:
-        """Return the response that tells the client."""
+        """Return the response to the rejected request."""
         return HttpResponse(self.status, f"{self}\n".encode(), self.allowed_method)
 
 
@@ -62,7 +62,7 @@
         self._body = b""
 
     def receive(self, data: bytes) -> AdminRequest | None:
-        """Return the request once it is complete; raises `HttpError` where it cannot be served."""
+        """Return the request once it is complete, else None; raises `HttpError` for an invalid one."""
         try:
             self._http.receive_data(data)
             while True:
@@ -79,13 +79,13 @@
             raise HttpError(error.error_status_hint, f"no call: {error}") from None
 
     def encode_continue(self) -> bytes:
-        """Return the response 100 if the client waits for it before it sends the body, else nothing."""
+        """Return the response 100 if the client waits for it before sending the body, else no bytes."""
         if not self._http.they_are_waiting_for_100_continue:
             return b""
         return self._http.send(h11.InformationalResponse(status_code=100, headers=[])) or b""
 
     def encode(self, response: HttpResponse) -> bytes:
-        """Return the bytes of the response; nothing if one has been encoded before."""
+        """Return the bytes of the response; no bytes if a response has been encoded before."""
         if self._http.our_state not in RESPONSE_NOT_STARTED:
             return b""
         headers = [
--- a/qos_gateway/server/admin/operations.py
+++ b/qos_gateway/server/admin/operations.py
@@ -1,35 +1,35 @@
-"""The operators' calls, carried out on the running gateway."""
+"""The operations of the admin API, carried out on the running gateway."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from ...decisions.load_balancing.load_balancer import LoadBalancer
 from ..clients.connections import ClientConnections
 from ..discovery.endpoint_directory import EndpointDirectory
 from ..discovery.endpoint_list import endpoint_id
-from ..event_dispatcher import EventDispatcher
 from ..handover.channel import HandoverChannel
 from ..handover.handover import Handover
 from ..observability.metrics import Gauges, Metrics, render
 from ..requests.open_requests import OpenRequests
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class AdminTargets:
-    """What the operators' calls read and change."""
+    """The parts that the operations read and change."""
 
     clients: ClientConnections
     requests: OpenRequests
     endpoint_directory: EndpointDirectory
     metrics: Metrics
-    dispatcher: EventDispatcher
+    load_balancer: LoadBalancer
     handover: Handover
     handover_channel: HandoverChannel | None  # None where no other process can take over
 
 
 class AdminOperations:
-    """Answers the operators' calls, whatever protocol they come over."""
+    """The operations, independent of the protocol of the calls."""
 
     def __init__(self, targets: AdminTargets, clock: Callable[[], int]) -> None:
         self._targets = targets
@@ -42,12 +42,12 @@
     def render_metrics(self) -> bytes:
         """Return all metrics in their text form."""
         targets = self._targets
-        excluded = targets.dispatcher.engine.load_balancer.excluded_count(self._clock())
+        excluded = targets.load_balancer.excluded_count(self._clock())
         gauges = Gauges(targets.requests.unanswered(), targets.endpoint_directory.listed_count(), excluded)
         return render(targets.metrics, gauges)
 
     async def set_endpoint_disabled(self, name: str, disabled: bool) -> bool:
-        """Disable an endpoint or enable it again, here and in the other process; False if it is not known."""
+        """Disable or enable an endpoint, here and in the other process; return False if it is not known."""
         endpoint = endpoint_id(name)
         if not self._targets.endpoint_directory.is_listed_or_disabled(endpoint):
             return False
--- a/qos_gateway/server/admin/routes.py
+++ b/qos_gateway/server/admin/routes.py
@@ -1,4 +1,4 @@
-"""The calls of the operators' API: method, path, and what each does."""
+"""The calls of the admin API: method, path, and handler."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class AdminHandler(Protocol):
-    """What the operators' API needs of the gateway."""
+    """The operations that the admin API calls."""
 
     def accepts_clients(self) -> bool:
         """Return whether clients that connect are served."""
@@ -28,12 +28,12 @@
 
 
 RouteHandler: TypeAlias = Callable[[AdminHandler, AdminRequest], HttpResponse | Awaitable[HttpResponse]]
-"""Answer a request, at once or, where the gateway's other process must hear of it too, later."""
+"""Return the response, or an awaitable if the call is also sent to the gateway's other process."""
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One call of the API."""
+    """One call of the admin API."""
 
     method: str
     path: str
--- a/qos_gateway/server/admin/server.py
+++ b/qos_gateway/server/admin/server.py
@@ -1,4 +1,4 @@
-"""The server of the operators' API: its listening socket, and a bounded number of connections."""
+"""The server of the admin API: its listening socket, and a bounded number of connections."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
 
-MAX_CONNECTIONS = 24  # for one more the oldest is closed, first of those whose request is incomplete
+MAX_CONNECTIONS = 24  # above it the oldest is closed, preferably one with an incomplete request
 BACKLOG_CONNECTIONS = 64  # that the kernel accepts ahead of the process
-BIND_RETRY_INTERVAL_S = 0.25  # while the process before still has the address
+BIND_RETRY_INTERVAL_S = 0.25  # while the previous process holds the address
 
 
 class AdminServer:
-    """Serve the operators' API on an address of its own."""
+    """Serve the admin API on its own address."""
 
     def __init__(self, address: Address, handler: AdminHandler) -> None:
-        """Take the gateway as `handler`; nothing is opened before `start`."""
-        self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
-        self.port = 0  # once it listens; the system's choice if the address leaves it open
+        """Take `handler` to carry out the calls; nothing is opened before `start`."""
+        self._loop = asyncio.get_running_loop()
+        self.port = 0  # set once it listens; chosen by the system if the address has port 0
         self._address = address
         self._handler = handler
         self._connections: dict[AdminConnection, None] = {}  # oldest first
@@ -37,7 +37,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen; an address in use is tried again in the background, since clients are served meanwhile."""
+        """Listen; an address in use is retried in the background, so that the start does not wait for it."""
         try:
             await self._listen()
         except OSError as error:
@@ -47,7 +47,7 @@
                 self._spawn(self._retry_listening())
 
     def close(self) -> None:
-        """Stop listening, cancel what is being answered, and close all connections."""
+        """Stop listening, cancel the calls in progress, and close all connections."""
         if self._server is not None:
             self._server.close()
         for task in list(self._tasks):
@@ -56,17 +56,17 @@
             connection.abort()
 
     def connection_opened(self, connection: AdminConnection) -> None:
-        """Take in a connection, and close another where there are too many."""
+        """Add a connection; above `MAX_CONNECTIONS`, close the oldest."""
         if len(self._connections) >= MAX_CONNECTIONS:
             self._close_oldest()
         self._connections[connection] = None
 
     def connection_closed(self, connection: AdminConnection) -> None:
-        """Forget a connection."""
+        """Remove a connection from the open ones."""
         self._connections.pop(connection, None)
 
     def handle(self, connection: AdminConnection, request: AdminRequest) -> None:
-        """Answer at once where the route does, else when its task is done."""
+        """Answer a request, at once or from a task, as its route requires."""
         result = find_route(request.head).handle(self._handler, request)
         if isinstance(result, HttpResponse):
             connection.answer(result)
@@ -79,7 +79,7 @@
     async def _listen(self) -> None:
         sock = bound_socket(self._address, BACKLOG_CONNECTIONS)
         try:
-            self._server = await self.loop.create_server(lambda: AdminConnection(self), sock=sock)
+            self._server = await self._loop.create_server(lambda: AdminConnection(self), sock=sock)
         except OSError:
             sock.close()
             raise
@@ -102,6 +102,6 @@
         oldest.abort()
 
     def _spawn(self, work: Coroutine[object, object, None]) -> None:
-        task = self.loop.create_task(work)
+        task = self._loop.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/qos_gateway/server/gateway.py
+++ b/qos_gateway/server/gateway.py
@@ -149,13 +149,13 @@
 
     def _build_operations(self) -> AdminOperations:
         targets = AdminTargets(
-            self.clients,
-            self.requests,
-            self.endpoint_directory,
-            self.metrics,
-            self.dispatcher,
-            self.handover,
-            self.handover_channel,
+            clients=self.clients,
+            requests=self.requests,
+            endpoint_directory=self.endpoint_directory,
+            metrics=self.metrics,
+            load_balancer=self.dispatcher.engine.load_balancer,
+            handover=self.handover,
+            handover_channel=self.handover_channel,
         )
         return AdminOperations(targets, self.clock)
 
