--- a/qos_gateway/server/admin/routes.py
+++ b/qos_gateway/server/admin/routes.py
@@ -7,6 +7,7 @@
 from dataclasses import dataclass
 from typing import Protocol, TypeAlias
 
+from ...edge_names import AdminPath
 from ..observability.logs import RateLimitFilter
 from .http import AdminRequest, HttpError, HttpResponse, RequestHead
 
@@ -74,10 +75,10 @@
 
 
 ROUTES = (
-    Route("GET", "/ops/readiness", _get_readiness),
-    Route("GET", "/ops/stats", _get_metrics),
-    Route("POST", "/ops/order-servers/down", _disable_endpoint),
-    Route("POST", "/ops/order-servers/up", _enable_endpoint),
+    Route("GET", AdminPath.READINESS, _get_readiness),
+    Route("GET", AdminPath.METRICS, _get_metrics),
+    Route("POST", AdminPath.DISABLE_ENDPOINT, _disable_endpoint),
+    Route("POST", AdminPath.ENABLE_ENDPOINT, _enable_endpoint),
 )
 _ROUTES_BY_PATH = {route.path: route for route in ROUTES}
 
--- a/qos_gateway/server/handover/messages.py
+++ b/qos_gateway/server/handover/messages.py
@@ -16,9 +16,10 @@
     decode_snapshot,
     encode_snapshot,
 )
+from ...edge_names import HandoverKey, HandoverStateKey
 
 VERSION = 1
-WANTED_STATE = "state"  # the only value of a request
+REQUESTED_STATE = HandoverKey.STATE  # the only value of a request
 
 
 class HandoverMessageError(ValueError):
@@ -43,18 +44,18 @@
 
     def endpoint_list(self) -> JsonObject | None:
         """Return the endpoint list in discovery's form; raises `SnapshotFormatError` where it is missing."""
-        if "list" not in self.raw:
-            raise SnapshotFormatError("handover state: key 'list' missing")
-        endpoint_list: JsonObject | None = self.raw["list"]
+        if HandoverStateKey.ENDPOINT_LIST not in self.raw:
+            raise SnapshotFormatError(f"handover state: key {HandoverStateKey.ENDPOINT_LIST!r} missing")
+        endpoint_list: JsonObject | None = self.raw[HandoverStateKey.ENDPOINT_LIST]
         return endpoint_list
 
     def decode(self, plan_count: int, class_count: int) -> HandoverState:
         """Return the state; raises `SnapshotFormatError` unless it fits the numbers of plans and classes."""
         endpoint_list = self.endpoint_list()
         try:
-            client_connections = int(self.raw["clients"])
-            max_endpoint_connections = int(self.raw["backends"])
-            raw_engine = self.raw["decisions"]
+            client_connections = int(self.raw[HandoverStateKey.CLIENT_CONNECTIONS])
+            max_endpoint_connections = int(self.raw[HandoverStateKey.MAX_ENDPOINT_CONNECTIONS])
+            raw_engine = self.raw[HandoverStateKey.ENGINE]
         except (KeyError, TypeError, ValueError) as error:
             raise SnapshotFormatError(f"handover state: {type(error).__name__}: {error}") from None
         engine = decode_snapshot(raw_engine, plan_count, class_count)
@@ -95,27 +96,31 @@
 
 def encode_message(message: SentMessage) -> bytes:
     """Return the line for a message."""
-    return json.dumps({"v": VERSION, **_encode_fields(message)}).encode() + b"\n"
+    return json.dumps({HandoverKey.VERSION: VERSION, **_encode_fields(message)}).encode() + b"\n"
 
 
 def _encode_fields(message: SentMessage) -> JsonObject:
     match message:
         case StateRequest():
-            return {"want": WANTED_STATE}
+            return {HandoverKey.REQUESTED: REQUESTED_STATE}
         case StateResponse(state):
-            return {"state": _encode_state(state)}
+            return {HandoverKey.STATE: _encode_state(state)}
         case EndpointDisabled(endpoint, disabled, sequence_number):
-            return {"backend": endpoint, "out": disabled, "n": sequence_number}
+            return {
+                HandoverKey.ENDPOINT: endpoint,
+                HandoverKey.DISABLED: disabled,
+                HandoverKey.SEQUENCE_NUMBER: sequence_number,
+            }
         case Acknowledgement(sequence_number):
-            return {"done": sequence_number}
+            return {HandoverKey.ACKNOWLEDGED_NUMBER: sequence_number}
 
 
 def _encode_state(state: HandoverState) -> JsonObject:
     return {
-        "list": state.endpoint_list,
-        "clients": state.client_connections,
-        "backends": state.max_endpoint_connections,
-        "decisions": encode_snapshot(state.engine),
+        HandoverStateKey.ENDPOINT_LIST: state.endpoint_list,
+        HandoverStateKey.CLIENT_CONNECTIONS: state.client_connections,
+        HandoverStateKey.MAX_ENDPOINT_CONNECTIONS: state.max_endpoint_connections,
+        HandoverStateKey.ENGINE: encode_snapshot(state.engine),
     }
 
 
@@ -126,7 +131,7 @@
     """
     try:
         raw = json.loads(line)
-        version = raw["v"]
+        version = raw[HandoverKey.VERSION]
         if version == VERSION:
             return _decode_fields(raw)
     except (AttributeError, KeyError, TypeError, ValueError) as error:
@@ -135,12 +140,14 @@
 
 
 def _decode_fields(raw: Any) -> ReceivedMessage | None:
-    if "want" in raw:
+    if HandoverKey.REQUESTED in raw:
         return StateRequest()
-    if "state" in raw:
-        return ReceivedState(dict(raw["state"]))
-    if "out" in raw:
-        return EndpointDisabled(int(raw["backend"]), bool(raw["out"]), raw["n"])
-    if "done" in raw:
-        return Acknowledgement(raw["done"])
+    if HandoverKey.STATE in raw:
+        return ReceivedState(dict(raw[HandoverKey.STATE]))
+    if HandoverKey.DISABLED in raw:
+        return EndpointDisabled(
+            int(raw[HandoverKey.ENDPOINT]), bool(raw[HandoverKey.DISABLED]), raw[HandoverKey.SEQUENCE_NUMBER]
+        )
+    if HandoverKey.ACKNOWLEDGED_NUMBER in raw:
+        return Acknowledgement(raw[HandoverKey.ACKNOWLEDGED_NUMBER])
     return None
--- a/qos_gateway/types/settings.py
+++ b/qos_gateway/types/settings.py
@@ -5,21 +5,23 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from ..edge_names import IdempotenceValue, IdempotencyScopeValue
+
 
 class Idempotence(Enum):
     """Retries that a request class allows once an attempt may have executed."""
 
-    IDEMPOTENT = "free"  # any retry
-    KEYED = "guarded"  # retries at endpoints that know the idempotency key
-    NOT_IDEMPOTENT = "single_shot"  # no retry
+    IDEMPOTENT = IdempotenceValue.IDEMPOTENT  # any retry
+    KEYED = IdempotenceValue.KEYED  # retries at endpoints that know the idempotency key
+    NOT_IDEMPOTENT = IdempotenceValue.NOT_IDEMPOTENT  # no retry
 
 
 class IdempotencyScope(Enum):
     """Endpoints that share the idempotency keys which one of them has seen."""
 
-    ALL = "all"
-    ZONE = "zone"
-    CELL = "cell"
+    ALL = IdempotencyScopeValue.ALL
+    ZONE = IdempotencyScopeValue.ZONE
+    CELL = IdempotencyScopeValue.CELL
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
