--- /dev/null
+++ b/qos_gateway/server/config/json_file.py
@@ -0,0 +1,23 @@
+"""Reading the configuration's file."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+
+from ..networking.transient_errors import is_transient
+from .errors import ConfigError, ConfigUnreadableError
+from .json_values import JsonObject
+
+
+def read_object(path: str, source: str) -> JsonObject:
+    """Return the JSON object in a file; raises `ConfigError`, with `source` as the name of the setting."""
+    try:
+        raw = json.loads(Path(path).read_bytes())
+    except OSError as error:
+        raise ConfigUnreadableError(f"{source}: {error}", is_transient(error)) from None
+    except ValueError as error:
+        raise ConfigUnreadableError(f"{source}: {error}", is_transient=False) from None
+    if not isinstance(raw, dict):
+        raise ConfigError(f"{source}: not a JSON object")
+    return raw
--- a/qos_gateway/server/config/reloader.py
+++ b/qos_gateway/server/config/reloader.py
@@ -1,4 +1,4 @@
-"""Reading the configuration at the start and again, where its file cannot be read for a moment."""
+"""Loading the configuration at the start and on request, with retries while its file cannot be read."""
 
 from __future__ import annotations
 
@@ -8,17 +8,22 @@
 import time
 from collections.abc import Callable, Mapping
 
-from ..config import Config, ConfigError, ConfigUnreadableError, load, reload
 from ..networking.transient_errors import RETRY_INTERVAL_S, START_RETRY_TIME_S
+from .errors import ConfigError, ConfigUnreadableError
+from .loader import load, reload
+from .types import Config
 
 log = logging.getLogger(__name__)
 
-RELOAD_RETRY_TIME_S = 10.0  # after a signal, in which a file that cannot be read is tried again
+RELOAD_RETRY_TIME_S = 10.0  # after a signal, for an unreadable file
 MAX_RELOAD_INTERVAL_S = 0.5
 
 
 def load_at_start(environment: Mapping[str, str]) -> Config:
-    """Return the configuration, waiting a moment where reading it fails for now; raises `ConfigError`."""
+    """Return the configuration; transient read errors are retried for `START_RETRY_TIME_S`.
+
+    Raises `ConfigError`.
+    """
     give_up_at = time.monotonic() + START_RETRY_TIME_S
     while True:
         try:
@@ -30,24 +35,24 @@
 
 
 class ConfigReloader:
-    """Takes up a new configuration on each request; one that cannot be used changes nothing.
+    """Applies the changed configuration on each request; an invalid one changes nothing.
 
-    The platform signals once: a file that cannot be read, or is written just then, is read again soon.
+    The platform signals once, so an unreadable or half-written file is read again soon.
     """
 
     def __init__(self, reconfigure: Callable[[Config], None]) -> None:
-        """Take `reconfigure` to put a configuration in force; a running event loop is needed."""
+        """Take `reconfigure` to apply a configuration; a running event loop is needed."""
         self._reconfigure = reconfigure
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
 
     def request(self) -> None:
-        """Read the configuration now, and again for a while if that fails."""
+        """Load the configuration now; retry for `RELOAD_RETRY_TIME_S` if its file is unreadable."""
         self.close()
         self._read(self._loop.time() + RELOAD_RETRY_TIME_S, RETRY_INTERVAL_S)
 
     def close(self) -> None:
-        """Give up what is being tried again."""
+        """Cancel the retries."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/qos_gateway/server/config/types.py
+++ b/qos_gateway/server/config/types.py
@@ -1,8 +1,8 @@
-"""The typed configuration of one gateway, and which part of it a running gateway takes up."""
+"""The typed configuration of one gateway."""
 
 from __future__ import annotations
 
-from dataclasses import dataclass, fields
+from dataclasses import dataclass
 from typing import TypeAlias
 
 from ...types import Settings
@@ -12,9 +12,9 @@
 """Host and port, in the form that asyncio and the socket module take."""
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class Config:
-    """All that one gateway is configured with. Durations are in nanoseconds."""
+    """Configuration of one gateway. Durations are in ns."""
 
     name: str
     listen: Address
@@ -25,7 +25,7 @@
     peer_listen: Address | None
     peers: tuple[Address, ...]
     peer_broadcast: Address | None
-    cached_list: JsonObject | None  # the last list of endpoints, in discovery's form
+    cached_list: JsonObject | None  # the last known endpoint list, in discovery's form
     settings: Settings
     classes: tuple[bytes, ...]
     plans: tuple[bytes, ...]
@@ -35,32 +35,6 @@
     connection_idle: int
     counter: Address | None
     counter_timeout: int
-    admin: Address | None  # of the operators' API; None turns it off
-    inherited_descriptor: int | None  # of the clients' listening socket, where the platform holds it
-    shared_folder: str | None  # shared with the process before this one and the one after it
-
-
-RELOADABLE = frozenset({"counter", "discovery"})
-USED_AT_START_ONLY = frozenset({"seed", "cached_list"})  # a change of these has nothing to take effect on
-
-# How the configuration calls what has another name here.
-CONFIGURATION_KEYS = {
-    "max_descriptors": "limits.sockets",
-    "memory_bytes": "limits.memory_mb",
-    "peer_broadcast": "peers_all",
-    "plans": "packages",
-    "machine_classes": "kinds",
-    "connect_timeout": "connectTimeout",
-    "connection_idle": "connIdle",
-    "counter_timeout": "counterTimeout",
-    "admin": "operator",
-    "inherited_descriptor": "ROUTER_PASSED_SOCKET",
-    "shared_folder": "TMPDIR",
-}
-
-
-def needs_restart(old: Config, new: Config) -> list[str]:
-    """Return the configuration's keys whose change a running gateway does not take up."""
-    names = [each.name for each in fields(Config) if each.name not in RELOADABLE | USED_AT_START_ONLY]
-    changed = [name for name in names if getattr(old, name) != getattr(new, name)]
-    return [CONFIGURATION_KEYS.get(name, name) for name in changed]
+    admin: Address | None  # of the admin API; None: no admin API
+    inherited_descriptor: int | None  # of the clients' listening socket, if the platform passes it
+    shared_folder: str | None  # shared by successive processes of the gateway
--- a/tests/server/test_config.py
+++ b/tests/server/test_config.py
@@ -9,7 +9,7 @@
 import pytest
 
 from qos_gateway.server.config import Config, ConfigError, flatten, load, needs_restart, parse, reload
-from qos_gateway.server.config.types import CONFIGURATION_KEYS
+from qos_gateway.server.config.restart_rules import CONFIGURATION_KEYS
 from tests.support.servers import LOOPBACK, endpoint_list, raw_config
 
 
