--- a/tests/test_edge_names.py
+++ b/tests/test_edge_names.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import ast
+from functools import cache
 from pathlib import Path
 
 import pytest
@@ -46,6 +47,7 @@
     return {term: name.decode() if isinstance(name, bytes) else name for term, name in entries.items()}
 
 
+@cache
 def literals(path: Path) -> list[tuple[int, str]]:
     """Return the line and text of each literal, f-strings included, but docstrings and names of slots."""
     tree = ast.parse(path.read_text())
