--- a/qos_gateway/server/clients/request_parser.py
+++ b/qos_gateway/server/clients/request_parser.py
@@ -5,6 +5,7 @@
 import re
 from dataclasses import dataclass
 
+from ...edge_names import CommandField, CommandName
 from ...types import Idempotence
 from ..config import Config
 
@@ -15,8 +16,6 @@
 ARGUMENTS_WITHOUT_BODY = 4  # name, customer, request id, names and values
 ARGUMENTS_WITH_BODY = 5
 RETRY_FLAG = 2  # bit of `ClientRequest.options`: the client repeats a request
-GET_COMMAND = b"CALL.GET"  # for idempotent requests
-POST_COMMAND = b"CALL.POST"  # for all others
 
 # As the protocol has them: Python's own `int` and `float` take signs, underscores and spaces too.
 _CUSTOMER_ID = re.compile(rb"[0-9a-fA-F]{16}")
@@ -83,16 +82,18 @@
             raise InvalidCommandError("list of names and values too long")
         pairs = arguments[3].split(b",")
         values = _values_by_name(pairs)
-        request_class = self._classes.get(values.get(b"c", b""))
+        request_class = self._classes.get(values.get(CommandField.REQUEST_CLASS, b""))
         if request_class is None:
             raise InvalidCommandError("unknown class")
-        plan_index = self._plan_indexes.get(values.get(b"t", b""))
+        plan_index = self._plan_indexes.get(values.get(CommandField.PLAN, b""))
         if plan_index is None:
             raise InvalidCommandError("unknown plan")
         _check_idempotence(request_class.idempotence, arguments, values)
-        if b"d" not in values:
+        if CommandField.DEADLINE_MS not in values:
             raise InvalidCommandError("d missing")
-        deadline_position = list(values).index(b"d")  # as no name stands twice, in the order of the pairs
+        deadline_position = list(values).index(
+            CommandField.DEADLINE_MS
+        )  # as no name stands twice, in the order of the pairs
         pairs_before = b"".join([pair + b"," for pair in pairs[:deadline_position]])
         pairs_after = b"".join([b"," + pair for pair in pairs[deadline_position + 1 :]])
         return ClientRequest(
@@ -103,11 +104,11 @@
             class_index=request_class.index,
             plan_index=plan_index,
             customer_id=customer_id,
-            wait_ms=_whole_number(values, b"d", 0, MAX_WAIT_MS),
+            wait_ms=_whole_number(values, CommandField.DEADLINE_MS, 0, MAX_WAIT_MS),
             units=_units(values, self._max_units),
-            gateway_spread=_whole_number(values, b"spread", 1, self._gateway_count),
-            first_gateway=_whole_number(values, b"first", 0, self._gateway_count - 1),
-            options=RETRY_FLAG if values.get(b"r") == b"1" else 0,
+            gateway_spread=_whole_number(values, CommandField.GATEWAY_SPREAD, 1, self._gateway_count),
+            first_gateway=_whole_number(values, CommandField.FIRST_GATEWAY, 0, self._gateway_count - 1),
+            options=RETRY_FLAG if values.get(CommandField.IS_RETRY) == b"1" else 0,
         )
 
 
@@ -129,11 +130,13 @@
 
 def _check_idempotence(idempotence: Idempotence, arguments: list[bytes], values: dict[bytes, bytes]) -> None:
     is_idempotent = idempotence is Idempotence.IDEMPOTENT
-    if (arguments[0].upper() == GET_COMMAND) != is_idempotent:
+    if (arguments[0].upper() == CommandName.IDEMPOTENT_REQUEST) != is_idempotent:
         raise InvalidCommandError("the class is not served by this command")
     if is_idempotent and len(arguments) == ARGUMENTS_WITH_BODY:
         raise InvalidCommandError("the class takes no value")
-    if idempotence is Idempotence.KEYED and not _IDEMPOTENCY_KEY.fullmatch(values.get(b"k", b"")):
+    if idempotence is Idempotence.KEYED and not _IDEMPOTENCY_KEY.fullmatch(
+        values.get(CommandField.IDEMPOTENCY_KEY, b"")
+    ):
         raise InvalidCommandError("k missing: the class wants an idempotency key")
 
 
@@ -152,7 +155,7 @@
 
 
 def _units(values: dict[bytes, bytes], max_units: float) -> float:
-    text = values.get(b"units", b"1")
+    text = values.get(CommandField.UNITS, b"1")
     units = float(text) if _UNITS.fullmatch(text) else -1.0
     if not 0.0 < units <= max_units:
         raise InvalidCommandError("bad units")
--- a/qos_gateway/server/endpoints/attempt.py
+++ b/qos_gateway/server/endpoints/attempt.py
@@ -7,6 +7,7 @@
 
 import hiredis
 
+from ...edge_names import CommandField, ProbeWord
 from ...types import Outcome
 from ...units import MILLISECOND
 from .responses import read_probe_response, read_response
@@ -26,7 +27,8 @@
     body: tuple[bytes, ...]
 
 
-_PROBE_COMMAND = AttemptCommand((b"INFO", b"load"), b"", b"", ())
+_PAIRS_FORMAT = b"%%b%b=%%d%%b" % CommandField.DEADLINE_MS
+_PROBE_COMMAND = AttemptCommand((ProbeWord.COMMAND, ProbeWord.SECTION), b"", b"", ())
 
 
 class Attempt:
@@ -77,7 +79,7 @@
         """Return the client's own bytes, but for `d`: the time left to this attempt in ms, rounded up."""
         command = self.command
         time_left_ms = max(1, -(-(self.expires_at - now) // MILLISECOND))
-        pairs = b"%bd=%d%b" % (command.pairs_before_deadline, time_left_ms, command.pairs_after_deadline)
+        pairs = _PAIRS_FORMAT % (command.pairs_before_deadline, time_left_ms, command.pairs_after_deadline)
         words: tuple[bytes, ...] = (*command.command_start, pairs, *command.body)
         packed: bytes = hiredis.pack_command(words)  # type: ignore[arg-type]  # its stub lacks bytes
         return packed
--- a/qos_gateway/server/endpoints/responses.py
+++ b/qos_gateway/server/endpoints/responses.py
@@ -8,11 +8,15 @@
 
 import hiredis
 
+from ...edge_names import EndpointError
 from ...types import Outcome
 
 # What the protocol writes, not all that Python reads as a number: no sign and no infinity.
 _match_number = re.compile(rb"[0-9]{1,20}(?:\.[0-9]{1,20})?(?:[eE][+-]?[0-9]{1,2})?").fullmatch
-_OUTCOMES_OF_ERRORS = (("ERR failed", Outcome.ERROR), ("BUSY", Outcome.OVERLOADED))
+_OUTCOMES_OF_ERRORS = (
+    (EndpointError.FAILED, Outcome.ERROR),
+    (EndpointError.OVERLOADED, Outcome.OVERLOADED),
+)
 
 LoadReport = dict[str, float]
 
--- a/qos_gateway/server/observability/metrics.py
+++ b/qos_gateway/server/observability/metrics.py
@@ -8,12 +8,12 @@
 from enum import Enum
 from typing import TypeVar
 
+from ...edge_names import MetricName
 from ...types import RejectReason
 from .close_reasons import CloseReason
 from .invariants import Invariant
 from .retry_causes import RetryCause
 
-PREFIX = "edge_router"
 Key = TypeVar("Key", bound=Enum)
 _UNSAFE_IN_NAME = re.compile(r"[^0-9A-Za-z_-]")  # would be read as structure inside a metric's name
 
@@ -21,9 +21,9 @@
 class RequestResult(Enum):
     """How a request ended; the values are parts of the metrics' names."""
 
-    SERVED = "passed"
-    REJECTED = "dropped"
-    FAILED = "bad_gateway"
+    SERVED = MetricName.SERVED
+    REJECTED = MetricName.REJECTED
+    FAILED = MetricName.FAILED
 
 
 class Metrics:
@@ -56,23 +56,23 @@
 def render(metrics: Metrics, gauges: Gauges) -> bytes:
     """Return one line for each metric, in the form `name:value|kind`."""
     lines = [
-        f"{PREFIX}.handled.{name}.{result.value}:{count}|c"
+        f"{MetricName.PREFIX}.{MetricName.REQUESTS}.{name}.{result.value}:{count}|c"
         for name, counts in zip(metrics.classes, metrics.requests, strict=True)
         for result, count in counts.items()
     ]
     lines += [
-        f"{PREFIX}.upstream_tries:{metrics.attempts}|c",
-        f"{PREFIX}.in_progress:{gauges.open_requests}|g",
-        f"{PREFIX}.known_order_servers:{gauges.listed_endpoints}|g",
-        f"{PREFIX}.skipped_order_servers:{gauges.excluded_endpoints}|g",
+        f"{MetricName.PREFIX}.{MetricName.ATTEMPTS}:{metrics.attempts}|c",
+        f"{MetricName.PREFIX}.{MetricName.OPEN_REQUESTS}:{gauges.open_requests}|g",
+        f"{MetricName.PREFIX}.{MetricName.LISTED_ENDPOINTS}:{gauges.listed_endpoints}|g",
+        f"{MetricName.PREFIX}.{MetricName.EXCLUDED_ENDPOINTS}:{gauges.excluded_endpoints}|g",
     ]
-    lines += _counters("rejections", metrics.rejections)
-    lines += _counters("retries", metrics.retries)
-    lines += _counters("client_closes", metrics.client_closes)
-    lines += _counters("violations", {key: metrics.violations.get(key, 0) for key in Invariant})
+    lines += _counters(MetricName.REJECTIONS, metrics.rejections)
+    lines += _counters(MetricName.RETRIES, metrics.retries)
+    lines += _counters(MetricName.CLIENT_CLOSES, metrics.client_closes)
+    lines += _counters(MetricName.VIOLATIONS, {key: metrics.violations.get(key, 0) for key in Invariant})
     lines.append("")
     return "\n".join(lines).encode()
 
 
 def _counters(name: str, counts: Mapping[Key, int]) -> list[str]:
-    return [f"{PREFIX}.{name}.{key.value}:{count}|c" for key, count in counts.items()]
+    return [f"{MetricName.PREFIX}.{name}.{key.value}:{count}|c" for key, count in counts.items()]
--- a/qos_gateway/server/requests/request_attempts.py
+++ b/qos_gateway/server/requests/request_attempts.py
@@ -7,6 +7,7 @@
 from collections.abc import Callable
 from typing import cast
 
+from ...edge_names import LoadReportName
 from ...types import AttemptEnded, CancelAttempt, Outcome, ProbeEnded, ResponseStarted, Send, Settings
 from ...units import SECOND
 from ..clients.pending_replies import StreamedReply
@@ -26,7 +27,6 @@
 log = logging.getLogger(__name__)
 
 MAX_QUOTA_USAGE_PERCENT = 60_000  # an endpoint's figure is cut here: the engine's field has 16 bits
-QUOTA_USAGE_KEY = "used"  # in an endpoint's load report
 
 
 class RequestAttempts:
@@ -220,6 +220,6 @@
 
 def _quota_usage(report: LoadReport) -> int:
     """Return one more than the percentage of the customer's quota in use, or 0 where none was told."""
-    if QUOTA_USAGE_KEY not in report:
+    if LoadReportName.QUOTA_USAGE not in report:
         return 0
-    return 1 + min(MAX_QUOTA_USAGE_PERCENT, int(report[QUOTA_USAGE_KEY]))
+    return 1 + min(MAX_QUOTA_USAGE_PERCENT, int(report[LoadReportName.QUOTA_USAGE]))
