--- a/qos_gateway/server/admin/routes.py
+++ b/qos_gateway/server/admin/routes.py
@@ -1,4 +1,4 @@
-"""The calls of the operators' API: method, path, and what each does."""
+"""The calls of the admin API: method, path, and handler."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 from dataclasses import dataclass
 from typing import Protocol, TypeAlias
 
+from ...edge_names import AdminPath
 from ..observability.logs import RateLimitFilter
 from .http import AdminRequest, HttpError, HttpResponse, RequestHead
 
@@ -15,7 +16,7 @@
 
 
 class AdminHandler(Protocol):
-    """What the operators' API needs of the gateway."""
+    """The operations that the admin API calls."""
 
     def accepts_clients(self) -> bool:
         """Return whether clients that connect are served."""
@@ -28,12 +29,12 @@
 
 
 RouteHandler: TypeAlias = Callable[[AdminHandler, AdminRequest], HttpResponse | Awaitable[HttpResponse]]
-"""Answer a request, at once or, where the gateway's other process must hear of it too, later."""
+"""Return the response, or an awaitable if the call is also sent to the gateway's other process."""
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One call of the API."""
+    """One call of the admin API."""
 
     method: str
     path: str
@@ -74,10 +75,10 @@
 
 
 ROUTES = (
-    Route("GET", "/ops/readiness", _get_readiness),
-    Route("GET", "/ops/stats", _get_metrics),
-    Route("POST", "/ops/order-servers/down", _disable_endpoint),
-    Route("POST", "/ops/order-servers/up", _enable_endpoint),
+    Route("GET", AdminPath.READINESS, _get_readiness),
+    Route("GET", AdminPath.METRICS, _get_metrics),
+    Route("POST", AdminPath.DISABLE_ENDPOINT, _disable_endpoint),
+    Route("POST", AdminPath.ENABLE_ENDPOINT, _enable_endpoint),
 )
 _ROUTES_BY_PATH = {route.path: route for route in ROUTES}
 
--- a/qos_gateway/server/clients/commands.py
+++ b/qos_gateway/server/clients/commands.py
@@ -4,16 +4,10 @@
 
 from typing import Protocol
 
+from ...edge_names import CommandName
 from .pending_replies import PendingReply
-from .request_parser import (
-    GET_COMMAND,
-    POST_COMMAND,
-    ClientRequest,
-    InvalidCommandError,
-    RequestParser,
-)
-
-PING_COMMAND = b"PING"
+from .request_parser import ClientRequest, InvalidCommandError, RequestParser
+
 PONG_REPLY = b"+PONG\r\n"
 LOADING_REPLY = b"-LOADING no list of backends yet\r\n"
 UNKNOWN_COMMAND_REPLY = b"-ERR unknown command\r\n"
@@ -50,13 +44,13 @@
     def execute(self, pending_reply: PendingReply, arguments: list[bytes], waited_s: float) -> None:
         """Reply to a command, or submit its request, which was received `waited_s` seconds ago."""
         name = arguments[0].upper()
-        if name in (GET_COMMAND, POST_COMMAND):
+        if name in (CommandName.IDEMPOTENT_REQUEST, CommandName.OTHER_REQUEST):
             try:
                 request = self._parser.parse(arguments)
                 self._requests.submit(request, pending_reply, waited_s)
             except InvalidCommandError as error:
                 pending_reply.client.reply(pending_reply, error_reply(str(error)))
-        elif name == PING_COMMAND and len(arguments) == 1:
+        elif name == CommandName.PING and len(arguments) == 1:
             # The load balancer in front routes clients to this gateway once it receives PONG.
             reply = PONG_REPLY if self._requests.is_ready() else LOADING_REPLY
             pending_reply.client.reply(pending_reply, reply)
@@ -65,7 +59,7 @@
 
     def shed(self, pending_reply: PendingReply, arguments: list[bytes]) -> None:
         """Reject the request of a command; any other command gets its normal reply."""
-        if arguments[0].upper() not in (GET_COMMAND, POST_COMMAND):
+        if arguments[0].upper() not in (CommandName.IDEMPOTENT_REQUEST, CommandName.OTHER_REQUEST):
             self.execute(pending_reply, arguments, 0.0)
             return
         try:
--- a/qos_gateway/server/endpoints/attempt.py
+++ b/qos_gateway/server/endpoints/attempt.py
@@ -8,10 +8,13 @@
 
 import hiredis
 
+from ...edge_names import CommandField, ProbeWord
 from ...types import Outcome
 from ...units import MILLISECOND
 from .responses import read_probe_response, read_response
 
+_PAIRS_FORMAT = b"%%b%b=%%d%%b" % CommandField.DEADLINE_MS
+
 
 class AttemptCommand(NamedTuple):
     """The client's command, divided where the deadline of an attempt is inserted."""
@@ -57,14 +60,17 @@
         """Return the client's command with `d` set to the attempt's remaining time in ms, rounded up."""
         command = self.command
         time_left_ms = max(1, -(-(self.expires_at_ns - now_ns) // MILLISECOND))
-        pairs = b"%bd=%d%b" % (command.pairs_before_deadline, time_left_ms, command.pairs_after_deadline)
+        pairs = _PAIRS_FORMAT % (command.pairs_before_deadline, time_left_ms, command.pairs_after_deadline)
         words: tuple[bytes, ...] = (*command.command_start, pairs, *command.body)
         packed: bytes = hiredis.pack_command(words)  # type: ignore[arg-type]  # its stub lacks bytes
         return packed
 
 
 _PROBE_COMMAND = AttemptCommand(
-    command_start=(b"INFO", b"load"), pairs_before_deadline=b"", pairs_after_deadline=b"", body=()
+    command_start=(ProbeWord.COMMAND, ProbeWord.SECTION),
+    pairs_before_deadline=b"",
+    pairs_after_deadline=b"",
+    body=(),
 )
 
 
--- a/qos_gateway/server/handover/messages.py
+++ b/qos_gateway/server/handover/messages.py
@@ -1,6 +1,6 @@
 """Messages between two processes of one gateway, and their form on the wire: JSON, one object a line.
 
-Processes of different versions speak it: its keys and their order must not change within a version.
+Processes of different releases exchange them: keys and their order must not change within `VERSION`.
 """
 
 from __future__ import annotations
@@ -16,45 +16,46 @@
     decode_snapshot,
     encode_snapshot,
 )
+from ...edge_names import HandoverKey, HandoverStateKey
 
 VERSION = 1
-WANTED_STATE = "state"  # the one thing that may be asked for
+REQUESTED_STATE = HandoverKey.STATE  # the only value of a request
 
 
 class HandoverMessageError(ValueError):
-    """A message that is not one of this version."""
+    """A message that is malformed or of another version."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandoverState:
-    """What a process hands over."""
+    """State of a process for the next one."""
 
-    endpoint_list: JsonObject | None  # in discovery's own form; None where nothing was received yet
-    client_connections: int  # so many that the process may hold until it ends
+    endpoint_list: JsonObject | None  # in discovery's form; None before the first one
+    client_connections: int  # upper limit of the process until it ends
     max_endpoint_connections: int
     engine: EngineSnapshot
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedState:
-    """A state as it was received. Each part is decoded, and checked, when it is taken over."""
+    """A state as received. Each part is decoded and checked when it is used."""
 
     raw: JsonObject
 
     def endpoint_list(self) -> JsonObject | None:
-        """Return the list of endpoints in discovery's own form."""
-        if "list" not in self.raw:
-            raise SnapshotFormatError("handover state: key 'list' missing")
-        endpoint_list: JsonObject | None = self.raw["list"]
+        """Return the endpoint list in discovery's form; raises `SnapshotFormatError` where it is missing."""
+        if HandoverStateKey.ENDPOINT_LIST not in self.raw:
+            raise SnapshotFormatError(f"handover state: key {HandoverStateKey.ENDPOINT_LIST!r} missing")
+        endpoint_list: JsonObject | None = self.raw[HandoverStateKey.ENDPOINT_LIST]
         return endpoint_list
 
     def decode(self, plan_count: int, class_count: int) -> HandoverState:
-        """Return the state; raises `SnapshotFormatError` where it does not fit so many plans and classes."""
+        """Return the state; raises `SnapshotFormatError` unless it fits the numbers of plans and classes."""
         endpoint_list = self.endpoint_list()
         try:
-            client_connections = int(self.raw["clients"])
-            max_endpoint_connections = int(self.raw["backends"])
-            raw_engine = self.raw["decisions"]
+            client_connections = int(self.raw[HandoverStateKey.CLIENT_CONNECTIONS])
+            max_endpoint_connections = int(self.raw[HandoverStateKey.MAX_ENDPOINT_CONNECTIONS])
+            raw_engine = self.raw[HandoverStateKey.ENGINE]
         except (KeyError, TypeError, ValueError) as error:
             raise SnapshotFormatError(f"handover state: {type(error).__name__}: {error}") from None
         engine = decode_snapshot(raw_engine, plan_count, class_count)
@@ -63,19 +64,19 @@
 
 @dataclass(frozen=True, slots=True)
 class StateRequest:
-    """Asks the process that serves for its state."""
+    """Requests the state of the serving process."""
 
 
 @dataclass(frozen=True, slots=True)
 class StateResponse:
-    """The state that was asked for."""
+    """The requested state."""
 
     state: HandoverState
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointDisabled:
-    """An operator has disabled an endpoint, or enabled it again; asks for an `Acknowledgement`."""
+    """An operator has disabled an endpoint, or enabled it again; requires an `Acknowledgement`."""
 
     endpoint: int
     disabled: bool
@@ -84,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledgement:
-    """The message of that number has been taken in."""
+    """The message with this sequence number has been applied."""
 
     sequence_number: int
 
@@ -95,38 +96,42 @@
 
 def encode_message(message: SentMessage) -> bytes:
     """Return the line for a message."""
-    return json.dumps({"v": VERSION, **_encode_fields(message)}).encode() + b"\n"
+    return json.dumps({HandoverKey.VERSION: VERSION, **_encode_fields(message)}).encode() + b"\n"
 
 
 def _encode_fields(message: SentMessage) -> JsonObject:
     match message:
         case StateRequest():
-            return {"want": WANTED_STATE}
+            return {HandoverKey.REQUESTED: REQUESTED_STATE}
         case StateResponse(state):
-            return {"state": _encode_state(state)}
+            return {HandoverKey.STATE: _encode_state(state)}
         case EndpointDisabled(endpoint, disabled, sequence_number):
-            return {"backend": endpoint, "out": disabled, "n": sequence_number}
+            return {
+                HandoverKey.ENDPOINT: endpoint,
+                HandoverKey.DISABLED: disabled,
+                HandoverKey.SEQUENCE_NUMBER: sequence_number,
+            }
         case Acknowledgement(sequence_number):
-            return {"done": sequence_number}
+            return {HandoverKey.ACKNOWLEDGED_NUMBER: sequence_number}
 
 
 def _encode_state(state: HandoverState) -> JsonObject:
     return {
-        "list": state.endpoint_list,
-        "clients": state.client_connections,
-        "backends": state.max_endpoint_connections,
-        "decisions": encode_snapshot(state.engine),
+        HandoverStateKey.ENDPOINT_LIST: state.endpoint_list,
+        HandoverStateKey.CLIENT_CONNECTIONS: state.client_connections,
+        HandoverStateKey.MAX_ENDPOINT_CONNECTIONS: state.max_endpoint_connections,
+        HandoverStateKey.ENGINE: encode_snapshot(state.engine),
     }
 
 
 def decode_message(line: bytes) -> ReceivedMessage | None:
-    """Return the message of a line, or None for one that this version does not know.
+    """Return the message of a line, or None if its kind is unknown.
 
-    Raises `HandoverMessageError` for what is no message of this version.
+    Raises `HandoverMessageError` for a malformed message or another version.
     """
     try:
         raw = json.loads(line)
-        version = raw["v"]
+        version = raw[HandoverKey.VERSION]
         if version == VERSION:
             return _decode_fields(raw)
     except (AttributeError, KeyError, TypeError, ValueError) as error:
@@ -135,12 +140,14 @@
 
 
 def _decode_fields(raw: Any) -> ReceivedMessage | None:
-    if "want" in raw:
+    if HandoverKey.REQUESTED in raw:
         return StateRequest()
-    if "state" in raw:
-        return ReceivedState(dict(raw["state"]))
-    if "out" in raw:
-        return EndpointDisabled(int(raw["backend"]), bool(raw["out"]), raw["n"])
-    if "done" in raw:
-        return Acknowledgement(raw["done"])
+    if HandoverKey.STATE in raw:
+        return ReceivedState(dict(raw[HandoverKey.STATE]))
+    if HandoverKey.DISABLED in raw:
+        return EndpointDisabled(
+            int(raw[HandoverKey.ENDPOINT]), bool(raw[HandoverKey.DISABLED]), raw[HandoverKey.SEQUENCE_NUMBER]
+        )
+    if HandoverKey.ACKNOWLEDGED_NUMBER in raw:
+        return Acknowledgement(raw[HandoverKey.ACKNOWLEDGED_NUMBER])
     return None
--- a/qos_gateway/server/requests/attempt_results.py
+++ b/qos_gateway/server/requests/attempt_results.py
@@ -4,6 +4,7 @@
 
 from typing import cast
 
+from ...edge_names import LoadReportName
 from ...types import AttemptEnded, Outcome, ProbeEnded, ResponseStarted
 from ..clients.pending_replies import StreamedReply
 from ..endpoints.attempt import Attempt, ProbeAttempt
@@ -17,7 +18,6 @@
 from .send_guard import SendGuard
 
 MAX_QUOTA_USAGE_PERCENT = 60_000  # the engine's field has 16 bits
-QUOTA_USAGE_KEY = "used"  # in an endpoint's load report
 
 
 class AttemptResults:
@@ -116,6 +116,6 @@
 
 def _quota_usage(report: LoadReport) -> int:
     """Return one more than the percentage of the customer's quota in use, or 0 if it is not reported."""
-    if QUOTA_USAGE_KEY not in report:
+    if LoadReportName.QUOTA_USAGE not in report:
         return 0
-    return 1 + min(MAX_QUOTA_USAGE_PERCENT, int(report[QUOTA_USAGE_KEY]))
+    return 1 + min(MAX_QUOTA_USAGE_PERCENT, int(report[LoadReportName.QUOTA_USAGE]))
--- a/qos_gateway/server/wiring.py
+++ b/qos_gateway/server/wiring.py
@@ -112,7 +112,12 @@
     feed = EndpointFeed(directory, dispatcher)
     discovery = _build_discovery(config, feed)
     handover = Handover(
-        SharedParts(clients, connections, discovery, directory),
+        SharedParts(
+            clients=clients,
+            endpoint_connections=connections,
+            discovery=discovery,
+            endpoint_directory=directory,
+        ),
         config.settings,
         clock,
         dispatcher,
@@ -241,7 +246,7 @@
         requests=core.context.requests,
         endpoint_directory=directory,
         metrics=core.observability.metrics,
-        dispatcher=core.context.dispatcher,
+        load_balancer=core.context.dispatcher.engine.load_balancer,
         handover=handover,
         handover_channel=handover_channel,
     )
