--- a/benchmarks/discovery_updates.py
+++ b/benchmarks/discovery_updates.py
@@ -16,7 +16,7 @@
 ENDPOINTS_PER_CELL = 20
 ENDPOINTS_PER_SUBNET = 250  # limit of the last byte of an IPv4 address
 
-# One endpoint as JSON object; the functional form, because `class` is a keyword.
+# One endpoint as JSON object; the functional form, because "class" is a keyword.
 EndpointRecord = TypedDict(
     "EndpointRecord",
     {
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -16,7 +16,7 @@
 from soak.judge import Verdict
 from soak.observations import Record
 from soak.run import Options, play
-from soak.schedule import TroubleKind
+from soak.schedule import FaultKind
 
 SHOWN_VIOLATIONS = 12
 
@@ -28,7 +28,7 @@
     parser.add_argument("--gateways", type=int, default=24)
     parser.add_argument("--order-servers", type=int, default=16)
     parser.add_argument("--requests-per-s", type=float, default=12.0, help="at each gateway")
-    parser.add_argument("--only", nargs="+", choices=[kind.value for kind in TroubleKind], default=None)
+    parser.add_argument("--only", nargs="+", choices=[kind.value for kind in FaultKind], default=None)
     parser.add_argument("--failing-calls", action="store_true", help="let system calls fail now and then")
     parser.add_argument("--traces", action="store_true", help="show what was seen of broken requests")
     parser.add_argument("--logs", type=Path, default=None, help="folder for the gateways' logs")
@@ -69,7 +69,7 @@
 def main() -> int:
     """Play all seeds, one after the other."""
     arguments = _parse_arguments()
-    kinds = tuple(TroubleKind) if arguments.only is None else tuple(TroubleKind(k) for k in arguments.only)
+    kinds = tuple(FaultKind) if arguments.only is None else tuple(FaultKind(k) for k in arguments.only)
     failed = 0
     shim_folder = tempfile.TemporaryDirectory()
     library = call_shim.build(Path(shim_folder.name)) if arguments.failing_calls else None
--- a/soak/judge.py
+++ b/soak/judge.py
@@ -29,8 +29,8 @@
 READY_WITHIN_S = 10.0
 BAD_CLIENT_WITHIN_S = 3.0
 LOST_AFTER_TERM_S = 0.7  # requests of before may be open when SIGKILL comes
-MIN_FINAL_SHARE = 0.9  # of the requests served once all troubles are over
-SETTLING_S = 4.0  # after the last trouble, until service must be back
+MIN_FINAL_SHARE = 0.9  # of the requests served once all faults are over
+SETTLING_S = 4.0  # after the last fault, until service must be back
 MIN_FINAL_REQUESTS = 50
 MIN_FINAL_WAIT_S = 0.1  # of the requests among them: others may be over before they are done
 
@@ -78,7 +78,7 @@
     violations += _check_bad_clients(record.bad_clients, processes, timing)
     final_share = _final_share(record)
     if final_share is not None and final_share < MIN_FINAL_SHARE:
-        text = f"served {final_share:.2f} after the last trouble"
+        text = f"served {final_share:.2f} after the last fault"
         violations.append(Violation(Rule.RECOVERY, record.ends_at, text))
     levels = Counter(_level(seen) for seen in record.requests)
     return Verdict(sorted(violations, key=lambda v: v.at), levels, len(record.attempts), final_share)
@@ -303,8 +303,8 @@
 
 
 def _final_share(record: Record) -> float | None:
-    """Return the share served of the requests after the troubles, None where they are too few."""
-    begin, end = record.troubles_end_at + SETTLING_S, record.ends_at - 1.0
+    """Return the share served of the requests after the faults, None where they are too few."""
+    begin, end = record.faults_end_at + SETTLING_S, record.ends_at - 1.0
     requests = [seen for seen in record.requests if begin <= seen.sent_at < end]
     last = [seen for seen in requests if seen.plan == 0 and seen.wait_s >= MIN_FINAL_WAIT_S]
     if len(last) < MIN_FINAL_REQUESTS:
--- a/soak/observations.py
+++ b/soak/observations.py
@@ -140,5 +140,5 @@
     bad_clients: list[BadClientSeen] = field(default_factory=list)
     maintenance: list[MaintenanceSeen] = field(default_factory=list)
     lags: list[Lag] = field(default_factory=list)
-    troubles_end_at: float = 0.0
+    faults_end_at: float = 0.0
     ends_at: float = 0.0
--- a/soak/order_servers.py
+++ b/soak/order_servers.py
@@ -12,7 +12,7 @@
 import hiredis
 
 from soak.observations import AttemptSeen, Record, content_of
-from soak.schedule import TroubleKind
+from soak.schedule import FaultKind
 from soak.settings import LOCALHOST, Deployment
 
 BACKLOG = 256
@@ -104,7 +104,7 @@
         if seen is not None and seen.ended_at is None:
             seen.ended_at = self._server.time()
             self._open_attempts.remove(seen)
-        if self._server.has_fault(TroubleKind.IDLE_CLOSE):
+        if self._server.has_fault(FaultKind.IDLE_CLOSE):
             self._server.loop.call_later(IDLE_CLOSE_S, self._close_if_idle)
 
     def _close_if_idle(self) -> None:
@@ -228,7 +228,7 @@
         self._deployment = deployment
         self._record = record
         self._rng = rng
-        self._faults: dict[TroubleKind, float] = {}  # until when
+        self._faults: dict[FaultKind, float] = {}  # until when
         self._listeners = [
             GatewayListener(lambda gateway=gateway: ServerConnection(self, gateway))  # type: ignore[misc]
             for gateway in range(deployment.gateways)
@@ -268,30 +268,30 @@
 
     # Faults.
 
-    def begin_fault(self, kind: TroubleKind, duration_s: float) -> None:
+    def begin_fault(self, kind: FaultKind, duration_s: float) -> None:
         """Show a fault for a while."""
         if not self.is_up:
             return
         self._faults[kind] = max(self._faults.get(kind, 0.0), self.time() + duration_s)
-        if kind is TroubleKind.UNACCEPTING:
+        if kind is FaultKind.UNACCEPTING:
             for listener in self._listeners:
                 listener.stop_accepting()
         self.loop.call_later(duration_s, self._end_fault, kind)
 
-    def _end_fault(self, kind: TroubleKind) -> None:
+    def _end_fault(self, kind: FaultKind) -> None:
         if self.has_fault(kind):
             return
         self._faults.pop(kind, None)
-        if kind is TroubleKind.UNACCEPTING:
+        if kind is FaultKind.UNACCEPTING:
             for listener in self._listeners:
                 listener.resume_accepting()
-        if kind is TroubleKind.HANG:
+        if kind is FaultKind.HANG:
             held, self._held = self._held, []
             for respond in held:
                 if self._rng.random() < FAULT_PROBABILITY:
                     self.loop.call_later(self._rng.uniform(0.0, LATE_RESPONSE_S), respond)
 
-    def has_fault(self, kind: TroubleKind) -> bool:
+    def has_fault(self, kind: FaultKind) -> bool:
         """Return whether a fault is on."""
         return self._faults.get(kind, 0.0) > self.time()
 
@@ -310,38 +310,38 @@
         if self._rejects(seen):
             connection.reply(seen, BUSY_REPLY)
             return
-        if self._meets(TroubleKind.RESET):
+        if self._meets(FaultKind.RESET):
             self.loop.call_later(self._rng.uniform(0.0, self._deployment.work_s), connection.abort)
             return
         work_s = self._deployment.work_s * self._rng.expovariate(1.0)
-        if self.has_fault(TroubleKind.SLOW):
+        if self.has_fault(FaultKind.SLOW):
             work_s *= SLOW_FACTOR
         self.loop.call_later(work_s, self._finish, connection, seen)
 
     def _rejects(self, seen: AttemptSeen) -> bool:
-        if not self._meets(TroubleKind.BUSY):
+        if not self._meets(FaultKind.BUSY):
             return False
         seen.may_have_executed = False
         return True
 
-    def _meets(self, kind: TroubleKind) -> bool:
+    def _meets(self, kind: FaultKind) -> bool:
         return self.has_fault(kind) and self._rng.random() < FAULT_PROBABILITY
 
     def _finish(self, connection: ServerConnection, seen: AttemptSeen) -> None:
         if self.time() - seen.last_byte_at > seen.wait_ms / 1000 and self._rng.random() < FAULT_PROBABILITY:
             return  # over by now, and dropped without a word
         value = response_value(seen.request_id, self.number)
-        if self._meets(TroubleKind.LARGE):
+        if self._meets(FaultKind.LARGE):
             self._reply_large(connection, seen, value)
             return
         reply = _success_reply(value)
-        if self._meets(TroubleKind.ERROR):
+        if self._meets(FaultKind.ERROR):
             reply = ERROR_REPLY
-        if self.has_fault(TroubleKind.HANG):
+        if self.has_fault(FaultKind.HANG):
             self._held.append(lambda: connection.reply(seen, reply))
-        elif self._meets(TroubleKind.LOST_RESPONSE):
+        elif self._meets(FaultKind.LOST_RESPONSE):
             return
-        elif self._meets(TroubleKind.MALFORMED):
+        elif self._meets(FaultKind.MALFORMED):
             self._reply_malformed(connection, seen, reply)
         else:
             connection.reply(seen, reply)
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One run: the world is built, gateways start, troubles come, all is drained, and the judge speaks."""
+"""One run: the world is built, gateways start, faults come, all is drained, and the judge speaks."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from soak.judge import Verdict, judge
 from soak.observations import Lag, Record
 from soak.order_servers import OrderServer
-from soak.schedule import OF_COUNTER, Trouble, TroubleKind, draw_schedule
+from soak.schedule import OF_COUNTER, Fault, FaultKind, draw_schedule
 from soak.settings import Deployment, draw_deployment
 
 LAG_CHECK_S = 0.01
@@ -37,16 +37,16 @@
 DEFAULT_LAUNCH = Launch()
 SERVER_FAULTS = frozenset(
     {
-        TroubleKind.HANG,
-        TroubleKind.SLOW,
-        TroubleKind.RESET,
-        TroubleKind.BUSY,
-        TroubleKind.ERROR,
-        TroubleKind.LARGE,
-        TroubleKind.LOST_RESPONSE,
-        TroubleKind.MALFORMED,
-        TroubleKind.IDLE_CLOSE,
-        TroubleKind.UNACCEPTING,
+        FaultKind.HANG,
+        FaultKind.SLOW,
+        FaultKind.RESET,
+        FaultKind.BUSY,
+        FaultKind.ERROR,
+        FaultKind.LARGE,
+        FaultKind.LOST_RESPONSE,
+        FaultKind.MALFORMED,
+        FaultKind.IDLE_CLOSE,
+        FaultKind.UNACCEPTING,
     }
 )
 
@@ -60,8 +60,8 @@
     gateways: int = 24
     order_servers: int = 16
     requests_per_s: float = 12.0
-    kinds: tuple[TroubleKind, ...] = tuple(TroubleKind)
-    troubles: tuple[Trouble, ...] | None = None  # in place of those drawn from the seed
+    kinds: tuple[FaultKind, ...] = tuple(FaultKind)
+    faults: tuple[Fault, ...] | None = None  # in place of those drawn from the seed
     launch: Launch = DEFAULT_LAUNCH
     deployment: Deployment | None = None
     log_folder: Path | None = None
@@ -103,7 +103,7 @@
         lag_task = self._loop.create_task(self._watch_lag())
         try:
             await self._start()
-            await self._play_troubles()
+            await self._play_faults()
             await self._finish()
         finally:
             lag_task.cancel()
@@ -147,21 +147,21 @@
         self.source.publish(server, Health.IN_SERVICE)
         return server
 
-    async def _play_troubles(self) -> None:
+    async def _play_faults(self) -> None:
         options = self.options
-        troubles = options.troubles
-        if troubles is None:
+        faults = options.faults
+        if faults is None:
             drawn = draw_schedule(
                 options.seed, options.duration_s, options.gateways, options.order_servers, options.kinds
             )
-            troubles = tuple(drawn)
+            faults = tuple(drawn)
         begun_at = self._loop.time()
-        self.record.troubles_end_at = begun_at
-        for trouble in troubles:
-            await asyncio.sleep(max(0.0, begun_at + trouble.at - self._loop.time()))
-            self._begin(trouble)
-            end = self._loop.time() + trouble.duration_s
-            self.record.troubles_end_at = max(self.record.troubles_end_at, end)
+        self.record.faults_end_at = begun_at
+        for fault in faults:
+            await asyncio.sleep(max(0.0, begun_at + fault.at - self._loop.time()))
+            self._begin(fault)
+            end = self._loop.time() + fault.duration_s
+            self.record.faults_end_at = max(self.record.faults_end_at, end)
         await asyncio.sleep(max(0.0, begun_at + options.duration_s - self._loop.time()))
 
     async def _finish(self) -> None:
@@ -171,40 +171,40 @@
         last = [(gateway, gateway.process) for gateway in self.gateways if gateway.process is not None]
         await asyncio.gather(*(gateway.terminate(process) for gateway, process in last))
 
-    # Troubles.
+    # Faults.
 
-    def _begin(self, trouble: Trouble) -> None:
-        if trouble.kind in SERVER_FAULTS:
-            for server in self._live_servers(trouble):
-                server.begin_fault(trouble.kind, trouble.duration_s)
-        elif trouble.kind in self._server_changes():
-            for server in self._live_servers(trouble):
-                self._spawn(self._server_changes()[trouble.kind](server, trouble.duration_s))
-        elif trouble.kind in OF_COUNTER:
+    def _begin(self, fault: Fault) -> None:
+        if fault.kind in SERVER_FAULTS:
+            for server in self._live_servers(fault):
+                server.begin_fault(fault.kind, fault.duration_s)
+        elif fault.kind in self._server_changes():
+            for server in self._live_servers(fault):
+                self._spawn(self._server_changes()[fault.kind](server, fault.duration_s))
+        elif fault.kind in OF_COUNTER:
             {
-                TroubleKind.COUNTER_DOWN: self.counter.take_down,
-                TroubleKind.COUNTER_SLOW: self.counter.slow_down,
-                TroubleKind.COUNTER_SILENT: self.counter.fall_silent,
-                TroubleKind.COUNTER_MALFORMED: self.counter.answer_malformed,
-            }[trouble.kind](trouble.duration_s)
+                FaultKind.COUNTER_DOWN: self.counter.take_down,
+                FaultKind.COUNTER_SLOW: self.counter.slow_down,
+                FaultKind.COUNTER_SILENT: self.counter.fall_silent,
+                FaultKind.COUNTER_MALFORMED: self.counter.answer_malformed,
+            }[fault.kind](fault.duration_s)
         else:
-            for number in trouble.targets:
-                self._begin_at_gateway(trouble, self.gateways[number])
+            for number in fault.targets:
+                self._begin_at_gateway(fault, self.gateways[number])
 
-    def _live_servers(self, trouble: Trouble) -> list[OrderServer]:
-        """Return the servers that a trouble hits; never so many that none would be left in service."""
+    def _live_servers(self, fault: Fault) -> list[OrderServer]:
+        """Return the servers that a fault hits; never so many that none would be left in service."""
         listed = [
             entry.server
             for entry in self.source.entries_at(self.source.version).values()
             if entry.health is Health.IN_SERVICE
         ]
-        return [listed[target % len(listed)] for target in trouble.targets][: max(1, len(listed) // 2)]
+        return [listed[target % len(listed)] for target in fault.targets][: max(1, len(listed) // 2)]
 
-    def _server_changes(self) -> dict[TroubleKind, Callable[[OrderServer, float], Coroutine[Any, Any, None]]]:
+    def _server_changes(self) -> dict[FaultKind, Callable[[OrderServer, float], Coroutine[Any, Any, None]]]:
         return {
-            TroubleKind.CRASH: self._crash,
-            TroubleKind.DRAIN: self._drain,
-            TroubleKind.REPLACE: self._replace,
+            FaultKind.CRASH: self._crash,
+            FaultKind.DRAIN: self._drain,
+            FaultKind.REPLACE: self._replace,
         }
 
     async def _crash(self, server: OrderServer, duration_s: float) -> None:
@@ -240,33 +240,33 @@
         await asyncio.sleep(duration_s + TERMINATED_AFTER_S)
         self.source.publish(server, Health.TERMINATED)
 
-    def _begin_at_gateway(self, trouble: Trouble, gateway: Gateway) -> None:
+    def _begin_at_gateway(self, fault: Fault, gateway: Gateway) -> None:
         position = gateway.position
-        actions: dict[TroubleKind, Callable[[], Coroutine[Any, Any, None] | None]] = {
-            TroubleKind.RESTART: gateway.restart,
-            TroubleKind.KILL: gateway.kill,
-            TroubleKind.RELOAD: gateway.reload,
-            TroubleKind.RELOAD_TORN: lambda: gateway.reload(torn_first=True),
-            TroubleKind.RELOAD_SILENT: gateway.reload_to_silent_agent,
-            TroubleKind.RELOAD_LAGGING: lambda: gateway.reload_to_lagging_agent(
+        actions: dict[FaultKind, Callable[[], Coroutine[Any, Any, None] | None]] = {
+            FaultKind.RESTART: gateway.restart,
+            FaultKind.KILL: gateway.kill,
+            FaultKind.RELOAD: gateway.reload,
+            FaultKind.RELOAD_TORN: lambda: gateway.reload(torn_first=True),
+            FaultKind.RELOAD_SILENT: gateway.reload_to_silent_agent,
+            FaultKind.RELOAD_LAGGING: lambda: gateway.reload_to_lagging_agent(
                 max(1, self.source.version - LAGGING_VERSIONS)
             ),
-            TroubleKind.PAUSE: gateway.pause,
-            TroubleKind.MAINTENANCE: lambda: gateway.maintain(
-                self._live_servers(Trouble(trouble.kind, 0.0, 0.0, (position,)))[0], trouble.duration_s
+            FaultKind.PAUSE: gateway.pause,
+            FaultKind.MAINTENANCE: lambda: gateway.maintain(
+                self._live_servers(Fault(fault.kind, 0.0, 0.0, (position,)))[0], fault.duration_s
             ),
-            TroubleKind.WATCH_SILENT: gateway.agent.mute_watches,
-            TroubleKind.WATCH_RESET: gateway.agent.reset_watches,
-            TroubleKind.DISCOVERY_DOWN: lambda: gateway.agent.take_down(trouble.duration_s),
-            TroubleKind.PIPELINE: lambda: self.traffic.pipeline(position),
-            TroubleKind.LEAVE: lambda: self.traffic.leave(position),
-            TroubleKind.SLOW_READER: lambda: self.traffic.read_slowly(position),
-            TroubleKind.IMPATIENT: lambda: self.traffic.be_impatient(position),
-            TroubleKind.HALF_COMMAND: lambda: self.traffic.misbehave(position, HALF_COMMAND),
-            TroubleKind.CROWD: lambda: self.traffic.crowd(position, trouble.duration_s),
-            TroubleKind.GARBAGE: lambda: self.traffic.misbehave(position, GARBAGE),
+            FaultKind.WATCH_SILENT: gateway.agent.mute_watches,
+            FaultKind.WATCH_RESET: gateway.agent.reset_watches,
+            FaultKind.DISCOVERY_DOWN: lambda: gateway.agent.take_down(fault.duration_s),
+            FaultKind.PIPELINE: lambda: self.traffic.pipeline(position),
+            FaultKind.LEAVE: lambda: self.traffic.leave(position),
+            FaultKind.SLOW_READER: lambda: self.traffic.read_slowly(position),
+            FaultKind.IMPATIENT: lambda: self.traffic.be_impatient(position),
+            FaultKind.HALF_COMMAND: lambda: self.traffic.misbehave(position, HALF_COMMAND),
+            FaultKind.CROWD: lambda: self.traffic.crowd(position, fault.duration_s),
+            FaultKind.GARBAGE: lambda: self.traffic.misbehave(position, GARBAGE),
         }
-        coroutine = actions[trouble.kind]()
+        coroutine = actions[fault.kind]()
         if coroutine is not None:
             self._spawn(coroutine)
 
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -6,17 +6,17 @@
 from dataclasses import dataclass
 from enum import Enum
 
-TROUBLES_PER_MEETING = (2, 3)
-MEETING_INTERVAL_S = 1.6  # between two moments at which several troubles meet
-MEETING_SPREAD_S = 0.9  # by which those of one moment lie apart
+FAULTS_PER_GROUP = (2, 3)
+GROUP_INTERVAL_S = 1.6  # between two moments at which several faults meet
+GROUP_SPREAD_S = 0.9  # by which those of one moment lie apart
 MIN_DURATION_S = 0.3
 MAX_DURATION_S = 3.0
 MAX_OUTAGE_S = 9.0  # of discovery, longer than any deadline of propagation
 QUIET_START_S = 2.0
-QUIET_END_S = 8.0  # without new troubles, in which service must come back
+QUIET_END_S = 8.0  # without new faults, in which service must come back
 
 
-class TroubleKind(Enum):
+class FaultKind(Enum):
     """What happens. A target is the number of a gateway or an order server."""
 
     # Gateways.
@@ -63,41 +63,41 @@
 
 OF_GATEWAYS = frozenset(
     {
-        TroubleKind.RESTART,
-        TroubleKind.KILL,
-        TroubleKind.RELOAD,
-        TroubleKind.RELOAD_TORN,
-        TroubleKind.RELOAD_SILENT,
-        TroubleKind.RELOAD_LAGGING,
-        TroubleKind.PAUSE,
-        TroubleKind.MAINTENANCE,
-        TroubleKind.WATCH_SILENT,
-        TroubleKind.WATCH_RESET,
-        TroubleKind.DISCOVERY_DOWN,
-        TroubleKind.PIPELINE,
-        TroubleKind.LEAVE,
-        TroubleKind.SLOW_READER,
-        TroubleKind.IMPATIENT,
-        TroubleKind.HALF_COMMAND,
-        TroubleKind.CROWD,
-        TroubleKind.GARBAGE,
+        FaultKind.RESTART,
+        FaultKind.KILL,
+        FaultKind.RELOAD,
+        FaultKind.RELOAD_TORN,
+        FaultKind.RELOAD_SILENT,
+        FaultKind.RELOAD_LAGGING,
+        FaultKind.PAUSE,
+        FaultKind.MAINTENANCE,
+        FaultKind.WATCH_SILENT,
+        FaultKind.WATCH_RESET,
+        FaultKind.DISCOVERY_DOWN,
+        FaultKind.PIPELINE,
+        FaultKind.LEAVE,
+        FaultKind.SLOW_READER,
+        FaultKind.IMPATIENT,
+        FaultKind.HALF_COMMAND,
+        FaultKind.CROWD,
+        FaultKind.GARBAGE,
     }
 )
 OF_COUNTER = frozenset(
     {
-        TroubleKind.COUNTER_DOWN,
-        TroubleKind.COUNTER_SLOW,
-        TroubleKind.COUNTER_SILENT,
-        TroubleKind.COUNTER_MALFORMED,
+        FaultKind.COUNTER_DOWN,
+        FaultKind.COUNTER_SLOW,
+        FaultKind.COUNTER_SILENT,
+        FaultKind.COUNTER_MALFORMED,
     }
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class Fault:
     """One fault."""
 
-    kind: TroubleKind
+    kind: FaultKind
     at: float  # s after the clients' start
     duration_s: float
     targets: tuple[int, ...]
@@ -108,27 +108,25 @@
     duration_s: float,
     gateways: int,
     order_servers: int,
-    kinds: tuple[TroubleKind, ...] = tuple(TroubleKind),
-) -> list[Trouble]:
-    """Draw the troubles of a run, in the order of their times."""
+    kinds: tuple[FaultKind, ...] = tuple(FaultKind),
+) -> list[Fault]:
+    """Draw the faults of a run, in the order of their times."""
     rng = random.Random(f"schedule {seed}")
-    troubles: list[Trouble] = []
+    faults: list[Fault] = []
     moment = QUIET_START_S
     while moment < duration_s - QUIET_END_S:
-        for _ in range(rng.randint(*TROUBLES_PER_MEETING)):
-            at = moment + rng.uniform(0.0, MEETING_SPREAD_S)
-            troubles.append(_draw_trouble(rng, rng.choice(kinds), at, gateways, order_servers))
-        moment += MEETING_INTERVAL_S
-    return sorted(troubles, key=lambda trouble: trouble.at)
+        for _ in range(rng.randint(*FAULTS_PER_GROUP)):
+            at = moment + rng.uniform(0.0, GROUP_SPREAD_S)
+            faults.append(_draw_fault(rng, rng.choice(kinds), at, gateways, order_servers))
+        moment += GROUP_INTERVAL_S
+    return sorted(faults, key=lambda fault: fault.at)
 
 
-def _draw_trouble(
-    rng: random.Random, kind: TroubleKind, at: float, gateways: int, order_servers: int
-) -> Trouble:
+def _draw_fault(rng: random.Random, kind: FaultKind, at: float, gateways: int, order_servers: int) -> Fault:
     if kind in OF_COUNTER:
-        return Trouble(kind, at, rng.uniform(MIN_DURATION_S, MAX_DURATION_S), ())
+        return Fault(kind, at, rng.uniform(MIN_DURATION_S, MAX_DURATION_S), ())
     population = gateways if kind in OF_GATEWAYS else order_servers
     most = max(1, population // 3)
     targets = tuple(rng.sample(range(population), rng.randint(1, most)))
-    longest_s = MAX_OUTAGE_S if kind is TroubleKind.DISCOVERY_DOWN else MAX_DURATION_S
-    return Trouble(kind, at, rng.uniform(MIN_DURATION_S, longest_s), targets)
+    longest_s = MAX_OUTAGE_S if kind is FaultKind.DISCOVERY_DOWN else MAX_DURATION_S
+    return Fault(kind, at, rng.uniform(MIN_DURATION_S, longest_s), targets)
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -13,7 +13,7 @@
 from soak.judge import Verdict
 from soak.mutants import MUTANTS
 from soak.run import Options, play
-from soak.schedule import OF_GATEWAYS, Trouble, TroubleKind
+from soak.schedule import OF_GATEWAYS, Fault, FaultKind
 from soak.settings import Deployment, Effect, draw_deployment
 from soak.violations import Rule
 
@@ -50,49 +50,49 @@
     )
 
 
-def trouble(kind: TroubleKind, at: float = 1.5, duration_s: float = 2.0) -> Trouble:
+def fault(kind: FaultKind, at: float = 1.5, duration_s: float = 2.0) -> Fault:
     of_gateways = kind in OF_GATEWAYS
-    return Trouble(kind, at, duration_s, EVERY_GATEWAY if of_gateways else SOME_SERVERS)
+    return Fault(kind, at, duration_s, EVERY_GATEWAY if of_gateways else SOME_SERVERS)
 
 
-KIND = TroubleKind
-PIPELINES = tuple(trouble(KIND.PIPELINE, 1.5 + n) for n in range(5))
-LEAVES = tuple(trouble(KIND.LEAVE, 1.5 + 0.25 * n) for n in range(8))
+KIND = FaultKind
+PIPELINES = tuple(fault(KIND.PIPELINE, 1.5 + n) for n in range(5))
+LEAVES = tuple(fault(KIND.LEAVE, 1.5 + 0.25 * n) for n in range(8))
 RELOAD_AND_DRAIN = (
-    trouble(KIND.RELOAD, 0.5),
-    trouble(KIND.DRAIN, 3.0, 4.0),
+    fault(KIND.RELOAD, 0.5),
+    fault(KIND.DRAIN, 3.0, 4.0),
 )
 
 EXPECTED = {
     "lose_answers": (Rule.LOST, ()),
     "mix_values_up": (Rule.WRONG_VALUE, ()),
-    "ignore_leaving": (Rule.CLIENT_LEFT, (trouble(KIND.UNACCEPTING, 1.0, 4.0), *LEAVES)),
+    "ignore_leaving": (Rule.CLIENT_LEFT, (fault(KIND.UNACCEPTING, 1.0, 4.0), *LEAVES)),
     "promise_too_much_time": (Rule.DEADLINE, ()),
     "alter_commands": (Rule.ALTERED, ()),
-    "repeat_everything": (Rule.DUPLICATE, (trouble(KIND.RESET),)),
-    "invite_every_repeat": (Rule.FALSE_REFUSAL, (trouble(KIND.RESET, 1.0, 6.0),)),
+    "repeat_everything": (Rule.DUPLICATE, (fault(KIND.RESET),)),
+    "invite_every_repeat": (Rule.FALSE_REFUSAL, (fault(KIND.RESET, 1.0, 6.0),)),
     "try_without_end": (
         Rule.TOO_MANY_ATTEMPTS,
-        (trouble(KIND.BUSY, 1.0, 6.0), trouble(KIND.UNACCEPTING, 1.0, 6.0)),
+        (fault(KIND.BUSY, 1.0, 6.0), fault(KIND.UNACCEPTING, 1.0, 6.0)),
     ),
-    "hedge_always": (Rule.CONCURRENT_ATTEMPTS, (trouble(KIND.HANG, 2.0, 4.0),)),
-    "ignore_drains": (Rule.DRAIN, (trouble(KIND.DRAIN, 1.5, 5.0),)),
+    "hedge_always": (Rule.CONCURRENT_ATTEMPTS, (fault(KIND.HANG, 2.0, 4.0),)),
+    "ignore_drains": (Rule.DRAIN, (fault(KIND.DRAIN, 1.5, 5.0),)),
     "ignore_reloads": (Rule.DRAIN, RELOAD_AND_DRAIN),
-    "skip_slow_start": (Rule.SLOW_START, (replace(trouble(KIND.REPLACE), targets=(0,)),)),
+    "skip_slow_start": (Rule.SLOW_START, (replace(fault(KIND.REPLACE), targets=(0,)),)),
     "ignore_ceilings": (Rule.CEILING, ()),
-    "pass_values_on_at_once": (Rule.LOST, (trouble(KIND.LARGE, 1.0, 6.0), *PIPELINES)),
-    "wait_for_slow_values": (Rule.LOST, (trouble(KIND.LARGE, 1.0, 6.0),)),
-    "believe_older_lists": (Rule.DRAIN, (trouble(KIND.DRAIN, 1.0, 4.0), trouble(KIND.RELOAD_LAGGING, 2.5))),
-    "forget_maintenance": (Rule.MAINTENANCE, (trouble(KIND.MAINTENANCE, 1.0, 4.0),)),
+    "pass_values_on_at_once": (Rule.LOST, (fault(KIND.LARGE, 1.0, 6.0), *PIPELINES)),
+    "wait_for_slow_values": (Rule.LOST, (fault(KIND.LARGE, 1.0, 6.0),)),
+    "believe_older_lists": (Rule.DRAIN, (fault(KIND.DRAIN, 1.0, 4.0), fault(KIND.RELOAD_LAGGING, 2.5))),
+    "forget_maintenance": (Rule.MAINTENANCE, (fault(KIND.MAINTENANCE, 1.0, 4.0),)),
     "crash": (Rule.CRASH, ()),
-    "stop_at_once": (Rule.LOST, (trouble(KIND.HANG, 1.6, 2.0), trouble(KIND.RESTART, 2.0))),
-    "wait_for_bad_clients": (Rule.BAD_CLIENT, (trouble(KIND.HALF_COMMAND),)),
+    "stop_at_once": (Rule.LOST, (fault(KIND.HANG, 1.6, 2.0), fault(KIND.RESTART, 2.0))),
+    "wait_for_bad_clients": (Rule.BAD_CLIENT, (fault(KIND.HALF_COMMAND),)),
     "stop_serving": (Rule.RECOVERY, ()),
     "serve_without_a_list": (Rule.REPORTED_ITSELF, ()),
 }
 
 
-def options(name: str | None, troubles: tuple[Trouble, ...]) -> Options:
+def options(name: str | None, faults: tuple[Fault, ...]) -> Options:
     command = (sys.executable, "-m", "qos_gateway" if name is None else "soak.mutants")
     launch = Launch(command if name is None else (*command, name))
     rule = None if name is None else EXPECTED[name][0]
@@ -102,7 +102,7 @@
         gateways=GATEWAYS,
         order_servers=ORDER_SERVERS,
         requests_per_s=REQUESTS_PER_S,
-        troubles=troubles,
+        faults=faults,
         launch=launch,
         deployment=deployment(),
     )
@@ -133,19 +133,17 @@
     assert [name for name, rules in found.items() if EXPECTED[name][0] not in rules] == []
 
 
-def has_pipelines(troubles: tuple[Trouble, ...]) -> bool:
-    return any(trouble.kind is KIND.PIPELINE for trouble in troubles)
+def has_pipelines(faults: tuple[Fault, ...]) -> bool:
+    return any(fault.kind is KIND.PIPELINE for fault in faults)
 
 
-def test_real_gateway_breaks_no_rule_under_the_troubles_of_the_mutants() -> None:
-    scenarios = sorted(
-        {troubles for _, troubles in EXPECTED.values() if not has_pipelines(troubles)}, key=str
-    )
-    for verdict in play_all([options(None, troubles) for troubles in scenarios]):
+def test_real_gateway_breaks_no_rule_under_the_faults_of_the_mutants() -> None:
+    scenarios = sorted({faults for _, faults in EXPECTED.values() if not has_pipelines(faults)}, key=str)
+    for verdict in play_all([options(None, faults) for faults in scenarios]):
         assert [violation.text for violation in verdict.violations] == []
 
 
 def test_real_gateway_breaks_no_rule_with_many_commands_at_once() -> None:
-    scenarios = sorted({troubles for _, troubles in EXPECTED.values() if has_pipelines(troubles)}, key=str)
-    for verdict in play_all([options(None, troubles) for troubles in scenarios]):
+    scenarios = sorted({faults for _, faults in EXPECTED.values() if has_pipelines(faults)}, key=str)
+    for verdict in play_all([options(None, faults) for faults in scenarios]):
         assert [violation.text for violation in verdict.violations] == []
