--- a/qos_gateway/server/clients/connection_input.py
+++ b/qos_gateway/server/clients/connection_input.py
@@ -112,7 +112,7 @@
         """Return the earliest time at which the bytes read now may have been sent.
 
         Bytes that the socket buffer cannot hold wait at the client and arrive as the buffer is read. Thus
-        nothing waits any more once a read has left the socket empty.
+        nothing waits any more once a read has emptied the socket.
         """
         since_s = self._backlog_since_s
         if not self._connection.has_unread_bytes():
