--- a/qos_gateway/server/endpoints/connection.py
+++ b/qos_gateway/server/endpoints/connection.py
@@ -102,7 +102,7 @@
         return self.attempt is None if self.transport is None else self.transport.is_closing()
 
     def is_expired(self, now: float) -> bool:
-        """Return whether it has been idle for so long that its endpoint may have dropped it."""
+        """Return whether its idle time exceeds the limit at which its endpoint may have dropped it."""
         return now - self.idle_since >= self.context.keep_alive.idle_limit_s
 
     def is_reusable(self) -> bool:
@@ -130,7 +130,7 @@
     def send(self, attempt: Attempt, now_ns: int) -> None:
         """Write an attempt's request, at `now_ns` on the gateway's clock."""
         transport = self.transport
-        assert transport is not None  # an attempt is sent on an established connection
+        assert transport is not None  # only an established connection sends
         context = self.context
         attempt.connection = self
         self.attempt = attempt
@@ -155,14 +155,14 @@
 
     def close(self) -> None:
         """Close at once: nothing more is sent, and received data is discarded. Its attempt does not end."""
-        if self.is_active():
+        if self.is_connecting() and self.connect_task is not None:
+            self.connect_task.cancel()
+        elif self.is_active():
             self._shut_down()
         self.attempt = None
         self.cancel_timer()
         if self.transport is not None:
             self.transport.abort()
-        elif self.connect_task is not None:
-            self.connect_task.cancel()
         self.listener.on_closed(self)
 
     def _shut_down(self) -> None:
--- a/qos_gateway/server/endpoints/connection_limit.py
+++ b/qos_gateway/server/endpoints/connection_limit.py
@@ -16,7 +16,7 @@
         self._close_idle_connection = close_idle_connection
 
     def restrict(self, maximum: int | None) -> None:
-        """Lower the maximum while another process uses the rest; None restores the configured one."""
+        """Lower the maximum while two processes share the limit; None restores the configured one."""
         configured = self._configured_maximum
         self.maximum = configured if maximum is None else min(configured, max(1, maximum))
 
--- a/qos_gateway/server/endpoints/connections.py
+++ b/qos_gateway/server/endpoints/connections.py
@@ -77,7 +77,7 @@
         return self._connection_limit.maximum
 
     def limit(self, max_connections: int | None) -> None:
-        """Lower the limit while another process uses the rest; None restores the configured limit."""
+        """Lower the limit while two processes share it; None restores the configured limit."""
         self._connection_limit.restrict(max_connections)
 
     def set_address(self, endpoint: int, address: Address | None) -> None:
--- a/qos_gateway/server/endpoints/keep_alive.py
+++ b/qos_gateway/server/endpoints/keep_alive.py
@@ -1,24 +1,24 @@
-"""How long an idle connection may be kept: learned from the resets of connections that were reused."""
+"""How long an idle connection may be kept, estimated from the resets of reused connections."""
 
 from __future__ import annotations
 
 from bisect import bisect
 
-IDLE_AGE_BOUNDS_S = tuple(0.05 * 2**exponent for exponent in range(9))  # buckets of the time spent idle
-MIN_STALE_RESETS = 3.0  # resets in a bucket from which it may count as stale: fewer can be chance
-STALE_RESET_RATIO = 0.15  # resets per reuse in a bucket from which it counts as stale
-DECAY_PER_S = 0.97  # fraction of each count that a second leaves: a stale bucket is tried again in minutes
+IDLE_AGE_BOUNDS_S = tuple(0.05 * 2**exponent for exponent in range(9))  # upper bounds of the buckets
+MIN_STALE_RESETS = 3.0  # in a bucket, below which it never counts as stale: fewer can be chance
+STALE_RESET_RATIO = 0.15  # resets per reuse, from which a bucket counts as stale
+DECAY_PER_S = 0.97  # factor on each count, so that a stale bucket is used again after minutes
 
 
 class KeepAliveEstimator:
-    """Estimates how long a connection may be idle and still be likely to serve.
+    """Estimates the idle time after which a connection is unlikely to serve a request.
 
-    A middlebox, or the endpoint itself, may drop an idle connection long before the configured time without
-    a notice: the next request on it is answered by a reset, and may have been executed.
+    A middlebox or the endpoint may drop an idle connection before the configured time without a notice. The
+    next request on it is answered by a reset, and may have been executed.
     """
 
     def __init__(self, max_idle_s: float) -> None:
-        """Start with `max_idle_s` as the limit, which is never exceeded."""
+        """Start with the limit at `max_idle_s`, its maximum."""
         self.max_idle_s = max_idle_s
         self.idle_limit_s = max_idle_s
         bucket_count = len(IDLE_AGE_BOUNDS_S) + 1
@@ -30,19 +30,19 @@
         self._reuses[bisect(IDLE_AGE_BOUNDS_S, idle_s)] += 1.0
 
     def record_reset(self, idle_s: float) -> None:
-        """Count a reset in direct answer to such a request."""
+        """Count a reset in reply to a request on a connection that had been idle for `idle_s`."""
         self._resets[bisect(IDLE_AGE_BOUNDS_S, idle_s)] += 1.0
         self._update_limit()
 
     def decay(self) -> None:
-        """Let old counts fade; to be called once a second."""
+        """Decay the counts; to be called once a second."""
         for counts in (self._reuses, self._resets):
             counts[:] = [DECAY_PER_S * count for count in counts]
         self._update_limit()
 
     def _update_limit(self) -> None:
         self.idle_limit_s = self.max_idle_s
-        # Never the first bucket: a endpoint that resets fresh connections does so whatever their age.
+        # The first bucket never counts: an endpoint that resets fresh connections resets them at any age.
         for bucket in range(1, len(self._reuses)):
             if self._is_stale(bucket):
                 self.idle_limit_s = min(self.max_idle_s, IDLE_AGE_BOUNDS_S[bucket - 1])
--- a/qos_gateway/server/endpoints/response_deadline.py
+++ b/qos_gateway/server/endpoints/response_deadline.py
@@ -1,4 +1,4 @@
-"""How long a connection waits for the rest of a response that has begun."""
+"""The deadline by which more of a response that has begun must arrive."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ResponseDeadline:
-    """The time until which more of a response must arrive, in s on the event loop's clock.
+    """The deadline of one response at a time, in s on the event loop's clock.
 
     Time in which the client takes no data is not counted.
     """
@@ -28,7 +28,7 @@
         self.last_data_at = now
 
     def start_overtime(self, now: float) -> None:
-        """Bound the rest of the response by `MAX_OVERTIME_S`, as its client's deadline has passed."""
+        """Let the response end within `MAX_OVERTIME_S`, as its client's deadline has passed."""
         self.overtime_since = now
 
     def time_left_s(self, now: float, stall_timeout_s: float) -> float:
--- a/qos_gateway/server/endpoints/response_receiver.py
+++ b/qos_gateway/server/endpoints/response_receiver.py
@@ -62,7 +62,7 @@
         return RESPONSE_STALL_TIMEOUT_S if self._value_stream is None else LARGE_RESPONSE_STALL_TIMEOUT_S
 
     def _stream_value(self, attempt: Attempt, data: bytes, flow: FlowControl) -> bool:
-        """Write a large value's part of `data` to its sink and parse the rest.
+        """Write a large value's part of `data` to its sink and parse what follows it.
 
         Return whether the value is still wanted.
         """
--- a/qos_gateway/server/endpoints/responses.py
+++ b/qos_gateway/server/endpoints/responses.py
@@ -1,4 +1,4 @@
-"""What a endpoint's response means: its outcome, value and load report."""
+"""What an endpoint's response means: its outcome, value and load report."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from ...types import Outcome
 
-# What the protocol writes, not all that Python reads as a number: no sign and no infinity.
+# The protocol's numbers have no sign and no infinity, which float() would accept.
 _match_number = re.compile(rb"[0-9]{1,20}(?:\.[0-9]{1,20})?(?:[eE][+-]?[0-9]{1,2})?").fullmatch
 _OUTCOMES_OF_ERRORS = (("ERR failed", Outcome.ERROR), ("BUSY", Outcome.OVERLOADED))
 
@@ -18,7 +18,7 @@
 
 
 class AttemptResult(NamedTuple):
-    """How an attempt ended, with the value if it was served and the figures that the endpoint reported."""
+    """How an attempt ended, with the value if it was served and the numbers that the endpoint reported."""
 
     outcome: Outcome
     value: bytes | None
@@ -26,16 +26,16 @@
 
     @classmethod
     def without_response(cls, outcome: Outcome) -> AttemptResult:
-        """Return the result of an attempt that no whole response came to."""
+        """Return the result of an attempt without a complete response."""
         return cls(outcome, None, {})
 
 
 class MalformedResponseError(ValueError):
-    """A response that the protocol does not allow: the request may have been executed."""
+    """A response that the protocol does not allow; its request may have been executed."""
 
 
 def read_load_report(text: bytes) -> LoadReport:
-    """Return the numbers in `name=number,...`; none where the text is not of this form throughout."""
+    """Return the numbers in `name=number,...`; none if any part of the text has another form."""
     report: LoadReport = {}
     for pair in text.split(b","):
         name, _, number = pair.partition(b"=")
@@ -46,10 +46,9 @@
 
 
 def read_response(response: object) -> AttemptResult:
-    """Return what a whole response means, as the RESP parser gives it.
+    """Return the meaning of a complete response, which is a value from the RESP parser.
 
-    Reports that can't be read are left out; a value or an error that can't be read raises
-    MalformedResponseError.
+    Malformed reports are ignored. Raises MalformedResponseError if the value or the error is malformed.
     """
     if isinstance(response, list) and isinstance(response[0], bytes):
         return AttemptResult(Outcome.OK, response[0], _merge_reports(response[1:]))
@@ -65,14 +64,14 @@
 
 
 def read_probe_response(response: object) -> AttemptResult:
-    """Return what the response to a probe means: a load report, or an error as any request's."""
+    """Return the meaning of a response to a probe: a load report, or the same errors as of a request."""
     if isinstance(response, bytes):
         return AttemptResult(Outcome.OK, None, read_load_report(response))
     return read_response(response)
 
 
 def _merge_reports(texts: Iterable[object]) -> LoadReport:
-    """Return quota usage and load report in one; what is not a text is left out."""
+    """Return quota usage and load report in one; items that are not texts are ignored."""
     merged: LoadReport = {}
     for text in texts:
         if isinstance(text, bytes):
--- a/qos_gateway/server/networking/resp.py
+++ b/qos_gateway/server/networking/resp.py
@@ -121,7 +121,7 @@
         return INCOMPLETE
 
     def _continue_value(self, data: bytes, position: int) -> int:
-        """Scan the rest of the value that has begun and its CR LF; return where they end in `data`."""
+        """Scan what is missing of the value that has begun and its CR LF; return where they end in `data`."""
         value_bytes = min(self._value_bytes_left, len(data) - position)
         position += value_bytes
         self._value_bytes_left -= value_bytes
--- a/qos_gateway/server/networking/value_stream.py
+++ b/qos_gateway/server/networking/value_stream.py
@@ -25,7 +25,7 @@
 
 
 class ValueStream:
-    """Splits the bytes of one response into its large value, which goes to a sink, and the rest."""
+    """Separates the large value of one response, which is written to a sink, from what follows it."""
 
     __slots__ = ("_line_end_bytes_left", "_sink", "_value_bytes_left")
 
