--- a/tests/server/test_counter.py
+++ b/tests/server/test_counter.py
@@ -11,6 +11,7 @@
 from qos_gateway.server.config import parse
 from qos_gateway.server.counter import connections as counter_connections
 from qos_gateway.server.counter.client import CounterClient
+from qos_gateway.server.counter.connection import AbandonReason
 from qos_gateway.server.counter.connections import CONNECTIONS
 from qos_gateway.server.counter.protocol import CounterResponse, encode_increment, parse_increment_response
 from qos_gateway.types import CounterReplied, Outcome
@@ -269,3 +270,17 @@
             await caller.wait_for(1)
 
     run_on_loop(test)
+
+
+@pytest.mark.parametrize(
+    ("reason", "text"),
+    [
+        (AbandonReason.INVALID_RESPONSE, f"invalid_response line={b'{x}' + b'y' * 77!r}"),
+        (AbandonReason.RESPONSE_MISSING, "response_missing"),
+        (AbandonReason.RESPONSE_TIMEOUT, "response_timeout"),
+        (AbandonReason.RESPONSE_TOO_LONG, "response_too_long"),
+        (AbandonReason.UNSOLICITED_RESPONSE, "unsolicited_response"),
+    ],
+)
+def test_reason_for_abandoning_a_connection_in_the_log(reason: AbandonReason, text: str) -> None:
+    assert reason.log_text(b"{x}" + b"y" * 99) == text
--- a/tests/server/test_discovery.py
+++ b/tests/server/test_discovery.py
@@ -10,6 +10,7 @@
 
 from qos_gateway.server.discovery.endpoint_list import EndpointUpdate
 from qos_gateway.server.discovery.watch_connection import WatchConnection
+from qos_gateway.server.discovery.watch_end_reason import WatchEndReason
 from qos_gateway.server.discovery.watch_schedule import INITIAL_BACKOFF_S, MAX_BACKOFF_S
 from qos_gateway.types import Health, ListKind
 from tests.support.discovery import Follower, discovery_client, record_waits
@@ -195,3 +196,19 @@
             assert agent.requests.empty()
 
     run_on_loop(test)
+
+
+@pytest.mark.parametrize(
+    ("reason", "detail", "text"),
+    [
+        (WatchEndReason.RESPONSE_ENDED, None, "response_ended"),
+        (WatchEndReason.CONNECTION_CLOSED, None, "connection_closed"),
+        (WatchEndReason.CONNECTION_LOST, OSError("reset"), "connection_lost error=reset"),
+        (WatchEndReason.IDLE_TIMEOUT, None, "idle_timeout"),
+        (WatchEndReason.INVALID_RESPONSE, ValueError("{}"), "invalid_response error={}"),
+        (WatchEndReason.OBJECT_TOO_LONG, None, "object_too_long"),
+        (WatchEndReason.REJECTED, 503, "status_503"),
+    ],
+)
+def test_reason_for_the_end_of_a_watch_in_the_log(reason: WatchEndReason, detail: object, text: str) -> None:
+    assert reason.log_text(detail) == text
