--- a/tests/server/test_guards.py
+++ b/tests/server/test_guards.py
@@ -99,40 +99,39 @@
 
 
 @pytest.mark.parametrize(
-    ("class_index", "scope", "hedging", "attempts", "endpoint", "now", "allowed"),
+    ("class_index", "policy", "attempts", "endpoint", "now", "allowed"),
     [
-        (IDEMPOTENT, CELL, True, [attempt_at(outcome=Outcome.RESET)], 2, 0, True),
-        (IDEMPOTENT, CELL, True, [attempt_at(outcome=Outcome.RESET)] * 3, 2, 0, False),
-        (IDEMPOTENT, CELL, True, [attempt_at()], 2, 0, True),
-        (IDEMPOTENT, CELL, False, [attempt_at()], 2, 0, False),
-        (NOT_IDEMPOTENT, CELL, True, [attempt_at(outcome=Outcome.CONNECT_FAILED)] * 2, 2, 0, True),
-        (NOT_IDEMPOTENT, CELL, True, [attempt_at(outcome=Outcome.OVERLOADED)], 2, 0, True),
-        (NOT_IDEMPOTENT, CELL, True, [attempt_at(outcome=Outcome.RESET)], 2, 0, False),
-        (NOT_IDEMPOTENT, CELL, True, [attempt_at(outcome=Outcome.ERROR)], 2, 0, False),
-        (NOT_IDEMPOTENT, CELL, True, [attempt_at(outcome=Outcome.TIMEOUT)], 2, 0, False),
-        (NOT_IDEMPOTENT, CELL, True, [attempt_at()], 2, 0, False),
-        (KEYED, CELL, True, [attempt_at(outcome=Outcome.RESET)], 3, 0, True),
-        (KEYED, CELL, True, [attempt_at(outcome=Outcome.RESET)], 2, 0, False),
-        (KEYED, ZONE, True, [attempt_at(outcome=Outcome.RESET)], 2, 0, True),
-        (KEYED, ZONE, True, [attempt_at(outcome=Outcome.RESET)], 3, 0, False),
-        (KEYED, ALL, True, [attempt_at(outcome=Outcome.RESET)], 3, 0, True),
-        (KEYED, ALL, True, [attempt_at(outcome=Outcome.RESET)], 3, 5 * SECOND, False),
-        (KEYED, CELL, True, [attempt_at(outcome=Outcome.OVERLOADED)], 2, 9 * SECOND, True),
+        (IDEMPOTENT, settings(CELL), [attempt_at(outcome=Outcome.RESET)], 2, 0, True),
+        (IDEMPOTENT, settings(CELL), [attempt_at(outcome=Outcome.RESET)] * 3, 2, 0, False),
+        (IDEMPOTENT, settings(CELL), [attempt_at()], 2, 0, True),
+        (IDEMPOTENT, settings(CELL, hedging=False), [attempt_at()], 2, 0, False),
+        (NOT_IDEMPOTENT, settings(CELL), [attempt_at(outcome=Outcome.CONNECT_FAILED)] * 2, 2, 0, True),
+        (NOT_IDEMPOTENT, settings(CELL), [attempt_at(outcome=Outcome.OVERLOADED)], 2, 0, True),
+        (NOT_IDEMPOTENT, settings(CELL), [attempt_at(outcome=Outcome.RESET)], 2, 0, False),
+        (NOT_IDEMPOTENT, settings(CELL), [attempt_at(outcome=Outcome.ERROR)], 2, 0, False),
+        (NOT_IDEMPOTENT, settings(CELL), [attempt_at(outcome=Outcome.TIMEOUT)], 2, 0, False),
+        (NOT_IDEMPOTENT, settings(CELL), [attempt_at()], 2, 0, False),
+        (KEYED, settings(CELL), [attempt_at(outcome=Outcome.RESET)], 3, 0, True),
+        (KEYED, settings(CELL), [attempt_at(outcome=Outcome.RESET)], 2, 0, False),
+        (KEYED, settings(ZONE), [attempt_at(outcome=Outcome.RESET)], 2, 0, True),
+        (KEYED, settings(ZONE), [attempt_at(outcome=Outcome.RESET)], 3, 0, False),
+        (KEYED, settings(ALL), [attempt_at(outcome=Outcome.RESET)], 3, 0, True),
+        (KEYED, settings(ALL), [attempt_at(outcome=Outcome.RESET)], 3, 5 * SECOND, False),
+        (KEYED, settings(CELL), [attempt_at(outcome=Outcome.OVERLOADED)], 2, 9 * SECOND, True),
         # The first that may have executed counts, not the first that was made.
-        (KEYED, CELL, True, [attempt_at(2, 0, Outcome.OVERLOADED), attempt_at(1, 1)], 3, SECOND, True),
+        (KEYED, settings(CELL), [attempt_at(2, 0, Outcome.OVERLOADED), attempt_at(1, 1)], 3, SECOND, True),
     ],
 )
 def test_repeat_guard(
     class_index: int,
-    scope: IdempotencyScope,
-    hedging: bool,
+    policy: Settings,
     attempts: list[Attempt],
     endpoint: int,
     now: int,
     allowed: bool,
 ) -> None:
     monitor = InvariantMonitor()
-    guard = RepeatGuard(settings(scope, hedging), monitor, ENDPOINTS.get)
+    guard = RepeatGuard(policy, monitor, ENDPOINTS.get)
     request = FakeRequest(class_index, attempts=attempts)
     assert guard.allows_attempt(request, endpoint, now) is allowed
     assert monitor.violations[Invariant.REPEAT] == (not allowed)
