--- a/qos_gateway/edge_names.py
+++ b/qos_gateway/edge_names.py
@@ -1,8 +1,8 @@
 """Names that the operators' pages, the wire and the configuration use: each beside the code's own term.
 
 Each class is one table, and each of its rows reads `CODE_TERM = "page's name"`. No other module spells a name
-of these tables. The names of discovery's JSON, of the stored state and of the simulator's records have tables
-of their own, which docs/architecture.md lists.
+of these tables. The names of discovery's JSON and of the stored state have tables of their own, which
+docs/architecture.md lists.
 """
 
 
@@ -252,3 +252,19 @@
     """Endpoint's load report."""
 
     QUOTA_USAGE = "used"
+
+
+class SimulatorRecord:
+    """Record of the simulator's batches."""
+
+    SELECT_INSTANCE = "select"
+    START = "up"
+    TOPOLOGY = "topology"
+    ARRIVAL = "inbound"
+    RESPONSE_STARTED = "begun"
+    ATTEMPT_ENDED = "reply"
+    CLIENT_DISCONNECTED = "client_left"
+    TIMER_FIRED = "elapsed"
+    PROBE_ENDED = "status_back"
+    PEER_MESSAGE = "mail"
+    COUNTER_REPLIED = "counter_reply"
--- a/qos_gateway/simulator/decoder.py
+++ b/qos_gateway/simulator/decoder.py
@@ -7,6 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
+from ..edge_names import SimulatorRecord
 from ..types.events import (
     Arrival,
     AttemptEnded,
@@ -36,18 +37,18 @@
 
 _CLOCK = _Layout("header", struct.Struct("<Q"))
 _RECORD_CODE = _Layout("record code", struct.Struct("<H"))
-_INSTANCE = _Layout("select", struct.Struct("<I"))
-_START = _Layout("up", struct.Struct("<QI"))
-_TOPOLOGY = _Layout("topology", struct.Struct("<BQI"))
+_INSTANCE = _Layout(SimulatorRecord.SELECT_INSTANCE, struct.Struct("<I"))
+_START = _Layout(SimulatorRecord.START, struct.Struct("<QI"))
+_TOPOLOGY = _Layout(SimulatorRecord.TOPOLOGY, struct.Struct("<BQI"))
 _ENDPOINT = struct.Struct("<IBBHBfQ")
-_ARRIVAL = _Layout("inbound", struct.Struct("<QBIQQfffB"))
-_RESPONSE_STARTED = _Layout("begun", struct.Struct("<QQHI"))
-_ATTEMPT_ENDED = _Layout("reply", struct.Struct("<QBHIHHQHB"))
-_CLIENT_DISCONNECTED = _Layout("client_left", struct.Struct("<Q"))
-_TIMER_FIRED = _Layout("elapsed", struct.Struct("<I"))
-_PROBE_ENDED = _Layout("status_back", struct.Struct("<HIQB"))
-_PEER_MESSAGE = _Layout("mail", struct.Struct("<IH"))
-_COUNTER_REPLIED = _Layout("counter_reply", struct.Struct("<QHQf"))
+_ARRIVAL = _Layout(SimulatorRecord.ARRIVAL, struct.Struct("<QBIQQfffB"))
+_RESPONSE_STARTED = _Layout(SimulatorRecord.RESPONSE_STARTED, struct.Struct("<QQHI"))
+_ATTEMPT_ENDED = _Layout(SimulatorRecord.ATTEMPT_ENDED, struct.Struct("<QBHIHHQHB"))
+_CLIENT_DISCONNECTED = _Layout(SimulatorRecord.CLIENT_DISCONNECTED, struct.Struct("<Q"))
+_TIMER_FIRED = _Layout(SimulatorRecord.TIMER_FIRED, struct.Struct("<I"))
+_PROBE_ENDED = _Layout(SimulatorRecord.PROBE_ENDED, struct.Struct("<HIQB"))
+_PEER_MESSAGE = _Layout(SimulatorRecord.PEER_MESSAGE, struct.Struct("<IH"))
+_COUNTER_REPLIED = _Layout(SimulatorRecord.COUNTER_REPLIED, struct.Struct("<QHQf"))
 
 InstanceEvent = Event | StartInstance | StopInstance
 
--- a/tests/test_edge_names.py
+++ b/tests/test_edge_names.py
@@ -37,6 +37,7 @@
     edge_names.CommandName,
     edge_names.EndpointError,
     edge_names.LoadReportName,
+    edge_names.SimulatorRecord,
 )
 
 
