--- a/qos_gateway/decisions/quota/counter_quota.py
+++ b/qos_gateway/decisions/quota/counter_quota.py
@@ -51,20 +51,23 @@
             if self._spend_from_slice(now, account, charge.units) or unlimited:
                 return QuotaDecision.immediate(True)
             if buckets.tokens < charge.units:
-                return QuotaDecision.immediate(False)  # the most that the bucket can hold by now
-        # A current report decides at once, unless this slice of the ceiling is the only obstacle.
+                # Refilled since the last report, the bucket holds at most these tokens.
+                return QuotaDecision.immediate(False)
+        # A current report decides at once, unless only this gateway's slice of the ceiling is too small.
         is_current = now - account.reports.reported_at < CURRENT_REPORT_NS
         is_current = is_current and (buckets.tokens < charge.units or buckets.below_ceiling(charge.units))
         if is_current or self._is_owner(account):
             return QuotaDecision.immediate(self._take_from_bucket(now, charge), reports=is_current)
-        # An overloaded counter is called for uncertain customers first.
+        # An overloaded counter is called first for customers whose bucket may be empty.
         may_skip = self.counter.call_rate < 1.0 and self._may_spend_unreported(now, account, charge.units)
         if self.rng.random() < self._call_probability(may_skip):
             return self._reserve(now, charge)
         return QuotaDecision.immediate(self.decide_locally(now, account, charge.units))
 
     def _call_probability(self, may_skip: bool) -> float:
-        return min(1.0, max(0.0, 2.0 * self.counter.call_rate - may_skip))
+        """Return the probability of a call: requests that may skip it are the first to lose theirs."""
+        skipped = 1.0 if may_skip else 0.0
+        return min(1.0, max(0.0, 2.0 * self.counter.call_rate - skipped))
 
     def _largest_unreported(self, account: CustomerAccount) -> float:
         return max(self.settings.largest_request_units, COUNTER_LAG_FRACTION * account.plan.burst)
--- a/qos_gateway/server/clients/connections.py
+++ b/qos_gateway/server/clients/connections.py
@@ -161,8 +161,7 @@
 
     def is_accepting(self) -> bool:
         """Return whether clients that connect are served."""
-        drain = self.context.drain
-        return self.is_listening() and not drain.is_draining and not drain.closes_idle
+        return self.is_listening() and not self.context.drain.is_draining
 
     def has_waiting_connection(self) -> bool:
         """Return whether a connection waits to be accepted."""
--- a/qos_gateway/server/config/__init__.py
+++ b/qos_gateway/server/config/__init__.py
@@ -3,7 +3,7 @@
 from .errors import ConfigError, ConfigUnreadableError
 from .loader import load, reload
 from .parser import MAX_LEASE_S, MIN_LEASE_S, address, parse
-from .restart_rules import needs_restart
+from .restart_rules import keys_requiring_restart
 from .settings_text import flatten
 from .types import Address, Config
 
@@ -16,8 +16,8 @@
     "ConfigUnreadableError",
     "address",
     "flatten",
+    "keys_requiring_restart",
     "load",
-    "needs_restart",
     "parse",
     "reload",
 ]
--- a/qos_gateway/server/config/restart_rules.py
+++ b/qos_gateway/server/config/restart_rules.py
@@ -1,4 +1,4 @@
-"""Which changes of the configuration take effect only in a new process."""
+"""Which keys of the configuration a running gateway applies, ignores, or reports as requiring a restart."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
 from .types import Config
 
 RELOADABLE = frozenset({ConfigKey.COUNTER, ConfigKey.DISCOVERY})
-USED_AT_START_ONLY = frozenset({ConfigKey.SEED, ConfigKey.CACHED_LIST})  # a running gateway ignores a change
+# Initial values of a process: a running gateway ignores a change and does not report it.
+USED_AT_START_ONLY = frozenset({ConfigKey.SEED, ConfigKey.CACHED_LIST})
 
 # Keys of the fields whose names differ from them.
 CONFIGURATION_KEYS = {
@@ -34,8 +35,8 @@
 }
 
 
-def needs_restart(old: Config, new: Config) -> list[str]:
-    """Return the keys of the configuration whose change requires a new process."""
+def keys_requiring_restart(old: Config, new: Config) -> list[str]:
+    """Return the changed keys that a running gateway neither applies nor ignores."""
     changed = [each.name for each in fields(Config) if getattr(old, each.name) != getattr(new, each.name)]
     keys = [CONFIGURATION_KEYS.get(name, name) for name in changed]
     return [key for key in keys if key not in RELOADABLE | USED_AT_START_ONLY]
--- a/qos_gateway/server/gateway.py
+++ b/qos_gateway/server/gateway.py
@@ -6,7 +6,7 @@
 import logging
 
 from ..units import MILLISECOND, SECOND
-from .config import Config, needs_restart
+from .config import Config, keys_requiring_restart
 from .discovery.endpoint_feed import FIRST_LIST_TIMEOUT_S, SOCKET_POLL_S
 from .networking.transient_errors import retry_transient
 from .observability.activity_log import ActivityGauges
@@ -115,7 +115,7 @@
 
     def reconfigure(self, config: Config) -> None:
         """Move to the addresses of discovery and counter in `config`; all other settings need a restart."""
-        changed = needs_restart(self.config, config)
+        changed = keys_requiring_restart(self.config, config)
         if changed:
             log.warning("configuration_needs_restart settings=%s", ",".join(changed))
         self.parts.discovery.change_agent(config.discovery)
--- a/tests/server/test_config.py
+++ b/tests/server/test_config.py
@@ -8,7 +8,15 @@
 
 import pytest
 
-from qos_gateway.server.config import Config, ConfigError, flatten, load, needs_restart, parse, reload
+from qos_gateway.server.config import (
+    Config,
+    ConfigError,
+    flatten,
+    keys_requiring_restart,
+    load,
+    parse,
+    reload,
+)
 from qos_gateway.server.config.restart_rules import CONFIGURATION_KEYS
 from tests.support.servers import LOOPBACK, endpoint_list, raw_config
 
@@ -31,7 +39,7 @@
     change: dict[str, object], environment: dict[str, str], keys: list[str]
 ) -> None:
     old = parse(raw_config(1), {})
-    assert needs_restart(old, parse(raw_config(1) | change, environment)) == keys
+    assert keys_requiring_restart(old, parse(raw_config(1) | change, environment)) == keys
 
 
 def test_number_without_bound_is_named_as_wrong() -> None:
@@ -68,8 +76,8 @@
     )
     new = reload(environment)
     assert new.discovery == (LOOPBACK, 3)
-    assert needs_restart(old, new) == ["zones"]
-    assert needs_restart(old, old) == []
+    assert keys_requiring_restart(old, new) == ["zones"]
+    assert keys_requiring_restart(old, old) == []
 
 
 def test_nested_settings_become_the_start_messages_lines() -> None:
