--- a/qos_gateway/server/admin/operations.py
+++ b/qos_gateway/server/admin/operations.py
@@ -4,17 +4,24 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
+from typing import Protocol
 
 from ...decisions.load_balancing.load_balancer import LoadBalancer
 from ..clients.connections import ClientConnections
 from ..discovery.endpoint_directory import EndpointDirectory
 from ..discovery.endpoint_list import endpoint_id
-from ..handover.channel import HandoverChannel
 from ..handover.handover import Handover
 from ..observability.metrics import Gauges, Metrics, render
 from ..requests.open_requests import OpenRequests
 
 
+class OtherProcess(Protocol):
+    """The other process of this gateway during an upgrade."""
+
+    async def broadcast_admin_disabled(self, endpoint: int, disabled: bool) -> None:
+        """Send an operator's call to it, if it runs; wait briefly for its acknowledgement."""
+
+
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AdminTargets:
     """The parts that the operations read and change."""
@@ -25,7 +32,7 @@
     metrics: Metrics
     load_balancer: LoadBalancer
     handover: Handover
-    handover_channel: HandoverChannel | None  # None where no other process can take over
+    other_process: OtherProcess | None  # None where no other process can take over
 
 
 class AdminOperations:
@@ -52,6 +59,6 @@
         if not self._targets.endpoint_directory.is_listed_or_disabled(endpoint):
             return False
         self._targets.handover.apply_admin_disabled(endpoint, disabled)
-        if self._targets.handover_channel is not None:
-            await self._targets.handover_channel.broadcast_admin_disabled(endpoint, disabled)
+        if self._targets.other_process is not None:
+            await self._targets.other_process.broadcast_admin_disabled(endpoint, disabled)
         return True
--- a/qos_gateway/server/wiring.py
+++ b/qos_gateway/server/wiring.py
@@ -7,6 +7,7 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from ..decisions.engine import DecisionEngine
 from ..types import CounterReplied
@@ -23,7 +24,6 @@
 from .discovery.endpoint_feed import EndpointFeed
 from .endpoints.connections import EndpointConnections, EndpointLimits
 from .event_dispatcher import EventDispatcher
-from .handover.channel import HandoverChannel
 from .handover.handover import Handover, SharedParts
 from .networking.clock import monotonic_unix_ns
 from .observability.activity_log import ActivityLog
@@ -40,6 +40,9 @@
 from .requests.request_deadlines import RequestDeadlines
 from .requests.send_guard import SendGuard
 
+if TYPE_CHECKING:
+    from .handover.channel import HandoverChannel
+
 RESERVED_DESCRIPTORS = 64  # for listeners, peers, discovery, counter, operators and files
 MIN_CONNECTIONS = 16  # of clients and endpoints together
 ENDPOINT_CONNECTION_FRACTION = 0.5  # a request needs at most one connection on either side
@@ -237,10 +240,7 @@
     core: _Core, clients: ClientConnections, directory: EndpointDirectory, handover: Handover
 ) -> Services:
     config = core.config
-    handover_channel = None
-    # Two processes serve at the same time only if the listening socket is inherited.
-    if config.shared_folder is not None and config.inherited_descriptor is not None:
-        handover_channel = HandoverChannel(config.shared_folder, config.name, handover)
+    handover_channel = _build_handover_channel(config, handover)
     targets = AdminTargets(
         clients=clients,
         requests=core.context.requests,
@@ -248,7 +248,7 @@
         metrics=core.observability.metrics,
         load_balancer=core.context.dispatcher.engine.load_balancer,
         handover=handover,
-        handover_channel=handover_channel,
+        other_process=handover_channel,
     )
     operations = AdminOperations(targets, core.context.clock)
     return Services(
@@ -257,3 +257,12 @@
         operations=operations,
         admin_server=None if config.admin is None else AdminServer(config.admin, operations),
     )
+
+
+def _build_handover_channel(config: Config, handover: Handover) -> HandoverChannel | None:
+    """Build the channel if the listening socket is inherited: else no two processes serve at a time."""
+    if config.shared_folder is None or config.inherited_descriptor is None:
+        return None
+    from .handover.channel import HandoverChannel  # its modules are loaded by upgrades alone
+
+    return HandoverChannel(config.shared_folder, config.name, handover)
