--- a/qos_gateway/server/gateway.py
+++ b/qos_gateway/server/gateway.py
@@ -19,9 +19,7 @@
 KILL_DELAY_NS = 700 * MILLISECOND
 MAX_KILL_DEADLINE_NS = 3 * SECOND  # the most that the platform adds for the longest deadline
 KILL_MARGIN_NS = 100 * MILLISECOND  # before the kill, for responses in transit
-PEER_REPORT_TIME_S = (
-    0.4  # after the longest deadline, for which a stopping gateway still reports to its peers
-)
+PEER_REPORT_TIME_S = 0.4  # after the longest deadline, during which a stopping gateway reports to peers
 
 
 class GatewayProcess:
