--- a/qos_gateway/decisions/handover.py
+++ b/qos_gateway/decisions/handover.py
@@ -28,7 +28,7 @@
         latency=tuple(MeanSnapshot.of(latency.mean) for latency in engine.model.class_latency),
         baseline_latency=tuple(latency.baseline for latency in engine.model.class_latency),
         call_rate=quota.counter.call_rate,
-        retry_tokens=engine.dispatcher.retry_budget.tokens * fractions.incoming,
+        retry_tokens=engine.dispatcher.retry_budget.capture(fractions.incoming),
         lease_fractions=quota.accounts.capture_leases(),
     )
 
@@ -40,7 +40,7 @@
     latencies = zip(engine.model.class_latency, snapshot.latency, snapshot.baseline_latency, strict=True)
     for latency, captured, baseline in latencies:
         latency.restore(captured.to_mean(), baseline)
-    engine.dispatcher.retry_budget.tokens = snapshot.retry_tokens
+    engine.dispatcher.retry_budget.restore(snapshot.retry_tokens)
 
 
 def complete(engine: DecisionEngine) -> None:
--- a/qos_gateway/decisions/requests/retry_budget.py
+++ b/qos_gateway/decisions/requests/retry_budget.py
@@ -29,6 +29,14 @@
         """Charge an attempt that was sent."""
         self.tokens -= cost
 
+    def capture(self, fraction: float) -> float:
+        """Return the tokens that the next process starts with: this fraction of the bucket."""
+        return self.tokens * fraction
+
+    def restore(self, tokens: float) -> None:
+        """Continue with the tokens that the previous process captured."""
+        self.tokens = tokens
+
 
 def retry_cost(relative_latency: float) -> float:
     """Return the cost (tokens) of a retry after an attempt that took that many mean latencies."""
