--- a/qos_gateway/edge_names.py
+++ b/qos_gateway/edge_names.py
@@ -37,7 +37,7 @@
 
 
 class ProcessLimitKey:
-    """Configuration file, `limits`."""
+    """Configuration file, limits."""
 
     MAX_DESCRIPTORS = "sockets"
     MEMORY_MB = "memory_mb"
@@ -62,7 +62,7 @@
 
 
 class DiscoveryMode:
-    """Settings, value of `discovery`."""
+    """Settings, value of discovery."""
 
     POLLED = "on_request"
 
@@ -74,7 +74,7 @@
 
 
 class RequestClassKey:
-    """Settings, each of `classes`."""
+    """Settings, each of classes."""
 
     NAME = "name"
     LATENCY_OBJECTIVE = "aim"
@@ -87,7 +87,7 @@
 
 
 class IdempotenceValue:
-    """Settings, value of `idempotency`."""
+    """Settings, value of idempotency."""
 
     IDEMPOTENT = "free"
     KEYED = "guarded"
@@ -95,7 +95,7 @@
 
 
 class IdempotencyScopeValue:
-    """Settings, value of `group`."""
+    """Settings, value of group."""
 
     ALL = "all"
     ZONE = "zone"
@@ -103,7 +103,7 @@
 
 
 class PlanKey:
-    """Settings, each of `packages`."""
+    """Settings, each of packages."""
 
     NAME = "name"
     RATE = "quotaRate"
@@ -118,13 +118,13 @@
 
 
 class ReportKey:
-    """Settings, `report`."""
+    """Settings, report."""
 
     REPORT_NAMES = "names"
 
 
 class SettingsLimitKey:
-    """Settings, `limits`."""
+    """Settings, limits."""
 
     MAX_ATTEMPTS = "maxAttempts"
     HEDGING = "secondCopies"
@@ -138,7 +138,7 @@
 
 
 class FamilyKey:
-    """Settings, `familyInfo`."""
+    """Settings, familyInfo."""
 
     HAS_COUNTER = "counter"
     USAGE_PERIOD = "usePeriod"
@@ -149,7 +149,7 @@
 
 
 class RuleKey:
-    """Settings, `rules`."""
+    """Settings, rules."""
 
     POLL_DEADLINE = "askWithin"
     DRAIN_GRACE = "drainGrace"
@@ -160,7 +160,7 @@
 
 
 class PriceKey:
-    """Settings, `prices`."""
+    """Settings, prices."""
 
     CROSS_ZONE_COST = "crossZone"
 
@@ -205,7 +205,7 @@
 
 
 class HandoverStateKey:
-    """Message between two processes of a gateway, `state`."""
+    """Message between two processes of a gateway, state."""
 
     ENDPOINT_LIST = "list"
     CLIENT_CONNECTIONS = "clients"
