--- a/soak/addresses.py
+++ b/soak/addresses.py
@@ -1,6 +1,6 @@
-"""Addresses on loopback that nobody uses, for those who have to be told theirs before they listen.
+"""Unused addresses on loopback, for processes that are configured with an address before they listen on it.
 
-Each is on a host number of its own: a free port of the usual one may be taken before it is used.
+Each address has a host number of its own: a free port of 127.0.0.1 could be bound by others before its use.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
 
 
 def free_tcp_address() -> str:
-    """Return an address that nobody listens on."""
+    """Return an address on which no process listens."""
     return _free_address(socket.SOCK_STREAM)
 
 
 def free_udp_addresses(number: int) -> tuple[str, ...]:
-    """Return so many different addresses that nobody receives datagrams on."""
+    """Return a number of different addresses on which no process receives datagrams."""
     return tuple(_free_address(socket.SOCK_DGRAM) for _ in range(number))
--- a/soak/call_shim.py
+++ b/soak/call_shim.py
@@ -1,4 +1,4 @@
-"""Builds the library that lets system calls of a gateway fail, and says how to load it."""
+"""Builds the library that lets system calls of a gateway fail, and the environment that loads it."""
 
 from __future__ import annotations
 
@@ -30,6 +30,6 @@
 
 
 def environment(library: Path, seed: int, gateway: int, process: int) -> dict[str, str]:
-    """Return the variables with which a process of a gateway is started under the library."""
+    """Return the variables that load the library into a process of a gateway, with a seed of its own."""
     number = (seed + 1) * PROCESSES_PER_SEED + gateway * PROCESSES_PER_GATEWAY + process
     return {"LD_PRELOAD": str(library), "SOAK_FAULTS_SEED": str(number)}
--- a/soak/faulty_calls.c
+++ b/soak/faulty_calls.c
@@ -1,7 +1,7 @@
-/* Lets system calls of one process fail now and then, in ways that Linux documents.
+/* Lets system calls of one process fail at random, with errors that Linux documents.
  *
- * Loaded by LD_PRELOAD. Time is cut into windows; a hash of the seed, the call and the window decides whether the
- * call fails in it, and then about every second one does. So calls fail for a moment, and several kinds may overlap.
+ * It is loaded by LD_PRELOAD. Time is divided into windows. A hash of the seed, the call and the window decides whether
+ * the call can fail in that window; if so, about half of its calls fail. Windows of different calls may overlap.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -70,7 +70,7 @@
 #define ONE_OF(...) one_of((const int[]){__VA_ARGS__}, sizeof((const int[]){__VA_ARGS__}) / sizeof(int))
 #define NEXT(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
 
-/* Only sockets of the network: the log's may be a blocking one, which never finds no room. */
+/* Only network sockets: the log's socket may be a blocking one, on which EAGAIN never occurs. */
 static int is_socket(int fd)
 {
     int domain;
@@ -145,7 +145,7 @@
     return NEXT(epoll_pwait)(fd, events, most, timeout, mask);
 }
 
-/* A short count, or a call that was interrupted, or one that finds no room. */
+/* Returns -1 with EAGAIN or EINTR in errno, or 0 and a shortened size. */
 static int write_result(size_t size, size_t *shortened)
 {
     uint64_t draw = mix(seed + ++draws) % 4;
