--- a/soak/gateways.py
+++ b/soak/gateways.py
@@ -16,11 +16,7 @@
 from soak import call_shim
 from soak.addresses import free_tcp_address
 from soak.counter_server import CounterListener, CounterServer
-from soak.discovery_agents import (
-    OLD_AGENT_CLOSES_AFTER_S,
-    DiscoveryAgent,
-    ListSource,
-)
+from soak.discovery_agents import DiscoveryAgent, ListSource
 from soak.observations import MaintenanceSeen, ProcessSeen, Record
 from soak.operators import call_operators
 from soak.order_servers import OrderServer
@@ -35,6 +31,7 @@
 INHERITING_EVERY = 3  # gateways: the last of so many gets its listening socket from the platform
 BACKLOG = 256
 FIRST_OF_TWO_ENDS_AFTER_S = 0.2  # of an upgrade, once both processes serve
+OLD_AGENT_CLOSES_AFTER_S = 1.5
 AGENT_LAG_S = 1.5
 FRONT_NOTICES_STOP_S = 0.3  # for which new connections still come after SIGTERM
 PING = b"*1\r\n$4\r\nPING\r\n"
@@ -181,7 +178,7 @@
         version = self.agent.version
         if not self.agent.is_silent():
             version = max(1, version - self._rng.randrange(MAX_KNOWN_AGE))
-        known_list = self._source.whole_list(version, self.position) if known else None
+        known_list = self._source.snapshot(version, self.position) if known else None
         addresses = Addresses(self.agent.address, self._counters[0].address, self._operators, self._peers)
         seed = f"{self._seed:08x}{self.position:04x}{self._number:04x}"
         return json.dumps(configuration(self._deployment, self.position, addresses, known_list, seed))
@@ -318,7 +315,7 @@
 
     def reload_to_silent_agent(self) -> None:
         """Reload with an agent whose next watch says nothing."""
-        self.agents[1].mutes_next_watch = True
+        self.agents[1].mute_next_watch()
         self.reload()
 
     def reload_to_lagging_agent(self, version: int) -> None:
