--- a/soak/run.py
+++ b/soak/run.py
@@ -20,7 +20,7 @@
     Health,
     ListSource,
 )
-from soak.gateways import Gateway, Launch
+from soak.gateways import Gateway, GatewaySetup, Launch
 from soak.judge import Verdict, judge
 from soak.observations import Lag, Record
 from soak.order_servers import OrderServer
@@ -80,10 +80,16 @@
         self.servers: list[OrderServer] = []
         self.counter = CounterServer(options.seed)
         peers = free_udp_addresses(options.gateways) if self.deployment.peer_messages_per_s else ()
-        self.gateways = [
-            Gateway(n, self.deployment, self.source, self.record, folder, options.launch, options.seed, peers)
-            for n in range(options.gateways)
-        ]
+        setup = GatewaySetup(
+            deployment=self.deployment,
+            source=self.source,
+            record=self.record,
+            folder=folder,
+            launch=options.launch,
+            seed=options.seed,
+            peers=peers,
+        )
+        self.gateways = [Gateway(n, setup) for n in range(options.gateways)]
         self.traffic = Traffic(self.deployment, self.gateways, self.record, options.seed)
         self._loop = asyncio.get_running_loop()
         self._tasks: set[asyncio.Task[Any]] = set()
--- a/soak/settings.py
+++ b/soak/settings.py
@@ -1,15 +1,12 @@
-"""The deployment that a soak plays, drawn from its seed, and the configuration of its gateways."""
+"""The deployment of a run, drawn from its seed."""
 
 from __future__ import annotations
 
 import random
 from dataclasses import dataclass
 from enum import Enum
-from typing import Any
 
-SECOND_NS = 1_000_000_000
 LOCALHOST = "127.0.0.1"
-MEMORY_MB = 96
 DESCRIPTORS = (256, 400, 1024)  # for one gateway
 PEER_MESSAGE_RATES = (0.0, 0.0, 40.0, 400.0)  # none, for owners of buckets, for gossip among two dozen
 MACHINE_CLASS = "m1"
@@ -107,104 +104,3 @@
         descriptors=limits_rng.choice(DESCRIPTORS),
         peer_messages_per_s=limits_rng.choice(PEER_MESSAGE_RATES),
     )
-
-
-def nested_settings(deployment: Deployment, position: int) -> dict[str, Any]:
-    """Return the settings of one gateway in their nested form."""
-    return {
-        "classes": [_class_settings(kind) for kind in deployment.kinds],
-        "packages": [_plan_settings(plan) for plan in deployment.plans],
-        "zones": list(deployment.zones),
-        "kinds": [MACHINE_CLASS],
-        "zone": position % len(deployment.zones),
-        "position": position,
-        "replicasOfMe": deployment.gateways,
-        "report": {"how": "answers", "names": ["load_share", "concurrent"]},
-        "limits": {
-            "maxAttempts": deployment.max_attempts,
-            "secondCopies": deployment.allows_hedging,
-            "cancel": True,
-            "probes": False,
-            "peerMessages": deployment.peer_messages_per_s > 0.0,
-            "retryAfter": True,
-            "maxRetryAfter": SECOND_NS,
-            "connectTimeout": SECOND_NS // 4,
-            "connIdle": 30 * SECOND_NS,
-        },
-        "familyInfo": {
-            "counter": not deployment.peer_messages_per_s,
-            "counterTimeout": 80_000_000,
-            "usePeriod": 0,
-            "largest": 1,
-            "mailPerS": deployment.peer_messages_per_s,
-            "truedUp": False,
-        },
-        "rules": {
-            "askWithin": 10 * SECOND_NS,
-            "drainGrace": int(deployment.drain_grace_s * SECOND_NS),
-            "fall": int(deployment.overload_window_s * SECOND_NS),
-            "fallMultiple": deployment.overload_multiple,
-            "startCapacity": deployment.initial_capacity,
-            "warmUp": int(deployment.slow_start_window_s * SECOND_NS),
-        },
-        "prices": {"crossZone": 0.01},
-        "discovery": "pushed",
-    }
-
-
-def _class_settings(kind: RequestKind) -> dict[str, Any]:
-    return {
-        "name": kind.name,
-        "aim": int(kind.objective_s * SECOND_NS),
-        "deadline": int(kind.deadline_s * SECOND_NS),
-        "points": 1.0,
-        "lateWorth": 0.0,
-        "idempotency": kind.effect.value,
-        "group": kind.scope,
-        "window": int(kind.window_s * SECOND_NS),
-    }
-
-
-def _plan_settings(plan: PlanTerms) -> dict[str, Any]:
-    return {
-        "name": plan.name,
-        "quotaRate": plan.rate,
-        "mostAtOnce": plan.burst,
-        "parallel": 0,
-        "worthFactor": 1.0,
-        "beyondEarns": 0.0,
-        "excessCost": 1.0,
-        "ceilingRate": plan.ceiling_rate,
-        "hardBurst": plan.ceiling_burst,
-        "ceilingSlack": plan.ceiling_slack,
-    }
-
-
-@dataclass(frozen=True, slots=True)
-class Addresses:
-    """Where one gateway finds the others, and operators find it."""
-
-    discovery: str
-    counter: str
-    operators: str
-    peers: tuple[str, ...]  # of all gateways in the order of their numbers; none where a counter is used
-
-
-def configuration(
-    deployment: Deployment, position: int, addresses: Addresses, known: dict[str, Any] | None, seed: str
-) -> dict[str, Any]:
-    """Return the content of one gateway's configuration file."""
-    quotas: dict[str, Any] = {"counter": addresses.counter, "peers": []}
-    if addresses.peers:
-        quotas = {"peers": list(addresses.peers), "peer_listen": addresses.peers[position]}
-    return {
-        **quotas,
-        "name": f"n{position}",
-        "listen": f"{LOCALHOST}:0",
-        "operator": addresses.operators,
-        "discovery": addresses.discovery,
-        "seed": seed,
-        "limits": {"cores": 1.0, "sockets": deployment.descriptors, "memory_mb": MEMORY_MB},
-        "known": known,
-        "settings": nested_settings(deployment, position),
-    }
