--- /dev/null
+++ b/soak/clients/traffic.py
@@ -0,0 +1,143 @@
+"""The traffic of all clients: regular requests, and on demand unusual or invalid ones."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+
+from soak.background_tasks import BackgroundTasks
+from soak.clients.connection import ClientConnection
+from soak.clients.invalid_commands import send_invalid
+from soak.clients.request_generator import RequestGenerator
+from soak.clients.request_sender import RequestSender
+from soak.gateways import Gateway, GatewayProcess
+from soak.observations import Record
+from soak.settings import Deployment
+
+PIPELINED_COMMANDS = 120
+DISCONNECTING_CLIENTS = 6
+REQUESTS_BEFORE_DISCONNECT = (1, 1, 3)
+DISCONNECT_DELAYS_S = (0.0, 0.001, 0.01, 0.05, 0.3)
+SLOW_READERS = 4
+SLOW_READER_COMMANDS = (1, 3, 12)
+MIN_READING_PAUSE_S = 0.1
+MAX_READING_PAUSE_S = 1.5  # below the time after which gateways close a client that does not read
+IMPATIENT_REQUESTS = 30
+MIN_IMPATIENT_S = 0.005
+MAX_IMPATIENT_S = 0.04
+CROWD_CONNECTIONS = 250  # a gateway with 400 descriptors holds 168 clients, with 256 it holds 96
+CLIENT_GAP_S = 0.02
+IN_CHUNKS_SHARE = 0.1  # of the regular requests
+
+
+class Traffic:
+    """All clients of all gateways."""
+
+    def __init__(self, deployment: Deployment, gateways: list[Gateway], record: Record, seed: int) -> None:
+        self._loop = asyncio.get_running_loop()
+        self._requests_per_s = deployment.requests_per_s
+        self._gateways = gateways
+        self._record = record
+        self._rng = random.Random(f"traffic {seed}")
+        self._generator = RequestGenerator(deployment, self._rng)
+        self._sender = RequestSender(gateways, record, self._generator, self._rng)
+        self._tasks = BackgroundTasks()
+        self._stopped = False
+
+    def start(self) -> None:
+        """Begin to send to every gateway."""
+        for gateway in self._gateways:
+            self._tasks.spawn(self._send_to(gateway))
+
+    def stop(self) -> None:
+        """Send no more regular requests, and no request again."""
+        self._stopped = True
+        self._sender.stop_resending()
+
+    # Regular requests.
+
+    async def _send_to(self, gateway: Gateway) -> None:
+        next_at = self._loop.time()
+        while not self._stopped:
+            next_at += self._rng.expovariate(self._requests_per_s)
+            await asyncio.sleep(max(0.0, next_at - self._loop.time()))
+            process = gateway.process
+            if process is not None and process.is_serving():
+                self._tasks.spawn(self._send_one(gateway.position, process))
+
+    async def _send_one(self, gateway: int, process: GatewayProcess) -> None:
+        connection = await self._sender.idle_or_new(gateway, process)
+        if connection is None:
+            return
+        seen = self._generator.next_request(gateway, process.seen.number)
+        if self._rng.random() < IN_CHUNKS_SHARE:
+            await self._sender.send_in_chunks(connection, seen)
+        else:
+            self._sender.send(connection, seen)
+
+    # Unusual clients.
+
+    async def _connect(self, gateway: int) -> ClientConnection | None:
+        process = self._process_for_new_connections(gateway)
+        return None if process is None else await self._sender.connect(gateway, process)
+
+    def _process_for_new_connections(self, gateway: int) -> GatewayProcess | None:
+        process = self._gateways[gateway].process
+        return process if process is not None and process.takes_new_connections else None
+
+    async def pipeline(self, gateway: int) -> None:
+        """Send many commands at once on one connection."""
+        connection = await self._connect(gateway)
+        if connection is None:
+            return
+        for _ in range(PIPELINED_COMMANDS):
+            self._sender.send_new(connection)
+
+    async def leave(self, gateway: int) -> None:
+        """Connect several times, send requests, and reset each connection soon after."""
+        for _ in range(DISCONNECTING_CLIENTS):
+            connection = await self._connect(gateway)
+            if connection is None:
+                return
+            for _ in range(self._rng.choice(REQUESTS_BEFORE_DISCONNECT)):
+                self._sender.send_new(connection)
+            self._loop.call_later(self._rng.choice(DISCONNECT_DELAYS_S), connection.disconnect)
+            await asyncio.sleep(CLIENT_GAP_S)
+
+    async def read_slowly(self, gateway: int) -> None:
+        """Send several commands on each of a few connections, and read no reply for a while."""
+        for _ in range(SLOW_READERS):
+            connection = await self._connect(gateway)
+            if connection is None:
+                return
+            for _ in range(self._rng.choice(SLOW_READER_COMMANDS)):
+                self._sender.send_new(connection)
+            connection.pause_reading(self._rng.uniform(MIN_READING_PAUSE_S, MAX_READING_PAUSE_S))
+
+    async def be_impatient(self, gateway: int) -> None:
+        """Send requests with deadlines so short that some expire before an order server responds."""
+        for _ in range(IMPATIENT_REQUESTS):
+            connection = await self._connect(gateway)
+            if connection is None:
+                return
+            seen = self._generator.next_request(gateway, connection.process.seen.number)
+            seen.wait_s = self._rng.uniform(MIN_IMPATIENT_S, MAX_IMPATIENT_S)
+            self._sender.send(connection, seen)
+            await asyncio.sleep(CLIENT_GAP_S)
+
+    async def crowd(self, gateway: int, duration_s: float) -> None:
+        """Open more connections than the gateway holds, send nothing, and close them after a while."""
+        process = self._process_for_new_connections(gateway)
+        if process is None:
+            return
+        idle = [await self._sender.connect(gateway, process) for _ in range(CROWD_CONNECTIONS)]
+        await asyncio.sleep(duration_s)
+        for connection in idle:
+            if connection is not None and not connection.is_closed:
+                connection.transport.close()
+
+    async def misbehave(self, gateway: int, data: bytes) -> None:
+        """Send bytes that are no command, and record how the gateway ends the connection."""
+        process = self._process_for_new_connections(gateway)
+        if process is not None:
+            self._record.bad_clients.append(await send_invalid(gateway, process, data))
