--- a/soak/clients/request_generator.py
+++ b/soak/clients/request_generator.py
@@ -51,7 +51,7 @@
         key = f",k={seen.request_id}" if kind.effect is Effect.KEYED else ""
         pairs = (
             f"c={kind.name},t={plan.name},d={round(seen.wait_s * 1000)}{key},"
-            f"units=1,spread={self._deployment.gateways},first=0"
+            f"units=1,spread={self._deployment.fleet.gateways},first=0"
         )
         is_idempotent = kind.effect is Effect.IDEMPOTENT
         name = b"CALL.GET" if is_idempotent else b"CALL.POST"
--- a/soak/order_servers/server.py
+++ b/soak/order_servers/server.py
@@ -35,7 +35,7 @@
         self._commands = CommandHandler(number, deployment.work_s, record, self._faults, rng)
         self._listeners = [
             GatewayListener(lambda gateway=gateway: ServerConnection(self, gateway))  # type: ignore[misc]
-            for gateway in range(deployment.gateways)
+            for gateway in range(deployment.fleet.gateways)
         ]
 
     # The process.
--- a/soak/run.py
+++ b/soak/run.py
@@ -79,7 +79,7 @@
         self.source = ListSource()
         self.servers: list[OrderServer] = []
         self.counter = CounterServer(options.seed)
-        peers = free_udp_addresses(options.gateways) if self.deployment.peer_messages_per_s else ()
+        peers = free_udp_addresses(options.gateways) if self.deployment.fleet.peer_messages_per_s else ()
         setup = GatewaySetup(
             deployment=self.deployment,
             source=self.source,
--- a/soak/settings.py
+++ b/soak/settings.py
@@ -7,34 +7,35 @@
 from enum import Enum
 
 LOCALHOST = "127.0.0.1"
-DESCRIPTORS = (256, 400, 1024)  # for one gateway
-PEER_MESSAGE_RATES = (0.0, 0.0, 40.0, 400.0)  # none, for owners of buckets, for gossip among two dozen
+DESCRIPTORS = (256, 400, 1024)
+PEER_MESSAGES_PER_S = (0.0, 0.0, 40.0, 400.0)  # a counter, owners of buckets, gossip
 MACHINE_CLASS = "m1"
+OBJECTIVE_S = 0.8
 
 
 class Effect(Enum):
-    """What a class of requests allows once it may have executed; the values are those of the settings."""
+    """Whether a request that may have executed can be repeated; the values are those of the settings."""
 
     IDEMPOTENT = "free"
     KEYED = "guarded"
     NOT_IDEMPOTENT = "single_shot"
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class RequestKind:
-    """A class of requests."""
+    """A class of requests; `scope` is that of its idempotency keys: all, zone or cell."""
 
     name: str
     effect: Effect
-    scope: str  # of an idempotency key: all, zone or cell
+    scope: str
     objective_s: float
     deadline_s: float
     window_s: float
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class PlanTerms:
-    """A customer's plan; `ceiling_rate` is 0 where there is none."""
+    """A customer's plan; `ceiling_rate` is 0 where there is no ceiling."""
 
     name: str
     rate: float
@@ -44,12 +45,24 @@
     ceiling_slack: float = 0.0
 
 
-@dataclass(frozen=True, slots=True)
-class Deployment:
-    """All that gateways are told at their start, and how large the fleet is."""
+@dataclass(frozen=True, slots=True, kw_only=True)
+class Fleet:
+    """The number of gateways and order servers, and the limits of each gateway.
+
+    Gateways hold the quotas by peer messages, or a counter does if `peer_messages_per_s` is 0.
+    """
 
     gateways: int
     order_servers: int
+    descriptors: int = 400
+    peer_messages_per_s: float = 0.0
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class Deployment:
+    """The settings of all gateways, the fleet, and the load."""
+
+    fleet: Fleet
     zones: tuple[str, ...]
     kinds: tuple[RequestKind, ...]
     plans: tuple[PlanTerms, ...]
@@ -60,11 +73,9 @@
     initial_capacity: float
     overload_window_s: float
     overload_multiple: float
-    server_capacity: float  # requests a second that a warm order server completes
-    work_s: float  # mean time that a request takes there
-    requests_per_s: float  # that each gateway gets
-    descriptors: int = 400
-    peer_messages_per_s: float = 0.0  # with which gateways hold the quotas; 0 where a counter does
+    server_capacity: float  # requests per second that an order server completes after its slow start
+    work_s: float  # mean time of a request at an order server
+    requests_per_s: float  # at each gateway
 
     @property
     def longest_deadline_s(self) -> float:
@@ -75,19 +86,46 @@
 def draw_deployment(seed: int, gateways: int, order_servers: int, requests_per_s: float) -> Deployment:
     """Draw a deployment; the fleet's size is given."""
     rng = random.Random(f"deployment {seed}")
-    scopes = ("all", "zone", "cell")
     kinds = (
-        RequestKind("lookup", Effect.IDEMPOTENT, "all", 0.8, rng.choice((1.5, 2.0, 3.0)), 0.0),
         RequestKind(
-            "order", Effect.KEYED, rng.choice(scopes), 0.8, rng.choice((1.5, 2.5)), rng.choice((0.6, 1.5))
+            name="lookup",
+            effect=Effect.IDEMPOTENT,
+            scope="all",
+            objective_s=OBJECTIVE_S,
+            deadline_s=rng.choice((1.5, 2.0, 3.0)),
+            window_s=0.0,
+        ),
+        RequestKind(
+            name="order",
+            effect=Effect.KEYED,
+            scope=rng.choice(("all", "zone", "cell")),
+            objective_s=OBJECTIVE_S,
+            deadline_s=rng.choice((1.5, 2.5)),
+            window_s=rng.choice((0.6, 1.5)),
+        ),
+        RequestKind(
+            name="pay",
+            effect=Effect.NOT_IDEMPOTENT,
+            scope="all",
+            objective_s=OBJECTIVE_S,
+            deadline_s=rng.choice((1.5, 2.5)),
+            window_s=0.0,
+        ),
+    )
+    plans = (
+        PlanTerms(name="team", rate=500.0, burst=1000.0),
+        PlanTerms(
+            name="volume", rate=8.0, burst=16.0, ceiling_rate=12.0, ceiling_burst=24.0, ceiling_slack=3.0
         ),
-        RequestKind("pay", Effect.NOT_IDEMPOTENT, "all", 0.8, rng.choice((1.5, 2.5)), 0.0),
     )
-    plans = (PlanTerms("team", 500.0, 1000.0), PlanTerms("volume", 8.0, 16.0, 12.0, 24.0, 3.0))
     limits_rng = random.Random(f"limits {seed}")
     return Deployment(
-        gateways=gateways,
-        order_servers=order_servers,
+        fleet=Fleet(
+            gateways=gateways,
+            order_servers=order_servers,
+            descriptors=limits_rng.choice(DESCRIPTORS),
+            peer_messages_per_s=limits_rng.choice(PEER_MESSAGES_PER_S),
+        ),
         zones=("a", "b"),
         kinds=kinds,
         plans=plans,
@@ -101,6 +139,4 @@
         server_capacity=4.0 * requests_per_s * gateways / order_servers,
         work_s=rng.choice((0.01, 0.03)),
         requests_per_s=requests_per_s,
-        descriptors=limits_rng.choice(DESCRIPTORS),
-        peer_messages_per_s=limits_rng.choice(PEER_MESSAGE_RATES),
     )
