--- a/soak/clients.py
+++ b/soak/clients.py
@@ -11,7 +11,15 @@
 import hiredis
 
 from soak.gateways import Gateway, GatewayProcess
-from soak.observations import Answer, BadClientSeen, Record, RequestSeen, content_of
+from soak.observations import (
+    Answer,
+    BadClientSeen,
+    ConnectionEnd,
+    Record,
+    RequestSeen,
+    ResponseSeen,
+    content_of,
+)
 from soak.order_servers import without_padding
 from soak.settings import LOCALHOST, Deployment, Effect
 
@@ -89,13 +97,12 @@
         seen = self.pending.popleft()
         seen.ready_at = max(seen.ready_at, self.answered_at)
         self.answered_at = now
-        seen.answered_at = now
         if isinstance(answer, bytes):
-            seen.answer, seen.value = Answer.SERVED, without_padding(answer)
+            seen.response = ResponseSeen(at=now, answer=Answer.SERVED, value=without_padding(answer))
         elif isinstance(answer, hiredis.ReplyError) and str(answer).startswith("BUSY"):
-            seen.answer = Answer.REJECTED
+            seen.response = ResponseSeen(at=now, answer=Answer.REJECTED)
         else:
-            seen.answer = Answer.FAILED
+            seen.response = ResponseSeen(at=now, answer=Answer.FAILED)
         if not self.pending:
             self._traffic.on_idle(self)
 
@@ -111,11 +118,11 @@
         if self.pending and self._reader.has_data() and self.pending[0].client_closed_at is None:
             # A value that broke off: it has failed, and the client can tell.
             broken_off = self.pending.popleft()
-            broken_off.answered_at, broken_off.answer = now, Answer.FAILED
+            broken_off.response = ResponseSeen(at=now, answer=Answer.FAILED)
         for seen in self.pending:
             if seen.client_closed_at is None:
-                seen.connection_ended_at = now
-                seen.ended_by_reset = exc is not None or not self._saw_eof
+                by_reset = exc is not None or not self._saw_eof
+                seen.connection_end = ConnectionEnd(at=now, by_reset=by_reset)
                 self._traffic.on_unanswered(self, seen)
         self.pending.clear()
 
@@ -189,7 +196,14 @@
         wait_s = self._deployment.kinds[kind].deadline_s * rng.choice((1.0, 1.0, 0.5, 0.2))
         request_id = f"{self._next_id:016x}"
         return RequestSeen(
-            request_id, kind, HEAVY_PLAN if is_heavy else 0, customer, gateway, process, 0.0, wait_s
+            request_id=request_id,
+            kind=kind,
+            plan=HEAVY_PLAN if is_heavy else 0,
+            customer=customer,
+            gateway=gateway,
+            process=process,
+            sent_at=0.0,
+            wait_s=wait_s,
         )
 
     def _command(self, seen: RequestSeen, wait_s: float) -> bytes:
@@ -263,7 +277,7 @@
 
     def on_unanswered(self, connection: ClientConnection, seen: RequestSeen) -> None:
         """Send a request once more whose connection closed with no answer, as clients do."""
-        if seen.sent_again or self._stopped or seen.connection_ended_at is None:
+        if seen.sent_again or self._stopped or seen.connection_end is None:
             return
         time_left_s = seen.sent_at + seen.wait_s - self.time()
         others = [g for g in self._gateways if g.process is not None and g.process.takes_new_connections]
@@ -281,14 +295,14 @@
         if connection is None:
             return
         again = RequestSeen(
-            first.request_id,
-            first.kind,
-            first.plan,
-            first.customer,
-            gateway.position,
-            process.seen.number,
-            0.0,
-            time_left_s,
+            request_id=first.request_id,
+            kind=first.kind,
+            plan=first.plan,
+            customer=first.customer,
+            gateway=gateway.position,
+            process=process.seen.number,
+            sent_at=0.0,
+            wait_s=time_left_s,
             sent_again=True,
         )
         self._send(connection, again)
@@ -367,5 +381,11 @@
             done_at = self.time()
         except TimeoutError:
             pass
-        seen = BadClientSeen(gateway, process.seen.number, data[:8].decode(), connected_at, done_at)
+        seen = BadClientSeen(
+            gateway=gateway,
+            process=process.seen.number,
+            what=data[:8].decode(),
+            connected_at=connected_at,
+            done_at=done_at,
+        )
         self._record.bad_clients.append(seen)
--- a/soak/discovery_agents.py
+++ b/soak/discovery_agents.py
@@ -68,7 +68,12 @@
     def publish(self, server: OrderServer, health: Health) -> None:
         """Change an entry, and let all agents know."""
         born_ms = int(server.born_at * 1000)
-        change = ListChange(server.number, self._time(), health is Health.IN_SERVICE, server.began_at)
+        change = ListChange(
+            server=server.number,
+            at=self._time(),
+            in_service=health is Health.IN_SERVICE,
+            began_at=server.began_at,
+        )
         self.changes.append((Entry(server, health, born_ms), change))
         for agent in self.agents:
             agent.on_change()
@@ -282,4 +287,11 @@
 
     def notified(self, change: ListChange, at: float) -> Notified:
         """Return that this gateway counts as notified of a change from a time on."""
-        return Notified(self.gateway, change.server, at, change.at, change.in_service, change.began_at)
+        return Notified(
+            gateway=self.gateway,
+            server=change.server,
+            at=at,
+            change_at=change.at,
+            in_service=change.in_service,
+            began_at=change.began_at,
+        )
--- a/soak/gateways.py
+++ b/soak/gateways.py
@@ -198,7 +198,7 @@
         self._number += 1
         self._operators = free_tcp_address()
         self._path.write_text(self._configuration_text(known))
-        seen = ProcessSeen(self.position, self._number, loop.time())
+        seen = ProcessSeen(gateway=self.position, number=self._number, started_at=loop.time())
         seen.is_upgraded = self._listening is not None
         self._record.processes.append(seen)
         descriptors = () if self._listening is None else (self._listening.fileno(),)
@@ -285,7 +285,8 @@
             return
         if not await call_operators(process.operators, "down", server.name):
             return
-        seen = MaintenanceSeen(self.position, server.number, asyncio.get_running_loop().time())
+        down_at = asyncio.get_running_loop().time()
+        seen = MaintenanceSeen(gateway=self.position, server=server.number, down_at=down_at)
         self._record.maintenance.append(seen)
         await asyncio.sleep(duration_s)
         seen.up_at = asyncio.get_running_loop().time()
--- a/soak/judge.py
+++ b/soak/judge.py
@@ -14,7 +14,15 @@
 from soak.judge_endpoints import check_drains, check_maintenance, check_slow_starts
 from soak.judge_quota import check_ceilings
 from soak.judge_timing import Timing
-from soak.observations import Answer, AttemptSeen, BadClientSeen, ProcessSeen, Record, RequestSeen
+from soak.observations import (
+    Answer,
+    AttemptSeen,
+    BadClientSeen,
+    ProcessSeen,
+    Record,
+    RequestSeen,
+    ResponseSeen,
+)
 from soak.order_servers import response_value
 from soak.settings import Deployment, Effect, RequestKind
 from soak.violations import Rule, Violation
@@ -94,9 +102,9 @@
 def _level(seen: RequestSeen) -> ServiceLevel:
     if seen.client_closed_at is not None:
         return ServiceLevel.LEFT
-    if seen.answer is None:
+    if seen.response is None:
         return ServiceLevel.UNANSWERED
-    return ServiceLevel[seen.answer.name]
+    return ServiceLevel[seen.response.answer.name]
 
 
 # Rule 1: every request that was taken gets its final answer, with what an order server made for it.
@@ -109,39 +117,39 @@
         return []
     slack_s = timing.slack_s(seen.gateway, seen.sent_at, seen.sent_at + seen.wait_s + ANSWER_SLACK_S)
     due_at = seen.sent_at + seen.wait_s + ANSWER_SLACK_S + slack_s
-    if seen.answered_at is not None:
+    if seen.response is not None:
         behind_others_at = seen.ready_at + BEHIND_OTHERS_SLACK_S + slack_s
-        return _check_answered(seen, attempts, max(due_at, behind_others_at))
+        return _check_answered(seen, seen.response, attempts, max(due_at, behind_others_at))
     if _is_excused(seen, process, due_at):
         return []
-    if seen.connection_ended_at is None:
+    end = seen.connection_end
+    if end is None:
         return [Violation(Rule.LOST, due_at, f"no answer request={seen.request_id} gateway={seen.gateway}")]
     tried = [a for a in attempts.get(seen.request_id, []) if a.gateway == seen.gateway]
-    waited_s = seen.connection_ended_at - seen.sent_at
-    was_read = tried or (not seen.ended_by_reset and waited_s > READ_SURELY_S + slack_s)
+    waited_s = end.at - seen.sent_at
+    was_read = tried or (not end.by_reset and waited_s > READ_SURELY_S + slack_s)
     if not was_read and waited_s <= seen.wait_s:
         return []
     text = (
         f"closed with no answer request={seen.request_id} gateway={seen.gateway} "
-        f"after={waited_s:.3f} forwarded={bool(tried)} reset={seen.ended_by_reset}"
+        f"after={waited_s:.3f} forwarded={bool(tried)} reset={end.by_reset}"
     )
-    return [Violation(Rule.LOST, seen.connection_ended_at, text)]
+    return [Violation(Rule.LOST, end.at, text)]
 
 
 def _check_answered(
-    seen: RequestSeen, attempts: dict[str, list[AttemptSeen]], due_at: float
+    seen: RequestSeen, response: ResponseSeen, attempts: dict[str, list[AttemptSeen]], due_at: float
 ) -> list[Violation]:
-    assert seen.answered_at is not None
     found = []
-    if seen.answered_at > due_at:
-        late_s = seen.answered_at - seen.sent_at - seen.wait_s
+    if response.at > due_at:
+        late_s = response.at - seen.sent_at - seen.wait_s
         text = f"answer late by {late_s:.3f} request={seen.request_id} gateway={seen.gateway}"
-        found.append(Violation(Rule.LOST, seen.answered_at, text))
-    if seen.answer is Answer.SERVED:
+        found.append(Violation(Rule.LOST, response.at, text))
+    if response.answer is Answer.SERVED:
         made = [response_value(seen.request_id, a.server) for a in attempts.get(seen.request_id, [])]
-        if seen.value not in made:
-            text = f"value made by no server request={seen.request_id} value={seen.value[:40]!r}"
-            found.append(Violation(Rule.WRONG_VALUE, seen.answered_at, text))
+        if response.value not in made:
+            text = f"value made by no server request={seen.request_id} value={response.value[:40]!r}"
+            found.append(Violation(Rule.WRONG_VALUE, response.at, text))
     return found
 
 
@@ -256,12 +264,13 @@
         is_harmless = kind.effect is Effect.IDEMPOTENT or (
             kind.effect is Effect.KEYED and kind.scope == "all"
         )
-        if seen.answer is not Answer.REJECTED or is_harmless:
+        response = seen.response
+        if response is None or response.answer is not Answer.REJECTED or is_harmless:
             continue
         executed = [a for a in attempts.get(seen.request_id, []) if a.may_have_executed]
-        if executed and seen.answered_at is not None:
+        if executed:
             text = f"rejected though it may have run request={seen.request_id}"
-            found.append(Violation(Rule.FALSE_REFUSAL, seen.answered_at, text))
+            found.append(Violation(Rule.FALSE_REFUSAL, response.at, text))
     return found
 
 
@@ -309,4 +318,5 @@
     last = [seen for seen in requests if seen.plan == 0 and seen.wait_s >= MIN_FINAL_WAIT_S]
     if len(last) < MIN_FINAL_REQUESTS:
         return None
-    return sum(seen.answer is Answer.SERVED for seen in last) / len(last)
+    served = [seen for seen in last if seen.response and seen.response.answer is Answer.SERVED]
+    return len(served) / len(last)
--- a/soak/observations.py
+++ b/soak/observations.py
@@ -1,4 +1,7 @@
-"""What clients, order servers and discovery saw: all that the judge goes by. Times are in s on one clock."""
+"""Observations of clients, order servers and discovery: the only input of the checks.
+
+All times are in s on the event loop's clock.
+"""
 
 from __future__ import annotations
 
@@ -9,45 +12,62 @@
 
 
 class Answer(Enum):
-    """What a client got for a request."""
+    """The kind of response that a client received."""
 
     SERVED = "served"
-    REJECTED = "rejected"  # -BUSY: trying again is harmless
+    REJECTED = "rejected"  # -BUSY: the client may retry
     FAILED = "failed"
 
 
 def content_of(words: Sequence[bytes]) -> bytes:
-    """Return what of a command has to reach the order server unchanged: all but its deadline, in short."""
+    """Return a digest of the parts of a command that must reach the order server unchanged.
+
+    The deadline is the one part that the gateway may change.
+    """
     pairs = b",".join(pair for pair in words[3].split(b",") if not pair.startswith(b"d="))
     return blake2b(b"\0".join((*words[:3], pairs, *words[4:])), digest_size=8).hexdigest().encode()
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(frozen=True, slots=True, kw_only=True)
+class ResponseSeen:
+    """The final response to a request."""
+
+    at: float
+    answer: Answer
+    value: bytes = b""  # without padding; empty unless served
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class ConnectionEnd:
+    """The gateway's end of a connection on which a request had no response."""
+
+    at: float
+    by_reset: bool
+
+
+@dataclass(slots=True, eq=False, kw_only=True)
 class RequestSeen:
-    """One request as its client saw it, on one connection; a request that is sent again is seen twice."""
+    """One request as its client saw it on one connection; a retry by the client is a second record."""
 
     request_id: str
-    kind: int  # index of its class
+    kind: int  # index of the request's class
     plan: int
     customer: int
     gateway: int
     process: int  # number of the gateway's process
-    sent_at: float  # its last byte was written
+    sent_at: float  # when its last byte was written
     wait_s: float
-    content: bytes = b""  # the command but for its deadline
-    answered_at: float | None = None
-    answer: Answer | None = None
-    value: bytes = b""
-    ready_at: float = 0.0  # when the answer before it on the connection had come
+    content: bytes = b""  # digest of the command without its deadline
+    response: ResponseSeen | None = None
+    ready_at: float = 0.0  # when the previous response on the connection was complete
     client_closed_at: float | None = None
-    connection_ended_at: float | None = None
-    ended_by_reset: bool = False
+    connection_end: ConnectionEnd | None = None
     sent_again: bool = False
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, kw_only=True)
 class AttemptSeen:
-    """One command as it came to an order server."""
+    """One command as an order server received it."""
 
     request_id: str
     gateway: int
@@ -55,12 +75,12 @@
     first_byte_at: float
     last_byte_at: float
     wait_ms: int
-    content: bytes = b""  # the command but for its deadline
-    may_have_executed: bool = True  # False where the server turned it away
-    ended_at: float | None = None  # its response was written, or its connection ended
+    content: bytes = b""  # digest of the command without its deadline
+    may_have_executed: bool = True  # False if the server rejected it
+    ended_at: float | None = None  # when its response was written, or its connection ended
 
 
-@dataclass(slots=True, eq=False)
+@dataclass(slots=True, eq=False, kw_only=True)
 class ProcessSeen:
     """One process of a gateway."""
 
@@ -68,50 +88,50 @@
     number: int
     started_at: float
     ready_at: float | None = None
-    terminated_at: float | None = None  # SIGTERM
-    killed_at: float | None = None
+    terminated_at: float | None = None  # when SIGTERM was sent
+    killed_at: float | None = None  # when SIGKILL was sent
     exited_at: float | None = None
     exit_status: int | None = None
-    paused: list[float] = field(default_factory=list)  # when it was stopped for a moment
-    faults: list[str] = field(default_factory=list)  # lines of its log that tell of a fault
-    is_upgraded: bool = False  # the next process takes over its state before it ends
+    paused: list[float] = field(default_factory=list)  # when it was sent SIGSTOP
+    faults: list[str] = field(default_factory=list)  # log lines that report an internal error
+    is_upgraded: bool = False  # it hands its state over to the next process
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class ListChange:
-    """A change of the list at its source."""
+    """A change of the endpoint list at its source."""
 
     server: int
     at: float
     in_service: bool
-    began_at: float  # when the server's process last started, 0 for long ago
+    began_at: float  # when the server's process last started; 0 if before the run
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class Notified:
-    """From when on a gateway counts as notified of a change."""
+    """The time from which a gateway counts as notified of a change."""
 
     gateway: int
     server: int
     at: float
-    change_at: float  # when it came to the list
+    change_at: float  # when the list changed
     in_service: bool
     began_at: float
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, kw_only=True)
 class MaintenanceSeen:
-    """An order server that operators took out of use at a gateway, and when they put it back."""
+    """An order server that operators disabled at a gateway for a while."""
 
     gateway: int
     server: int
-    down_at: float  # the gateway had agreed
-    up_at: float | None = None  # it was asked to use it again
+    down_at: float  # when the gateway confirmed the call
+    up_at: float | None = None  # when operators called to enable it again
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class BadClientSeen:
-    """A client that sent no proper command: when it connected, and when it got an error or the end."""
+    """A client that sent no valid command; `done_at` is when it received an error or a close."""
 
     gateway: int
     process: int
@@ -120,15 +140,15 @@
     done_at: float | None
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class Lag:
-    """The soak's own event loop came late: times seen around then are late, too."""
+    """A delay of the soak's own event loop; times observed around `at` are late, too."""
 
     at: float
     seconds: float
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, kw_only=True)
 class Record:
     """All observations of one run."""
 
--- a/soak/order_servers.py
+++ b/soak/order_servers.py
@@ -85,13 +85,13 @@
         """Record a request's command."""
         pairs = dict(pair.partition(b"=")[::2] for pair in words[3].split(b","))
         seen = AttemptSeen(
-            words[2].decode(),
-            self._gateway,
-            self._server.number,
-            began_at,
-            now,
-            int(pairs[b"d"]),
-            content_of(words),
+            request_id=words[2].decode(),
+            gateway=self._gateway,
+            server=self._server.number,
+            first_byte_at=began_at,
+            last_byte_at=now,
+            wait_ms=int(pairs[b"d"]),
+            content=content_of(words),
         )
         self._open_attempts.append(seen)
         return seen
--- a/soak/run.py
+++ b/soak/run.py
@@ -121,7 +121,7 @@
             await asyncio.sleep(LAG_CHECK_S)
             lag_s = time.monotonic() - due_at
             if lag_s > MIN_LAG_S:
-                self.record.lags.append(Lag(self._loop.time(), lag_s))
+                self.record.lags.append(Lag(at=self._loop.time(), seconds=lag_s))
 
     # The beginning and the end.
 
