--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -12,8 +12,8 @@
 import uvloop
 
 from soak import call_shim
+from soak.checks.verdict import Verdict
 from soak.gateways import Launch
-from soak.judge import Verdict
 from soak.observations import Record
 from soak.run import Options, play
 from soak.schedule import FaultKind
--- a/soak/violations.py
+++ b/soak/checks/violations.py
@@ -1,4 +1,4 @@
-"""Broken rules, as the judge reports them."""
+"""Violations of the service's rules, as the checks report them."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 
 class Rule(Enum):
-    """A rule that the judge checks."""
+    """A rule of the service that a check covers."""
 
     LOST = "lost"
     WRONG_VALUE = "wrong_value"
-    ALTERED = "altered"  # a command that reached an order server otherwise than its client sent it
+    ALTERED = "altered"  # an order server received a command that differs from the client's
     CLIENT_LEFT = "client_left"
     DEADLINE = "deadline"
     DUPLICATE = "duplicate"
@@ -26,12 +26,12 @@
     READY = "ready"
     BAD_CLIENT = "bad_client"
     RECOVERY = "recovery"
-    REPORTED_ITSELF = "reported_itself"  # the gateway's own guards, or a fault in its log
+    REPORTED_ITSELF = "reported_itself"  # by the gateway's own guards or an internal error in its log
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One broken rule; `at` is on the clock of the observations."""
+    """One violation of a rule; `at` is on the clock of the observations, in s."""
 
     rule: Rule
     at: float
--- a/soak/run.py
+++ b/soak/run.py
@@ -12,6 +12,7 @@
 from typing import Any
 
 from soak.addresses import free_udp_addresses
+from soak.checks.verdict import Verdict, reach_verdict
 from soak.clients import GARBAGE, HALF_COMMAND, Traffic
 from soak.counter_server import CounterServer
 from soak.discovery_agents import (
@@ -21,7 +22,6 @@
     ListSource,
 )
 from soak.gateways import Gateway, Launch
-from soak.judge import Verdict, judge
 from soak.observations import Lag, Record
 from soak.order_servers import OrderServer
 from soak.schedule import OF_COUNTER, Fault, FaultKind, draw_schedule
@@ -99,7 +99,7 @@
             self._loop.call_exception_handler({"message": "soak task", "exception": task.exception()})
 
     async def play(self) -> Verdict:
-        """Play the run, and return the judge's verdict."""
+        """Play the run, and return the verdict."""
         lag_task = self._loop.create_task(self._watch_lag())
         try:
             await self._start()
@@ -113,7 +113,7 @@
             for server in self.servers:
                 server.close()
         self._note_deadlines()
-        return judge(self.deployment, self.record)
+        return reach_verdict(self.deployment, self.record)
 
     async def _watch_lag(self) -> None:
         while True:
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -9,13 +9,13 @@
 import pytest
 import uvloop
 
+from soak.checks.verdict import Verdict
+from soak.checks.violations import Rule
 from soak.gateways import Launch
-from soak.judge import Verdict
 from soak.mutants import MUTANTS
 from soak.run import Options, play
 from soak.schedule import OF_GATEWAYS, Fault, FaultKind
 from soak.settings import Deployment, Effect, draw_deployment
-from soak.violations import Rule
 
 SEED = 7
 GATEWAYS, ORDER_SERVERS = 3, 6
