--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Play soak runs: `python -m soak --seeds 1 2 3`. Exit status 1 where a rule was broken."""
+"""Play soak runs: `python -m soak --seeds 1 2 3`. The exit status is 1 if a rule was broken."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 import uvloop
 
 from soak import call_shim
-from soak.checks.verdict import Verdict
 from soak.gateways import Launch
 from soak.observations import Record
-from soak.run import Options, play
+from soak.options import Options
+from soak.scenario import RunResult, play
 from soak.schedule import FaultKind
 
 SHOWN_VIOLATIONS = 12
@@ -36,7 +36,7 @@
 
 
 def _trace(record: Record, text: str) -> list[str]:
-    """Return what clients and order servers saw of the request that a violation names."""
+    """Return the observations of the request that a violation's text names."""
     found = re.search(r"request=([0-9a-f]{16})", text)
     if found is None:
         return []
@@ -45,8 +45,9 @@
     return [f"    {event}" for event in (*seen, *attempts)]
 
 
-def report(seed: int, verdict: Verdict, record: Record, traces: bool) -> str:
-    """Return the lines on one run; with `traces` also what was seen of the requests."""
+def report(seed: int, result: RunResult, traces: bool) -> str:
+    """Return the report on a run; `traces` adds the observations of each request that a violation names."""
+    verdict, record = result.verdict, result.record
     rules = Counter(violation.rule for violation in verdict.violations)
     levels = " ".join(f"{level.value}={count}" for level, count in sorted(verdict.levels.items(), key=str))
     worst_lag_s = max((lag.seconds for lag in record.lags), default=0.0)
@@ -84,9 +85,9 @@
             launch=Launch(failing_calls=library),
             log_folder=None if arguments.logs is None else arguments.logs / str(seed),
         )
-        verdict, record = uvloop.run(play(options))
-        print(report(seed, verdict, record, arguments.traces), flush=True)
-        failed += bool(verdict.violations)
+        result = uvloop.run(play(options))
+        print(report(seed, result, arguments.traces), flush=True)
+        failed += bool(result.verdict.violations)
     print(f"{len(arguments.seeds) - failed} of {len(arguments.seeds)} runs without a broken rule")
     return 1 if failed else 0
 
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -1,4 +1,4 @@
-"""The schedule of a run: which faults come when, all drawn from the seed, and made to overlap."""
+"""The schedule of a run: overlapping faults, drawn from the seed."""
 
 from __future__ import annotations
 
@@ -7,61 +7,61 @@
 from enum import Enum
 
 FAULTS_PER_GROUP = (2, 3)
-GROUP_INTERVAL_S = 1.6  # between two moments at which several faults meet
-GROUP_SPREAD_S = 0.9  # by which those of one moment lie apart
+GROUP_INTERVAL_S = 1.6  # between the starts of two groups of overlapping faults
+GROUP_SPREAD_S = 0.9  # within which the faults of a group begin
 MIN_DURATION_S = 0.3
 MAX_DURATION_S = 3.0
-MAX_OUTAGE_S = 9.0  # of discovery, longer than any deadline of propagation
+MAX_OUTAGE_S = 9.0  # of discovery; longer than the propagation deadlines
 QUIET_START_S = 2.0
-QUIET_END_S = 8.0  # without new faults, in which service must come back
+QUIET_END_S = 8.0  # without new faults, for recovery
 
 
 class FaultKind(Enum):
-    """What happens. A target is the number of a gateway or an order server."""
+    """A kind of fault. Its targets are numbers of gateways or of order servers."""
 
     # Gateways.
-    RESTART = "restart"  # SIGTERM, and a new process at once
-    KILL = "kill"  # SIGKILL, and a new process at once
-    RELOAD = "reload"  # SIGHUP: discovery and counter have moved
-    RELOAD_TORN = "reload_torn"  # SIGHUP on half a file, then on the whole one
-    RELOAD_SILENT = "reload_silent"  # SIGHUP to an agent whose first watch says nothing
-    RELOAD_LAGGING = "reload_lagging"  # SIGHUP to an agent that still has the list of some seconds before
-    PAUSE = "pause"  # held up for 0.14 s
-    MAINTENANCE = "maintenance"  # operators take an order server out of use for a while
+    RESTART = "restart"  # SIGTERM, then a new process
+    KILL = "kill"  # SIGKILL, then a new process
+    RELOAD = "reload"  # SIGHUP with new addresses of discovery and counter
+    RELOAD_TORN = "reload_torn"  # SIGHUP on an incomplete file, then on the complete one
+    RELOAD_SILENT = "reload_silent"  # SIGHUP to an agent whose first watch sends nothing
+    RELOAD_LAGGING = "reload_lagging"  # SIGHUP to an agent that still has an older list
+    PAUSE = "pause"  # SIGSTOP for 0.14 s
+    MAINTENANCE = "maintenance"  # operators disable an order server for a while
     # Discovery.
     WATCH_SILENT = "watch_silent"
     WATCH_RESET = "watch_reset"
     DISCOVERY_DOWN = "discovery_down"
     # Order servers.
-    HANG = "hang"  # takes commands and answers none
+    HANG = "hang"  # accepts commands and sends no response
     SLOW = "slow"
-    RESET = "reset"  # resets connections under commands
+    RESET = "reset"  # resets connections with open commands
     BUSY = "busy"
     ERROR = "error"
-    CRASH = "crash"  # dies, and is back cold
-    DRAIN = "drain"  # drains, and is back later
-    REPLACE = "replace"  # one drains, and a new one joins cold
-    LARGE = "large"  # answers with large values, some of which stall, break off or trickle
-    LOST_RESPONSE = "lost_response"  # answers no command of about two, on open connections
-    MALFORMED = "malformed"  # malformed, broken off, repeated responses
+    CRASH = "crash"  # stops, then starts as a new process
+    DRAIN = "drain"  # drains, then starts as a new process
+    REPLACE = "replace"  # one drains, and a new one joins
+    LARGE = "large"  # sends large values, some of which stall, end early or trickle
+    LOST_RESPONSE = "lost_response"  # sends no response to half of the commands
+    MALFORMED = "malformed"  # sends malformed, incomplete or duplicate responses
     IDLE_CLOSE = "idle_close"  # closes idle connections early
-    UNACCEPTING = "unaccepting"  # new connections come up late or never
+    UNACCEPTING = "unaccepting"  # new connections are established late or never
     # Clients.
-    PIPELINE = "pipeline"  # many commands at once
-    LEAVE = "leave"  # clients close under their requests
-    SLOW_READER = "slow_reader"  # sends several commands, and reads no answer for a while
-    IMPATIENT = "impatient"  # sends requests with very little time
+    PIPELINE = "pipeline"  # many commands at once on one connection
+    LEAVE = "leave"  # clients close with open requests
+    SLOW_READER = "slow_reader"  # sends several commands, and reads no response for a while
+    IMPATIENT = "impatient"  # sends requests with very short deadlines
     HALF_COMMAND = "half_command"
-    CROWD = "crowd"  # idle clients take all connections that there are
+    CROWD = "crowd"  # idle clients open all connections that the gateway allows
     GARBAGE = "garbage"
     # The counter.
     COUNTER_DOWN = "counter_down"
     COUNTER_SLOW = "counter_slow"
-    COUNTER_SILENT = "counter_silent"  # counts, and answers nothing
-    COUNTER_MALFORMED = "counter_malformed"  # turns calls away, or answers no number
+    COUNTER_SILENT = "counter_silent"  # counts, and sends no reply
+    COUNTER_MALFORMED = "counter_malformed"  # rejects calls, or replies without a number
 
 
-OF_GATEWAYS = frozenset(
+GATEWAY_FAULTS = frozenset(
     {
         FaultKind.RESTART,
         FaultKind.KILL,
@@ -83,7 +83,7 @@
         FaultKind.GARBAGE,
     }
 )
-OF_COUNTER = frozenset(
+COUNTER_FAULTS = frozenset(
     {
         FaultKind.COUNTER_DOWN,
         FaultKind.COUNTER_SLOW,
@@ -95,10 +95,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault."""
+    """One fault of a schedule."""
 
     kind: FaultKind
-    at: float  # s after the clients' start
+    at: float  # from the clients' start
     duration_s: float
     targets: tuple[int, ...]
 
@@ -123,9 +123,9 @@
 
 
 def _draw_fault(rng: random.Random, kind: FaultKind, at: float, gateways: int, order_servers: int) -> Fault:
-    if kind in OF_COUNTER:
+    if kind in COUNTER_FAULTS:
         return Fault(kind, at, rng.uniform(MIN_DURATION_S, MAX_DURATION_S), ())
-    population = gateways if kind in OF_GATEWAYS else order_servers
+    population = gateways if kind in GATEWAY_FAULTS else order_servers
     most = max(1, population // 3)
     targets = tuple(rng.sample(range(population), rng.randint(1, most)))
     longest_s = MAX_OUTAGE_S if kind is FaultKind.DISCOVERY_DOWN else MAX_DURATION_S
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -13,8 +13,9 @@
 from soak.checks.violations import Rule
 from soak.gateways import Launch
 from soak.mutants import MUTANTS
-from soak.run import Options, play
-from soak.schedule import OF_GATEWAYS, Fault, FaultKind
+from soak.options import Options
+from soak.scenario import play
+from soak.schedule import GATEWAY_FAULTS, Fault, FaultKind
 from soak.settings import Deployment, Effect, draw_deployment
 
 SEED = 7
@@ -51,7 +52,7 @@
 
 
 def fault(kind: FaultKind, at: float = 1.5, duration_s: float = 2.0) -> Fault:
-    of_gateways = kind in OF_GATEWAYS
+    of_gateways = kind in GATEWAY_FAULTS
     return Fault(kind, at, duration_s, EVERY_GATEWAY if of_gateways else SOME_SERVERS)
 
 
@@ -110,7 +111,7 @@
 
 def play_all(runs: list[Options]) -> list[Verdict]:
     async def play_at_once() -> list[Verdict]:
-        return [verdict for verdict, _ in await asyncio.gather(*(play(run) for run in runs))]
+        return [result.verdict for result in await asyncio.gather(*(play(run) for run in runs))]
 
     return uvloop.run(play_at_once())
 
