--- /dev/null
+++ b/soak/mutants/__init__.py
@@ -0,0 +1,39 @@
+"""Broken gateways: each one breaks a rule of the service on purpose, and a check has to notice it.
+
+`python -m soak.mutants NAME` runs a gateway with one of them. A check that finds nothing in the real
+gateway shows something only if it notices its broken gateway.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from soak.mutants import attempts, endpoints, processes, quota, responses, retries
+
+MUTANTS: dict[str, Callable[[], None]] = {
+    mutant.__name__: mutant
+    for mutant in (
+        responses.lose_answers,
+        responses.mix_values_up,
+        attempts.ignore_leaving,
+        attempts.promise_too_much_time,
+        attempts.alter_commands,
+        retries.repeat_everything,
+        retries.invite_every_repeat,
+        retries.try_without_end,
+        retries.hedge_always,
+        endpoints.ignore_drains,
+        endpoints.ignore_reloads,
+        endpoints.skip_slow_start,
+        quota.ignore_ceilings,
+        responses.pass_values_on_at_once,
+        responses.wait_for_slow_values,
+        endpoints.believe_older_lists,
+        endpoints.forget_maintenance,
+        processes.crash,
+        processes.stop_at_once,
+        processes.wait_for_bad_clients,
+        processes.stop_serving,
+        processes.serve_without_a_list,
+    )
+}
--- /dev/null
+++ b/soak/mutants/processes.py
@@ -0,0 +1,71 @@
+"""Gateways whose process breaks a rule: on its start, its end, its time-outs, or its recovery."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+
+from qos_gateway.server import gateway as gateway_module
+from qos_gateway.server.clients import timeouts as client_timeouts
+from qos_gateway.server.endpoints.attempt import Attempt
+from qos_gateway.server.endpoints.connection_pool import ConnectionPool
+from qos_gateway.server.gateway import GatewayProcess
+from qos_gateway.server.start_guard import check_start
+from qos_gateway.types import Outcome
+from soak.mutants.patching import patch
+
+CRASH_AFTER_S = 3.0
+FAIL_AFTER_S = 3.0
+CRASH_STATUS = 3
+UNREACHED_TIMEOUT_S = 3600.0
+
+
+def crash() -> None:
+    """Exit with an error status some seconds after the start."""
+    start = GatewayProcess.start
+
+    async def start_and_crash(self: GatewayProcess) -> None:
+        await start(self)
+        asyncio.get_running_loop().call_later(CRASH_AFTER_S, os._exit, CRASH_STATUS)
+
+    patch(GatewayProcess, "start", start_and_crash)
+
+
+def stop_at_once() -> None:
+    """Close all client connections on SIGTERM, without a graceful shutdown."""
+
+    async def stop(self: GatewayProcess) -> None:
+        self.parts.clients.abort()
+
+    patch(GatewayProcess, "stop", stop)
+
+
+def wait_for_bad_clients() -> None:
+    """Keep a connection with an incomplete command open."""
+    patch(client_timeouts, "COMMAND_TIMEOUT_S", UNREACHED_TIMEOUT_S)
+
+
+def stop_serving() -> None:
+    """Fail every attempt from some seconds after the start."""
+    start_attempt = ConnectionPool.start
+    start_process = GatewayProcess.start
+    started_at_s = 0.0
+
+    def fail(self: ConnectionPool, attempt: Attempt, now_ns: int) -> None:
+        if asyncio.get_running_loop().time() - started_at_s < FAIL_AFTER_S:
+            start_attempt(self, attempt, now_ns)
+        else:
+            self._reporter.finish_later(attempt, Outcome.CONNECT_FAILED)
+
+    async def note_start(self: GatewayProcess) -> None:
+        nonlocal started_at_s
+        started_at_s = asyncio.get_running_loop().time()
+        await start_process(self)
+
+    patch(ConnectionPool, "start", fail)
+    patch(GatewayProcess, "start", note_start)
+
+
+def serve_without_a_list() -> None:
+    """Report to the gateway's start guard that clients are accepted before the engine has a list."""
+    patch(gateway_module, "check_start", lambda monitor, *_: check_start(monitor, False, False))
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak on real gateways, kept short; and gateways broken on purpose, which its judge has to notice."""
+"""Short soak runs on real gateways, and on broken gateways that the soak's checks have to notice."""
 
 from __future__ import annotations
 
@@ -131,7 +131,12 @@
         name: {violation.rule for violation in verdict.violations}
         for name, verdict in zip(names, verdicts, strict=True)
     }
-    assert [name for name, rules in found.items() if EXPECTED[name][0] not in rules] == []
+    missed = {
+        name: sorted(rule.value for rule in rules)
+        for name, rules in found.items()
+        if EXPECTED[name][0] not in rules
+    }
+    assert missed == {}, "broken gateways that were not noticed, with the rules that each one did break"
 
 
 def has_pipelines(faults: tuple[Fault, ...]) -> bool:
