--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -3,23 +3,19 @@
 from __future__ import annotations
 
 import argparse
-import re
 import sys
 import tempfile
-from collections import Counter
 from pathlib import Path
 
 import uvloop
 
 from soak import call_shim
 from soak.gateways import Launch
-from soak.observations import Record
 from soak.options import Options
-from soak.scenario import RunResult, play
+from soak.report import report
+from soak.scenario import play
 from soak.schedule import FaultKind
 
-SHOWN_VIOLATIONS = 12
-
 
 def _parse_arguments() -> argparse.Namespace:
     parser = argparse.ArgumentParser(prog="python -m soak", description=__doc__)
@@ -35,62 +31,33 @@
     return parser.parse_args()
 
 
-def _trace(record: Record, text: str) -> list[str]:
-    """Return the observations of the request that a violation's text names."""
-    found = re.search(r"request=([0-9a-f]{16})", text)
-    if found is None:
-        return []
-    seen = [r for r in record.requests if r.request_id == found[1]]
-    attempts = [a for a in record.attempts if a.request_id == found[1]]
-    return [f"    {event}" for event in (*seen, *attempts)]
-
-
-def report(seed: int, result: RunResult, traces: bool) -> str:
-    """Return the report on a run; `traces` adds the observations of each request that a violation names."""
-    verdict, record = result.verdict, result.record
-    rules = Counter(violation.rule for violation in verdict.violations)
-    levels = " ".join(f"{level.value}={count}" for level, count in sorted(verdict.levels.items(), key=str))
-    worst_lag_s = max((lag.seconds for lag in record.lags), default=0.0)
-    final = "none" if verdict.final_share is None else f"{verdict.final_share:.3f}"
-    lines = [
-        f"seed {seed}: {len(record.requests)} requests {levels} attempts={verdict.attempts} "
-        f"processes={len(record.processes)} final_share={final} own_lag_s={worst_lag_s:.3f}",
-        "  broken: " + (" ".join(f"{rule.value}={count}" for rule, count in rules.items()) or "none"),
-    ]
-    shown: Counter[object] = Counter()
-    for violation in verdict.violations:
-        shown[violation.rule] += 1
-        if shown[violation.rule] <= SHOWN_VIOLATIONS:
-            lines.append(f"  {violation.at:.3f} {violation.rule.value}: {violation.text}")
-            if traces:
-                lines += _trace(record, violation.text)
-    return "\n".join(lines)
-
-
 def main() -> int:
-    """Play all seeds, one after the other."""
+    """Play all seeds, one after the other; return the exit status."""
     arguments = _parse_arguments()
-    kinds = tuple(FaultKind) if arguments.only is None else tuple(FaultKind(k) for k in arguments.only)
-    failed = 0
-    shim_folder = tempfile.TemporaryDirectory()
-    library = call_shim.build(Path(shim_folder.name)) if arguments.failing_calls else None
-    for seed in arguments.seeds:
-        options = Options(
-            seed=seed,
-            duration_s=arguments.seconds,
-            gateways=arguments.gateways,
-            order_servers=arguments.order_servers,
-            requests_per_s=arguments.requests_per_s,
-            kinds=kinds,
-            launch=Launch(failing_calls=library),
-            log_folder=None if arguments.logs is None else arguments.logs / str(seed),
-        )
-        result = uvloop.run(play(options))
-        print(report(seed, result, arguments.traces), flush=True)
-        failed += bool(result.verdict.violations)
+    with tempfile.TemporaryDirectory() as folder:
+        library = call_shim.build(Path(folder)) if arguments.failing_calls else None
+        failed = sum(_play_seed(seed, arguments, Launch(failing_calls=library)) for seed in arguments.seeds)
     print(f"{len(arguments.seeds) - failed} of {len(arguments.seeds)} runs without a broken rule")
     return 1 if failed else 0
 
 
+def _play_seed(seed: int, arguments: argparse.Namespace, launch: Launch) -> bool:
+    """Play a seed and print its report; return whether a rule was broken."""
+    kinds = tuple(FaultKind) if arguments.only is None else tuple(FaultKind(k) for k in arguments.only)
+    options = Options(
+        seed=seed,
+        duration_s=arguments.seconds,
+        gateways=arguments.gateways,
+        order_servers=arguments.order_servers,
+        requests_per_s=arguments.requests_per_s,
+        kinds=kinds,
+        launch=launch,
+        log_folder=None if arguments.logs is None else arguments.logs / str(seed),
+    )
+    result = uvloop.run(play(options))
+    print(report(seed, result, arguments.traces), flush=True)
+    return bool(result.verdict.violations)
+
+
 if __name__ == "__main__":
     sys.exit(main())
--- a/soak/observations.py
+++ b/soak/observations.py
@@ -59,10 +59,10 @@
     wait_s: float
     content: bytes = b""  # digest of the command without its deadline
     response: ResponseSeen | None = None
-    ready_at: float = 0.0  # when the previous response on the connection was complete
+    ready_at: float = 0.0  # when the client had read the previous response on the connection
     client_closed_at: float | None = None
     connection_end: ConnectionEnd | None = None
-    sent_again: bool = False
+    sent_again: bool = False  # on the first record and on that of the client's retry
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
