--- a/soak/background_tasks.py
+++ b/soak/background_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that run beside a scenario."""
+"""Tasks that run until they end on their own."""
 
 from __future__ import annotations
 
@@ -8,19 +8,21 @@
 
 
 class BackgroundTasks:
-    """Keeps references to running tasks, and reports their exceptions to the event loop's handler."""
+    """Keeps a reference to each running task, as the event loop holds only weak ones.
+
+    An exception of a task goes to the event loop's exception handler.
+    """
 
     def __init__(self) -> None:
-        self._loop = asyncio.get_running_loop()
-        self._tasks: set[asyncio.Task[Any]] = set()
+        self._running: set[asyncio.Task[None]] = set()
 
-    def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> None:
-        """Start a task."""
-        task = self._loop.create_task(coroutine)
-        self._tasks.add(task)
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Run a coroutine as a task."""
+        task = asyncio.get_running_loop().create_task(coroutine)
+        self._running.add(task)
         task.add_done_callback(self._on_done)
 
-    def _on_done(self, task: asyncio.Task[Any]) -> None:
-        self._tasks.discard(task)
-        if not task.cancelled() and task.exception() is not None:
-            self._loop.call_exception_handler({"message": "soak task", "exception": task.exception()})
+    def _on_done(self, task: asyncio.Task[None]) -> None:
+        self._running.discard(task)
+        if not task.cancelled() and (error := task.exception()) is not None:
+            task.get_loop().call_exception_handler({"message": "soak task", "exception": error})
