--- a/soak/scenario.py
+++ b/soak/scenario.py
@@ -20,7 +20,7 @@
 from soak.fault_injection.injector import FaultInjector
 from soak.fault_injection.server_lifecycle import ServerLifecycleFaults
 from soak.fault_injection.server_responses import ServerResponseFaults
-from soak.gateways import Gateway
+from soak.gateways import Gateway, GatewaySetup
 from soak.lag_monitor import record_lags
 from soak.observations import Record
 from soak.options import Options
@@ -60,12 +60,18 @@
         self._injector = self._build_injector()
 
     def _build_gateways(self, folder: Path) -> list[Gateway]:
-        options, deployment, source, record = self._options, self._deployment, self._source, self._record
-        peers = free_udp_addresses(options.gateways) if deployment.peer_messages_per_s else ()
-        return [
-            Gateway(n, deployment, source, record, folder, options.launch, options.seed, peers)
-            for n in range(options.gateways)
-        ]
+        options = self._options
+        has_peer_messages = self._deployment.fleet.peer_messages_per_s > 0.0
+        setup = GatewaySetup(
+            deployment=self._deployment,
+            source=self._source,
+            record=self._record,
+            folder=folder,
+            launch=options.launch,
+            seed=options.seed,
+            peers=free_udp_addresses(options.gateways) if has_peer_messages else (),
+        )
+        return [Gateway(position, setup) for position in range(options.gateways)]
 
     def _build_injector(self) -> FaultInjector:
         tasks = BackgroundTasks()
