--- a/soak/background_tasks.py
+++ b/soak/background_tasks.py
@@ -8,7 +8,10 @@
 
 
 class BackgroundTasks:
-    """Keeps a reference to each running task, as the event loop holds only weak ones."""
+    """Keeps a reference to each running task, as the event loop holds only weak ones.
+
+    An exception of a task goes to the event loop's exception handler.
+    """
 
     def __init__(self) -> None:
         self._running: set[asyncio.Task[None]] = set()
@@ -17,4 +20,9 @@
         """Run a coroutine as a task."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._running.add(task)
-        task.add_done_callback(self._running.discard)
+        task.add_done_callback(self._on_done)
+
+    def _on_done(self, task: asyncio.Task[None]) -> None:
+        self._running.discard(task)
+        if not task.cancelled() and (error := task.exception()) is not None:
+            task.get_loop().call_exception_handler({"message": "soak task", "exception": error})
--- a/soak/clients/connection.py
+++ b/soak/clients/connection.py
@@ -9,7 +9,7 @@
 import hiredis
 
 from soak.gateways import GatewayProcess
-from soak.observations import Answer, RequestSeen
+from soak.observations import Answer, ConnectionEnd, RequestSeen, ResponseSeen
 from soak.order_servers import without_padding
 
 READ_BACKLOG_SLACK_S = 0.3  # after a pause, until all buffered replies are read
@@ -82,13 +82,12 @@
         seen = self.pending.popleft()
         seen.ready_at = max(seen.ready_at, self.answered_at)
         self.answered_at = now
-        seen.answered_at = now
         if isinstance(answer, bytes):
-            seen.answer, seen.value = Answer.SERVED, without_padding(answer)
+            seen.response = ResponseSeen(at=now, answer=Answer.SERVED, value=without_padding(answer))
         elif isinstance(answer, hiredis.ReplyError) and str(answer).startswith("BUSY"):
-            seen.answer = Answer.REJECTED
+            seen.response = ResponseSeen(at=now, answer=Answer.REJECTED)
         else:
-            seen.answer = Answer.FAILED
+            seen.response = ResponseSeen(at=now, answer=Answer.FAILED)
         if not self.pending:
             self._listener.on_idle(self)
 
@@ -104,11 +103,11 @@
         if self.pending and self._reader.has_data() and self.pending[0].client_closed_at is None:
             # The client has a part of this value, so it knows that the request failed.
             truncated = self.pending.popleft()
-            truncated.answered_at, truncated.answer = now, Answer.FAILED
+            truncated.response = ResponseSeen(at=now, answer=Answer.FAILED)
         for seen in self.pending:
             if seen.client_closed_at is None:
-                seen.connection_ended_at = now
-                seen.ended_by_reset = exc is not None or not self._saw_eof
+                by_reset = exc is not None or not self._saw_eof
+                seen.connection_end = ConnectionEnd(at=now, by_reset=by_reset)
                 self._listener.on_unanswered(self, seen)
         self.pending.clear()
 
--- a/soak/clients/request_sender.py
+++ b/soak/clients/request_sender.py
@@ -94,7 +94,7 @@
 
     def on_unanswered(self, connection: ClientConnection, seen: RequestSeen) -> None:
         """Send a request once more whose connection closed without a reply, as clients do."""
-        if seen.sent_again or not self._resends or seen.connection_ended_at is None:
+        if seen.sent_again or not self._resends or seen.connection_end is None:
             return
         time_left_s = seen.sent_at + seen.wait_s - self._loop.time()
         others = [g for g in self._gateways if g.process is not None and g.process.takes_new_connections]
