--- a/tests/decisions/test_disabled_endpoints.py
+++ b/tests/decisions/test_disabled_endpoints.py
@@ -44,9 +44,9 @@
         [full_list(listed_endpoint(2)), full_list(listed_endpoint(1), listed_endpoint(2))],
         [
             full_list(listed_endpoint(1, Health.REMOVED), kind=ListKind.DELTA),
-            full_list(listed_endpoint(1, booted=START), kind=ListKind.DELTA),
+            full_list(listed_endpoint(1, started_at=START), kind=ListKind.DELTA),
         ],
-        [full_list(listed_endpoint(1, booted=START + 1), listed_endpoint(2))],
+        [full_list(listed_endpoint(1, started_at=START + 1), listed_endpoint(2))],
     ],
 )
 def test_discovery_does_not_enable_a_disabled_endpoint(events: list[object]) -> None:
@@ -92,11 +92,11 @@
     assumed = load_balancer.slow_start.fraction(now, load_balancer.registry.endpoints[1])
     assert 0.2 <= assumed < 0.3
     engine.handle(
-        now, full_list(listed_endpoint(1, booted=START - 30 * SECOND), listed_endpoint(2))
+        now, full_list(listed_endpoint(1, started_at=START - 30 * SECOND), listed_endpoint(2))
     )  # a start before it was disabled
     assert load_balancer.slow_start.fraction(now, load_balancer.registry.endpoints[1]) == assumed
     engine.handle(
-        now, full_list(listed_endpoint(1, booted=START + SECOND), listed_endpoint(2))
+        now, full_list(listed_endpoint(1, started_at=START + SECOND), listed_endpoint(2))
     )  # reported late, but while it was disabled
     fraction = load_balancer.slow_start.fraction(now, load_balancer.registry.endpoints[1])
     assert fraction == pytest.approx(0.6)
--- a/tests/decisions/test_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -71,7 +71,7 @@
     (first,) = sends(engine.handle(200 * MS, arrival(1, 200 * MS, cls)))
     assert not sends(
         engine.handle(800 * MS, TimerFired(TICK_TIMER))
-    )  # a server that answers nothing may be slow
+    )  # an endpoint that answers nothing may be slow
     engine.load_balancer.registry.endpoints[first.endpoint].latest_answered_send = 350 * MS
     (second,) = sends(engine.handle(800 * MS, TimerFired(TICK_TIMER)))
     assert second.request_id == 1
@@ -93,16 +93,18 @@
     engine.handle(200 * MS, arrival(2000, 200 * MS, SAFE))
     engine.handle(200 * MS, arrival(2001, 200 * MS, SAFE))
     engine.dispatcher.retry_budget.tokens = 1.0
-    for server in engine.load_balancer.registry.endpoints.values():
-        server.latest_answered_send = 350 * MS
+    for endpoint in engine.load_balancer.registry.endpoints.values():
+        endpoint.latest_answered_send = 350 * MS
     engine.load_balancer.responses.latest_answered_send = 750 * MS
     assert [send.request_id for send in sends(engine.handle(850 * MS, TimerFired(TICK_TIMER)))] == [2000]
     assert engine.dispatcher.retry_budget.tokens == 0.0
 
 
-@pytest.mark.parametrize(("aim", "wait"), [(300, 50), (1200, 200), (6000, 200)])
-def test_retry_after_leaves_time_for_the_latency_objective(aim: int, wait: int) -> None:
-    engine = engine_alone(classes=tuple(replace(each, latency_objective=aim * MS) for each in CLASSES))
+@pytest.mark.parametrize(("latency_objective", "wait"), [(300, 50), (1200, 200), (6000, 200)])
+def test_retry_after_leaves_time_for_the_latency_objective(latency_objective: int, wait: int) -> None:
+    engine = engine_alone(
+        classes=tuple(replace(each, latency_objective=latency_objective * MS) for each in CLASSES)
+    )
     (refusal,) = rejections(engine.handle(5 * SECOND, replace(arrival(1, 0), deadline=SECOND)))
     assert refusal.retry_after == wait * MS
 
--- a/tests/decisions/test_engine.py
+++ b/tests/decisions/test_engine.py
@@ -70,7 +70,7 @@
 
 
 class RemoteQuotaFuzzer(EventFuzzer):
-    """The same odd orders of events, where homes or the counter are asked."""
+    """The same orders of events, with an owner or the counter that holds the quota."""
 
     def __init__(self, **changes: Any) -> None:
         super().__init__()
--- a/tests/decisions/test_gossip.py
+++ b/tests/decisions/test_gossip.py
@@ -56,10 +56,10 @@
     for i in range(19):
         there.handle(MS, arrival(i, MS))
         there.handle(MS, ended(i, 1))
-    told = [
+    messages = [
         a for a in there.handle(TICK_INTERVAL_NS, TimerFired(TICK_TIMER)) if isinstance(a, SendPeerMessage)
     ]
-    here.handle(TICK_INTERVAL_NS, PeerMessage(1, told[0].data))
+    here.handle(TICK_INTERVAL_NS, PeerMessage(1, messages[0].data))
     assert here.quota.accounts[1].buckets.tokens < 5.0
 
 
@@ -126,8 +126,8 @@
 def test_restarted_gateway_starts_its_buckets_with_a_slice() -> None:
     young, old = engine_alone(), DecisionEngine(settings(position=1), 8, 0)
     old.handle(0, full_list(listed_endpoint(1)))
-    told = [a for a in old.handle(9 * SECOND, TimerFired(TICK_TIMER)) if isinstance(a, SendPeerMessage)]
+    messages = [a for a in old.handle(9 * SECOND, TimerFired(TICK_TIMER)) if isinstance(a, SendPeerMessage)]
     young.handle(MS, arrival(1, MS))
     assert young.quota.accounts[1].buckets.tokens == 19.0
-    young.handle(MS, PeerMessage(1, told[0].data))
+    young.handle(MS, PeerMessage(1, messages[0].data))
     assert young.quota.accounts[1].buckets.tokens == 10.0
--- a/tests/decisions/test_load_balancer.py
+++ b/tests/decisions/test_load_balancer.py
@@ -41,7 +41,7 @@
             bad = endpoint_id in broken and (i % 6 in (3, 4) or left_out)
             outcome = Outcome.RESET if bad else Outcome.OK
             fleet.attempt_ended(i * 100 * MS, ended(i, endpoint_id, outcome), (SAFE, 0), 1.0)
-    assert {i for i, server in fleet.registry.endpoints.items() if server.ejected_until > 0} == left_out
+    assert {i for i, endpoint in fleet.registry.endpoints.items() if endpoint.ejected_until > 0} == left_out
 
 
 def test_draining_and_removed_endpoints_get_nothing() -> None:
@@ -55,16 +55,16 @@
 
 def test_endpoint_in_slow_start_gets_a_limited_rate() -> None:
     engine = DecisionEngine(settings(plans=(plan(rate=1000.0, burst=1000.0),)), 7, 0)
-    engine.handle(0, full_list(*(listed_endpoint(i) for i in range(1, 4)), listed_endpoint(9, booted=1)))
-    cold = total = 0
+    engine.handle(0, full_list(*(listed_endpoint(i) for i in range(1, 4)), listed_endpoint(9, started_at=1)))
+    to_starting = total = 0
     for i in range(200):
         now = i * 10 * MS
         for send in sends(engine.handle(now, arrival(i, now))):
             total += 1
-            cold += send.endpoint == 9
+            to_starting += send.endpoint == 9
             engine.handle(now + 5 * MS, ended(i, send.endpoint))
     assert total > 150
-    assert cold <= 0.3 * total / 4
+    assert to_starting <= 0.3 * total / 4
 
 
 def test_unlisted_endpoint_is_forgotten_once_it_has_no_attempt_in_flight() -> None:
@@ -125,10 +125,12 @@
     multiple: float, part: float
 ) -> None:
     engine = DecisionEngine(settings(overload_multiple=multiple), 7, 0)
-    engine.handle(0, full_list(listed_endpoint(1, booted=1), listed_endpoint(2)))
+    engine.handle(0, full_list(listed_endpoint(1, started_at=1), listed_endpoint(2)))
     engine.load_balancer.slow_start.warm_completions.add(SECOND, 3.0, 3.0)
-    cold = engine.load_balancer.registry.endpoints[1]
-    bucket = cold.slow_start_bucket
+    starting = engine.load_balancer.registry.endpoints[1]
+    bucket = starting.slow_start_bucket
     bucket.tokens, bucket.refilled_at = 0.0, 0
-    engine.load_balancer.can_accept(SECOND, cold)
-    assert bucket.tokens == pytest.approx(part * 3.0 * engine.load_balancer.slow_start.fraction(SECOND, cold))
+    engine.load_balancer.can_accept(SECOND, starting)
+    assert bucket.tokens == pytest.approx(
+        part * 3.0 * engine.load_balancer.slow_start.fraction(SECOND, starting)
+    )
--- a/tests/decisions/test_many_gateways.py
+++ b/tests/decisions/test_many_gateways.py
@@ -34,9 +34,9 @@
     fleet = Fleet(
         plans=(plan(rate=10000.0, burst=10000.0),), has_counter=False, may_message=False, gateway_count=MANY
     )
-    cold = [listed_endpoint(i) for i in range(1, 9)] + [listed_endpoint(99, booted=1)]
+    endpoints = [listed_endpoint(i) for i in range(1, 9)] + [listed_endpoint(99, started_at=1)]
     for g in fleet.gateways:
-        g.handle(MS, full_list(*cold))
+        g.handle(MS, full_list(*endpoints))
     for i in range(4000):
         now = MS + i * 2 * MS
         position = i % MANY
@@ -47,26 +47,26 @@
         for _, send in fleet.sent[before:]:
             fleet.give(now + MS, position, ended(send.request_id, send.endpoint))
     part = sum(send.endpoint == 99 for _, send in fleet.sent) / (len(fleet.sent) / 9)
-    assert 0.1 <= part <= 0.9  # its surest capacity rises from 0.2 to 0.5 in this time
+    assert 0.1 <= part <= 0.9  # its lowest possible capacity rises from 0.2 to 0.5 in this time
 
 
-def gateways_by_endpoint(gone: set[int], gateways: int = 40, servers: int = 60) -> dict[int, int]:
-    """By endpoint, how many gateways hold it once those that are gone have shown symptoms everywhere."""
-    numbers = random.Random(5).sample(range(1 << 32), servers)
+def gateways_by_endpoint(ejected: set[int], gateways: int = 40, endpoints: int = 60) -> dict[int, int]:
+    """Return for each endpoint how many gateways have it in their subset while the `ejected` are ejected."""
+    numbers = random.Random(5).sample(range(1 << 32), endpoints)
     count = dict.fromkeys(numbers, 0)
     for position in range(gateways):
         g = DecisionEngine(
             settings(position=position, gateway_count=gateways, may_message=False), position, 0
         )
         g.handle(0, full_list(*(listed_endpoint(number) for number in numbers)))
-        for at in gone:
+        for at in ejected:
             g.load_balancer.registry.endpoints[numbers[at]].ejected_until = SECOND
-        for server in g.load_balancer.subset(0):
-            count[server.endpoint.id] += 1
+        for state in g.load_balancer.subset(0):
+            count[state.endpoint.id] += 1
     return count
 
 
-def test_each_endpoint_is_in_the_subset_of_the_same_few_gateways_even_when_half_are_gone() -> None:
+def test_each_endpoint_is_in_the_subset_of_the_same_few_gateways_even_when_half_are_ejected() -> None:
     assert set(gateways_by_endpoint(set()).values()) <= {9, 10, 11}
     assert min(sorted(gateways_by_endpoint(set(range(30))).values())[30:]) >= 10
     assert set(gateways_by_endpoint(set(), 3, 9).values()) == {3}  # of a small fleet everybody holds all
@@ -74,21 +74,24 @@
 
 def test_endpoint_in_slow_start_saves_no_tokens_outside_the_subset() -> None:
     g = DecisionEngine(settings(gateway_count=40, may_message=False), 7, 0)
-    g.handle(0, full_list(listed_endpoint(1, booted=1), listed_endpoint(2)))
+    g.handle(0, full_list(listed_endpoint(1, started_at=1), listed_endpoint(2)))
     slow_start = g.load_balancer.slow_start
     for i in range(400):
         slow_start.warm_completions.add(i * 5 * MS, 1.0)
-    cold = g.load_balancer.registry.endpoints[1]
-    bucket = cold.slow_start_bucket
+    starting = g.load_balancer.registry.endpoints[1]
+    bucket = starting.slow_start_bucket
     bucket.tokens, bucket.refilled_at = 0.0, 0
     slow_start.warm_completions.add(10 * SECOND, 200.0, 200.0)
-    g.load_balancer.can_accept(10 * SECOND, cold)
-    one = slow_start.fraction(10 * SECOND, cold) * slow_start.warm_completions.rate(10 * SECOND)
+    g.load_balancer.can_accept(10 * SECOND, starting)
+    one = slow_start.fraction(10 * SECOND, starting) * slow_start.warm_completions.rate(10 * SECOND)
     assert bucket.tokens <= min(2.0, one)
 
 
 def engine_with_two_zones(silent: int, cls: int = 0) -> tuple[DecisionEngine, dict[int, int], list[Action]]:
-    """Answers come from zone 0, none from zone 1; where each went, and what the next beat does."""
+    """Send requests to two zones of which zone 1 leaves `silent` attempts unanswered.
+
+    Return the engine, the endpoint of each request, and the actions of the next tick.
+    """
     g = DecisionEngine(settings(gateway_count=2, plans=(plan(rate=1e3, burst=1e3),)), 7, 0)
     g.handle(0, full_list(*(replace(listed_endpoint(i), zone=i % 2) for i in range(1, 13))))
     for latency in g.model.class_latency:
@@ -97,9 +100,9 @@
     for i in range(12):
         (send,) = [a for a in g.handle(MS, arrival(i, MS, cls, customer_id=i)) if isinstance(a, Send)]
         sent[i] = send.endpoint
-    for i, server in sent.items():
-        if server % 2 == 0 or [s for s in sent.values() if s % 2].index(server) >= silent:
-            g.handle(101 * MS, ended(i, server))
+    for i, endpoint in sent.items():
+        if endpoint % 2 == 0 or [e for e in sent.values() if e % 2].index(endpoint) >= silent:
+            g.handle(101 * MS, ended(i, endpoint))
     return g, sent, g.handle(600 * MS, TimerFired(TICK_TIMER))
 
 
@@ -109,10 +112,10 @@
     resent: bool,
 ) -> None:
     g, sent, actions = engine_with_two_zones(6, cls)
-    lost = {server for server in sent.values() if server % 2}
+    lost = {endpoint for endpoint in sent.values() if endpoint % 2}
     assert {a.endpoint for a in actions if isinstance(a, CloseIdleConnections)} == lost
     off = {a.request_id for a in actions if isinstance(a, CancelAttempt)}
-    assert off == ({i for i, server in sent.items() if server % 2} if resent else set())
+    assert off == ({i for i, endpoint in sent.items() if endpoint % 2} if resent else set())
     for i in off:
         again = g.handle(600 * MS, ended(i, sent[i], Outcome.CANCELLED))
         assert [a.endpoint % 2 for a in again if isinstance(a, Send)] == [0]
--- a/tests/decisions/test_queue_model.py
+++ b/tests/decisions/test_queue_model.py
@@ -125,7 +125,7 @@
     assert not model.congested
 
 
-def test_class_without_answers_takes_its_rest_from_its_aim() -> None:
+def test_class_without_answers_takes_its_baseline_from_its_latency_objective() -> None:
     model = QueueModel(settings())
     assert 0.0 < model.uncongested_latency(0) < model.objectives[0]
     for i in range(40):
--- a/tests/decisions/test_quota_by_counter.py
+++ b/tests/decisions/test_quota_by_counter.py
@@ -80,8 +80,8 @@
 @pytest.mark.parametrize(("used", "asked"), [(0, 1), (1, 0), (60, 0), (110, 1)])
 def test_little_use_of_a_customer_with_light_reported_usage_needs_no_call(used: int, asked: int) -> None:
     g = counting()
-    told = g.handle(MS, arrival(1, MS))
-    (call,) = calls(told)
+    actions = g.handle(MS, arrival(1, MS))
+    (call,) = calls(actions)
     g.handle(2 * MS, CounterReplied(MS, Outcome.OK, call.key, call.amount))
     g.handle(3 * MS, replace(ended(1, 1), quota_usage=used))
     later = g.handle(SECOND, arrival(2, SECOND))
@@ -103,9 +103,9 @@
 def test_what_a_light_customer_uses_in_a_burst_is_counted_and_reported() -> None:
     g = counting(rate=10.0, burst=40.0)
     g.quota.account(0, 1, 0, 2, 0).usage.reported_at = 0
-    told = [calls(g.handle(MS, arrival(i, MS))) for i in range(6)]
-    assert [len(each) for each in told] == [0] * 5 + [1]
-    assert told[5][0].amount == 6.0
+    calls_by_request = [calls(g.handle(MS, arrival(i, MS))) for i in range(6)]
+    assert [len(each) for each in calls_by_request] == [0] * 5 + [1]
+    assert calls_by_request[5][0].amount == 6.0
 
 
 def test_customer_whose_bucket_cannot_hold_the_request_is_rejected_without_a_call() -> None:
@@ -179,8 +179,8 @@
     g.handle(2 * MS, CounterReplied(MS, Outcome.OK, call.key, call.amount))
     (back,) = [a for a in g.handle(3 * MS, ended(1, 1)) if isinstance(a, AddToCounter)]
     g.handle(4 * MS, CounterReplied(MS, Outcome.OVERLOADED, back.key, 0.0))
-    told = [a for i in range(20) for a in g.handle(i * TICK_INTERVAL_NS, TimerFired(TICK_TIMER))]
-    assert [a.amount for a in told if isinstance(a, AddToCounter)] == [-IN_FLIGHT_UNIT]
+    actions = [a for i in range(20) for a in g.handle(i * TICK_INTERVAL_NS, TimerFired(TICK_TIMER))]
+    assert [a.amount for a in actions if isinstance(a, AddToCounter)] == [-IN_FLIGHT_UNIT]
 
 
 def test_correction_that_need_not_be_undone_leaves_no_call_without_a_reply() -> None:
--- a/tests/decisions/test_quota_over_gateways.py
+++ b/tests/decisions/test_quota_over_gateways.py
@@ -38,7 +38,7 @@
         return min(PLAN.burst, level + PLAN.rate * max(0, now - at) / SECOND)
 
     def take(self, now: int) -> bool:
-        """Whether a try that is sent on now is inside the quota."""
+        """Return whether a request that is forwarded now is within the quota."""
         if inside := (level := self.level(now)) >= 1.0:
             self.past.append((now, level - 1.0))
         return inside
@@ -58,8 +58,8 @@
     return sorted(requests)
 
 
-def sent_on(requests: list[TimedRequest], calls_per_s: int) -> list[tuple[int, int]]:
-    """When the fleet sent which customer's requests on, with a counter that serves so many calls a second."""
+def forwarded(requests: list[TimedRequest], calls_per_s: int) -> list[tuple[int, int]]:
+    """Return when which customer's requests are forwarded, with a counter that serves `calls_per_s`."""
     made = settings(gateway_count=GATEWAYS, may_message=False, has_counter=True, plans=(PLAN,))
     fleet = [DecisionEngine(made, position + 7, 0) for position in range(GATEWAYS)]
     numbers, events = dict[int, float](), list[tuple[int, int, int, Event]]()
@@ -76,9 +76,9 @@
         _, _, position, event = heappop(events)
         for action in fleet[position].handle(now, event):
             match action:
-                case Send(request, server):
+                case Send(request, endpoint):
                     sent.append((now, requests[request][1]))
-                    heappush(events, (now + 100 * MS, next(order), position, ended(request, server)))
+                    heappush(events, (now + 100 * MS, next(order), position, ended(request, endpoint)))
                 case SetTimer(after, token):
                     heappush(events, (now + after, next(order), position, TimerFired(token)))
                 case AddToCounter(name, _, amount):
@@ -94,13 +94,13 @@
 
 
 def within(requests: list[TimedRequest]) -> int:
-    """Tries that one gateway which saw them all would let in."""
+    """Return how many requests one gateway which saw them all would admit."""
     stores = [DelayedBucket() for _ in range(CUSTOMERS)]
     return sum(stores[customer].take(now) for now, customer, _ in requests)
 
 
 def price(sent: list[tuple[int, int]], requests: list[TimedRequest]) -> float:
-    """What the requests sent on beyond their quota take off the result."""
+    """Return what the requests forwarded beyond their quota take off the result."""
     stores = [DelayedBucket() for _ in range(CUSTOMERS)]
     return PLAN.excess_cost * sum(not stores[customer].take(now) for now, customer in sent) / within(requests)
 
@@ -120,9 +120,9 @@
     seed: int, calls_per_s: int
 ) -> None:
     requests = normal_load(random.Random(seed))
-    sent, late = sent_on(requests, calls_per_s), late_policy(requests)
+    sent, late = forwarded(requests, calls_per_s), late_policy(requests)
     assert price(sent, requests) <= price(late, requests) + 0.1
-    assert len(sent) >= 0.85 * within(requests)  # nor by refusing what has room
+    assert len(sent) >= 0.85 * within(requests)  # nor by rejecting requests within the quota
 
 
 def test_gateways_that_each_grant_the_whole_quota_would_cost_more() -> None:
--- a/tests/decisions/test_quota_slices.py
+++ b/tests/decisions/test_quota_slices.py
@@ -68,7 +68,9 @@
         for i in range(50)
         for a in g.handle(9 * MS, arrival(50 + i, 9 * MS, customer_id=i, gateway_spread=25))
     ]
-    assert [a.amount for a in calls(again)] == [2.0] * 50  # with what the store was not told of
+    assert [a.amount for a in calls(again)] == [
+        2.0
+    ] * 50  # with the units that the counter was not notified of
 
 
 @pytest.mark.parametrize(("used", "asked"), [(1, 0), (501, 1)])
--- a/tests/state/test_earlier_versions.py
+++ b/tests/state/test_earlier_versions.py
@@ -34,7 +34,7 @@
     )
     gateway = DecisionEngine(made, 7, 0)
     gateway.handle(
-        0, full_list(listed_endpoint(1), listed_endpoint(2, booted=START - SECOND), listed_endpoint(3))
+        0, full_list(listed_endpoint(1), listed_endpoint(2, started_at=START - SECOND), listed_endpoint(3))
     )
     restore_json(gateway, START + SECOND, states["written"], made)
     captured = capture_json(gateway, START + SECOND)
--- a/tests/state/test_endpoint.py
+++ b/tests/state/test_endpoint.py
@@ -9,7 +9,9 @@
 
 
 def endpoint_state(started_at: int = 0) -> EndpointState:
-    return EndpointState(listed_endpoint(1, booted=started_at), SlowStartBucket(tokens=0.5, refilled_at=0))
+    return EndpointState(
+        listed_endpoint(1, started_at=started_at), SlowStartBucket(tokens=0.5, refilled_at=0)
+    )
 
 
 def test_ejection_time_doubles_up_to_the_maximum_and_is_reset_by_a_success() -> None:
--- a/tests/state/test_handover_snapshot.py
+++ b/tests/state/test_handover_snapshot.py
@@ -1,4 +1,4 @@
-"""What one process of a gateway leaves to the next: both together hold no more than one did."""
+"""State that one process of a gateway hands to the next: both together hold no more than one did."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 def new_engine() -> DecisionEngine:
     made = DecisionEngine(SETTINGS, 7, 0)
     made.handle(
-        0, full_list(listed_endpoint(1), listed_endpoint(2, booted=START - SECOND), listed_endpoint(3))
+        0, full_list(listed_endpoint(1), listed_endpoint(2, started_at=START - SECOND), listed_endpoint(3))
     )
     return made
 
 
 def used_engine(count: int = 5) -> DecisionEngine:
-    """One whose customer 1 has sent on some requests, unanswered, with nobody at the counter."""
+    """Return a gateway with unanswered requests of customer 1 and an unresponsive counter."""
     engine = new_engine()
     for n in range(count):
         engine.handle(START, arrival(n, START))
@@ -77,7 +77,7 @@
     assert new.quota.accounts[1].reports.in_flight_elsewhere == old.quota.accounts[1].in_flight == 4
 
 
-def test_disabling_ejections_and_latency_go_over_and_slow_start_tokens_are_not_doubled() -> None:
+def test_disabling_ejections_and_latency_are_restored_and_slow_start_tokens_are_not_doubled() -> None:
     old = used_engine()
     old.handle(START, SetEndpointEnabled(3, False))
     old.handle(START, SetEndpointEnabled(77, False))  # not listed at the moment
@@ -97,11 +97,11 @@
     assert [a.endpoint for a in sends] in ([], [2])
 
 
-def test_endpoint_restarted_since_takes_over_nothing_of_what_the_old_process_saw() -> None:
+def test_endpoint_restarted_since_has_no_state_of_the_old_process() -> None:
     old = used_engine()
     old.load_balancer.registry.endpoints[1].ejected_until = START + SECOND
     new = new_engine()
-    new.handle(START, full_list(listed_endpoint(1, booted=START)))
+    new.handle(START, full_list(listed_endpoint(1, started_at=START)))
     restore_json(new, START, capture_json(old, START), SETTINGS)
     assert new.load_balancer.registry.endpoints[1].ejected_until == 0
 
--- a/tests/support/builders.py
+++ b/tests/support/builders.py
@@ -1,4 +1,4 @@
-"""Hand-made settings and events; nothing here comes from a deployment's files."""
+"""Settings and events written for the tests, apart from every deployment's files."""
 
 from __future__ import annotations
 
@@ -24,36 +24,31 @@
 SECOND = 1_000_000_000
 SAFE, KEYED, UNSAFE = 0, 1, 2
 
+IDEMPOTENT_CLASS = RequestClass(
+    name="read",
+    latency_objective=SECOND,
+    deadline=3 * SECOND,
+    priority_weight=1.0,
+    late_priority_weight=0.0,
+    idempotence=Idempotence.IDEMPOTENT,
+    idempotency_scope=IdempotencyScope.ALL,
+    idempotency_window=5 * SECOND,
+)
 CLASSES = (
-    RequestClass(
-        name="read",
-        latency_objective=SECOND,
-        deadline=3 * SECOND,
-        priority_weight=1.0,
-        late_priority_weight=0.0,
-        idempotence=Idempotence.IDEMPOTENT,
-        idempotency_scope=IdempotencyScope.ALL,
-        idempotency_window=5 * SECOND,
-    ),
-    RequestClass(
+    IDEMPOTENT_CLASS,
+    replace(
+        IDEMPOTENT_CLASS,
         name="submit",
-        latency_objective=SECOND,
-        deadline=3 * SECOND,
         priority_weight=2.0,
-        late_priority_weight=0.0,
         idempotence=Idempotence.KEYED,
         idempotency_scope=IdempotencyScope.CELL,
         idempotency_window=2 * SECOND,
     ),
-    RequestClass(
+    replace(
+        IDEMPOTENT_CLASS,
         name="charge",
-        latency_objective=SECOND,
-        deadline=3 * SECOND,
         priority_weight=4.0,
-        late_priority_weight=0.0,
         idempotence=Idempotence.NOT_IDEMPOTENT,
-        idempotency_scope=IdempotencyScope.ALL,
-        idempotency_window=5 * SECOND,
     ),
 )
 PLAN = Plan(
@@ -107,10 +102,10 @@
 
 
 def listed_endpoint(
-    number: int, health: Health = Health.READY, booted: int = 0, cell: int = 0, zone: int = 0
+    number: int, health: Health = Health.READY, started_at: int = 0, cell: int = 0, zone: int = 0
 ) -> Endpoint:
     return Endpoint(
-        id=number, zone=zone, machine_class=0, cell=cell, health=health, weight=1.0, started_at=booted
+        id=number, zone=zone, machine_class=0, cell=cell, health=health, weight=1.0, started_at=started_at
     )
 
 
@@ -118,12 +113,12 @@
     return Topology(kind, 1, entries)
 
 
-def arrival(request: int, now: int, cls: int = SAFE, customer: int = 1, **changes: Any) -> Arrival:
+def arrival(request: int, now: int, class_index: int = SAFE, customer_id: int = 1, **changes: Any) -> Arrival:
     made = Arrival(
         request_id=request,
-        class_index=cls,
+        class_index=class_index,
         plan_index=0,
-        customer_id=customer,
+        customer_id=customer_id,
         deadline=now + 3 * SECOND,
         units=1.0,
         gateway_spread=2,
@@ -135,7 +130,7 @@
 
 def ended(
     request: int,
-    server: int,
+    endpoint: int,
     outcome: Outcome = Outcome.OK,
     attempt: int = 0,
     elapsed: int = 100 * MS,
@@ -146,7 +141,7 @@
         request_id=request,
         request_finished=over,
         actual_units=0,
-        endpoint=server,
+        endpoint=endpoint,
         quota_usage=0,
         outcome=outcome,
         elapsed=elapsed,
--- a/tests/support/event_fuzzer.py
+++ b/tests/support/event_fuzzer.py
@@ -1,4 +1,4 @@
-"""Legal but odd orders of events, with a check of every action."""
+"""Unusual but legal orders of events, with a check of every action."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 EVENTS = st.lists(
     st.tuples(
-        st.sampled_from(["arrive", "end", "left", "tick", "list", "mail"]),
+        st.sampled_from(["arrive", "attempt ended", "disconnect", "tick", "endpoint list", "peer message"]),
         st.integers(0, 12),
         st.sampled_from(list(Outcome)),
         st.integers(0, 400),
@@ -43,15 +43,15 @@
 
 
 class EventFuzzer:
-    """Plays legal but odd event orders and checks rule 1 and rule 2 on every action."""
+    """Plays unusual but legal orders of events, and checks rule 1 and rule 2 on every action."""
 
     def __init__(self) -> None:
         self.gateway = DecisionEngine(settings(), 3, 0)
         self.classes: dict[int, int] = {}
         self.state: dict[int, str] = {}
-        self.out: dict[tuple[int, int], int] = {}
+        self.in_flight: dict[tuple[int, int], int] = {}
         self.count: dict[int, int] = {}
-        self.may_have_run: set[int] = set()
+        self.may_have_executed: set[int] = set()
         self.log: list[Action] = []
 
     def feed(self, now: int, event: Event) -> None:
@@ -59,13 +59,18 @@
             self.log.append(action)
             if isinstance(action, Send):
                 assert self.state[action.request_id] == "open"
-                assert self.classes[action.request_id] != UNSAFE or action.request_id not in self.may_have_run
+                assert (
+                    self.classes[action.request_id] != UNSAFE
+                    or action.request_id not in self.may_have_executed
+                )
                 number = self.count.get(action.request_id, 0)
                 self.count[action.request_id] = number + 1
-                self.out[action.request_id, number] = action.endpoint
+                self.in_flight[action.request_id, number] = action.endpoint
             elif isinstance(action, Reject):
                 assert self.state[action.request_id] == "open"
-                assert self.classes[action.request_id] == SAFE or action.request_id not in self.may_have_run
+                assert (
+                    self.classes[action.request_id] == SAFE or action.request_id not in self.may_have_executed
+                )
                 self.state[action.request_id] = "answered"
             elif isinstance(action, Fail):
                 assert self.state[action.request_id] == "open"
@@ -79,32 +84,33 @@
             if what == "arrive":
                 self.classes[number], self.state[number] = cls, "open"
                 self.feed(now, arrival(number, now, cls, customer_id=pick))
-            elif what == "end" and self.out:
-                self.end(now, sorted(self.out)[pick % len(self.out)], outcome)
-            elif what == "left" and self.state:
+            elif what == "attempt ended" and self.in_flight:
+                self.end(now, sorted(self.in_flight)[pick % len(self.in_flight)], outcome)
+            elif what == "disconnect" and self.state:
                 request = sorted(self.state)[pick % len(self.state)]
                 if self.state[request] == "open":
-                    self.state[request] = "gone"
+                    self.state[request] = "disconnected"
                 self.feed(now, ClientDisconnected(request))
             elif what == "tick":
                 self.feed(now, TimerFired(TICK_TIMER))
-            elif what == "list":
+            elif what == "endpoint list":
                 health = list(Health)[pick % 3]
                 self.feed(
-                    now, full_list(listed_endpoint(pick % 5, health, booted=now * cls), kind=ListKind.DELTA)
+                    now,
+                    full_list(listed_endpoint(pick % 5, health, started_at=now * cls), kind=ListKind.DELTA),
                 )
-            elif what == "mail":
+            elif what == "peer message":
                 self.feed(now, PeerMessage(1, bytes([pick]) * (4 + 11 * (wait % 3))))
-        while self.out:
-            self.end(now, min(self.out), Outcome.TIMEOUT)
+        while self.in_flight:
+            self.end(now, min(self.in_flight), Outcome.TIMEOUT)
         assert "open" not in self.state.values()
 
     def end(self, now: int, attempt: tuple[int, int], outcome: Outcome) -> None:
         request, number = attempt
-        server = self.out.pop(attempt)
+        endpoint = self.in_flight.pop(attempt)
         if outcome not in NOT_EXECUTED:
-            self.may_have_run.add(request)
+            self.may_have_executed.add(request)
         if outcome is Outcome.OK and self.state[request] == "open":
             self.state[request] = "served"
         finished = self.state[request] != "open"
-        self.feed(now, ended(request, server, outcome, number, finished=finished))
+        self.feed(now, ended(request, endpoint, outcome, number, finished=finished))
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -27,7 +27,7 @@
 
 
 class Fleet:
-    """Many gateways with mail and a counter between them; both may lose, and gateways may die."""
+    """Many gateways with a counter; messages between them may be lost, and the counter may time out."""
 
     def __init__(self, seed: int = 1, **changes: Any) -> None:
         self.changes = {"gateway_count": MANY, "messages_per_s": 40.0, **changes}
