--- /dev/null
+++ b/tests/server/test_attempt_execution.py
@@ -0,0 +1,168 @@
+"""Attempts that end without a response: which of them may have been executed."""
+
+from __future__ import annotations
+
+import socket
+from contextlib import closing
+
+import pytest
+
+from qos_gateway.server.endpoints.connection import EndpointConnection
+from qos_gateway.server.networking.clock import monotonic_unix_ns
+from qos_gateway.types import Outcome
+from tests.support.builders import SECOND
+from tests.support.endpoint_harness import RawEndpoint, endpoint_harness, reset
+from tests.support.servers import (
+    LOOPBACK,
+    FakeEndpoint,
+    run_on_loop,
+    wait_until,
+)
+
+CLOCK = monotonic_unix_ns()
+
+
+def test_refused_connect_is_not_executed() -> None:
+    async def test() -> None:
+        with closing(socket.create_server((LOOPBACK, 0))) as unused:
+            port = unused.getsockname()[1]
+        async with endpoint_harness(port=port) as harness:
+            harness.start(1)
+            assert (await harness.end())[:2] == (1, Outcome.CONNECT_FAILED)
+            assert harness.pools.open_connections == 0
+
+    run_on_loop(test)
+
+
+@pytest.mark.parametrize("given_up_by", ["connect time-out", "attempt time-out"])
+def test_unfinished_connect_is_not_executed(given_up_by: str) -> None:
+    async def test() -> None:
+        # A full accept queue leaves a connect unanswered, as a vanished machine does.
+        with closing(socket.socket()) as full:
+            full.bind((LOOPBACK, 0))
+            full.listen(0)
+            address = full.getsockname()
+            fill = [socket.socket() for _ in range(4)]
+            for one in fill:
+                one.setblocking(False)
+                one.connect_ex(address)
+            late = given_up_by == "connect time-out"
+            async with endpoint_harness(port=address[1], connect_timeout_s=0.05 if late else 20.0) as harness:
+                harness.start(1, timeout_s=None if late else 0.05)
+                assert (await harness.end())[:2] == (1, Outcome.CONNECT_FAILED)
+                assert harness.pools.open_connections == 0
+            for one in fill:
+                one.close()
+
+    run_on_loop(test)
+
+
+@pytest.mark.parametrize("how", ["reset", "end", "time-out", "cancel"])
+def test_attempt_that_ends_after_its_last_byte_may_have_been_executed(how: str) -> None:
+    async def test() -> None:
+        endpoint = FakeEndpoint()
+        async with endpoint_harness(endpoint) as harness:
+            attempt = harness.start(1)
+            connection, _ = await endpoint.next_command()
+            wanted = Outcome.RESET
+            if how == "reset":
+                connection.abort()
+            elif how == "end":
+                connection.writer.close()
+            elif how == "time-out":
+                harness.pools.expire_attempt(attempt)
+                wanted = Outcome.TIMEOUT
+            else:
+                harness.pools.cancel_attempt(attempt)
+                wanted = Outcome.CANCELLED
+            assert await harness.end() == (1, wanted, None, {})
+            # The connection is closed too: a response that still comes belongs to no attempt.
+            await wait_until(lambda: endpoint.closed_connections == 1)
+            assert harness.pools.open_connections == 0
+            assert harness.ends.empty()
+
+    run_on_loop(test)
+
+
+@pytest.mark.parametrize("how", ["reset", "time-out"])
+def test_attempt_that_ends_before_its_last_byte_is_not_executed(how: str) -> None:
+    async def test() -> None:
+        with closing(RawEndpoint()) as endpoint:
+            async with endpoint_harness(port=endpoint.port) as harness:
+                # More than both socket buffers hold, so that some of it stays behind.
+                attempt = harness.start(1, body=b"x" * (32 << 20))
+                connection = await endpoint.accept()
+                await wait_until(
+                    lambda: (
+                        isinstance(attempt.connection, EndpointConnection)
+                        and attempt.connection.transport is not None
+                    )
+                )
+                if how == "reset":
+                    reset(connection)
+                else:
+                    harness.pools.expire_attempt(attempt)
+                    connection.close()
+                assert (await harness.end())[:2] == (1, Outcome.CONNECT_FAILED)
+
+    run_on_loop(test)
+
+
+@pytest.mark.parametrize("size", [1, 8 << 20])
+def test_reset_right_after_the_last_byte_may_have_been_executed_however_late_that_was_written(
+    size: int,
+) -> None:
+    """The loop writes later what one write did not accept; the attempt may be executed from then on."""
+
+    async def test() -> None:
+        with closing(RawEndpoint()) as endpoint:
+            async with endpoint_harness(port=endpoint.port) as harness:
+                harness.start(1, body=b"x" * (size - 1) + b"y")
+                connection = await endpoint.accept()
+                data = b""
+                while not data.endswith(b"y\r\n"):
+                    data = await endpoint.receive(connection, 1 << 20)
+                reset(connection)
+                assert (await harness.end())[:2] == (1, Outcome.RESET)
+                assert harness.metrics.attempts == 1
+
+    run_on_loop(test)
+
+
+def test_attempt_still_connecting_is_not_written_past_its_idempotency_window() -> None:
+    """A retry decided within the window may find its connection established only after the window."""
+
+    async def test() -> None:
+        endpoint = FakeEndpoint()
+        async with endpoint_harness(endpoint) as harness:
+            harness.start(1, send_deadline_ns=CLOCK())
+            assert (await harness.end())[:2] == (1, Outcome.CONNECT_FAILED)
+            harness.start(2, send_deadline_ns=CLOCK() + 60 * SECOND)
+            assert (await endpoint.next_command())[1][2] == b"i"
+            assert endpoint.commands.empty()
+            assert harness.pools.open_connections == 1
+
+    run_on_loop(test)
+
+
+def test_attempt_ends_once_though_it_is_cancelled_while_its_failure_is_scheduled() -> None:
+    async def test() -> None:
+        async with endpoint_harness(port=1) as harness:
+            attempt = harness.start(1, endpoint=99)
+            harness.pools.cancel_unsent(attempt)
+            harness.start(2, endpoint=99)
+            assert (await harness.end())[:2] == (1, Outcome.NOT_SENT)
+            assert (await harness.end())[:2] == (2, Outcome.CONNECT_FAILED)
+            assert harness.ends.empty()
+
+    run_on_loop(test)
+
+
+def test_attempt_at_an_unknown_endpoint_is_not_executed() -> None:
+    async def test() -> None:
+        async with endpoint_harness(port=1) as harness:
+            harness.start(1, endpoint=99)
+            assert harness.ends.empty()  # reported in a later turn of the loop
+            assert (await harness.end())[:2] == (1, Outcome.CONNECT_FAILED)
+
+    run_on_loop(test)
--- a/tests/server/test_attempts_given_up.py
+++ b/tests/server/test_attempts_given_up.py
@@ -22,12 +22,15 @@
         loop = asyncio.get_running_loop()
         with closing(socket.create_server((LOOPBACK, 0))) as listener:
             listener.setblocking(False)
-            async with endpoint_harness(port=listener.getsockname()[1]) as b:
-                attempt = b.start(1)
+            async with endpoint_harness(port=listener.getsockname()[1]) as harness:
+                attempt = harness.start(1)
                 accepted, _ = await with_timeout(loop.sock_accept(listener))
                 with closing(accepted):
                     assert await with_timeout(loop.sock_recv(accepted, 1 << 16))
-                    give_up = {"cancelled": b.pools.cancel_attempt, "out of time": b.pools.expire_attempt}
+                    give_up = {
+                        "cancelled": harness.pools.cancel_attempt,
+                        "out of time": harness.pools.expire_attempt,
+                    }
                     give_up[how](attempt)
                     # The loop does not turn here, as if the process were held up.
                     accepted.settimeout(1.0)
@@ -44,24 +47,24 @@
         with closing(socket.create_server((LOOPBACK, 0))) as listener:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             listener.setblocking(False)
-            async with endpoint_harness(port=listener.getsockname()[1]) as b:
-                b.start(1)
+            async with endpoint_harness(port=listener.getsockname()[1]) as harness:
+                harness.start(1)
                 accepted, _ = await with_timeout(loop.sock_accept(listener))
                 with closing(accepted):
                     assert await with_timeout(loop.sock_recv(accepted, 1 << 16))
                     accepted.sendall(success_reply(b"v"))
-                    assert (await b.end())[1] is Outcome.OK
-                    (connection,) = b.pools._pools[7].idle
+                    assert (await harness.end()).outcome is Outcome.OK
+                    (connection,) = harness.pools._pools[7].idle
                     assert connection.transport is not None
                     connection.transport.get_extra_info("socket").setsockopt(
                         socket.SOL_SOCKET, socket.SO_SNDBUF, 4096
                     )
                     await asyncio.sleep(2 * REUSE_DELAY_S)
-                    attempt = b.start(2, body=b"B" * 60_000)
+                    attempt = harness.start(2, body=b"B" * 60_000)
                     assert attempt.connection is connection
                     assert connection.has_unsent
-                    b.pools.expire_attempt(attempt)
-                    assert (await b.end())[1] is Outcome.CONNECT_FAILED
+                    harness.pools.expire_attempt(attempt)
+                    assert (await harness.end()).outcome is Outcome.CONNECT_FAILED
                     received = 0
                     while part := await with_timeout(loop.sock_recv(accepted, 1 << 16)):
                         received += len(part)
--- /dev/null
+++ b/tests/server/test_support_servers.py
@@ -0,0 +1,30 @@
+"""The servers and clients that the tests use."""
+
+from __future__ import annotations
+
+import asyncio
+
+from tests.support.servers import (
+    LOOPBACK,
+    Connection,
+    FakeEndpoint,
+    bulk_string,
+    listening,
+    run_on_loop,
+)
+
+
+def test_connection_helper_reads_complete_messages() -> None:
+    async def test() -> None:
+        endpoint = FakeEndpoint()
+        async with listening(endpoint):
+            client = Connection(*await asyncio.open_connection(LOOPBACK, endpoint.port))
+            client.send(b"*1\r\n$4\r\nPI")
+            client.send(b"NG\r\n")
+            connection, words = await endpoint.next_command()
+            assert words == [b"PING"]
+            connection.send(bulk_string(b"x"))
+            assert await client.next_message() == b"x"
+            client.abort()
+
+    run_on_loop(test)
