--- /dev/null
+++ b/tests/server/test_metrics.py
@@ -0,0 +1,93 @@
+"""Metrics: how they are rendered, and what a request adds to them."""
+
+from __future__ import annotations
+
+from qos_gateway.server.observability.close_reasons import CloseReason
+from qos_gateway.server.observability.invariants import Invariant, InvariantMonitor
+from qos_gateway.server.observability.metrics import Gauges, Metrics, RequestResult, render
+from qos_gateway.server.observability.retry_causes import RetryCause
+from qos_gateway.types import RejectReason
+from tests.support.metric_values import read_metrics
+from tests.support.servers import (
+    call_command,
+    gateway_harness,
+    run_on_loop,
+    success_reply,
+)
+
+
+def test_metrics_are_rendered_one_a_line() -> None:
+    monitor = InvariantMonitor()
+    metrics = Metrics((b"stock-check", b"look.up|x"), monitor.violations)
+    metrics.count_request(0, RequestResult.SERVED)
+    metrics.count_request(1, RequestResult.REJECTED)
+    metrics.count_request(1, RequestResult.FAILED)
+    metrics.attempts = 5
+    metrics.rejections[RejectReason.QUOTA] += 2
+    metrics.retries[RetryCause.CONNECT_FAILED] += 3
+    metrics.client_closes[CloseReason.EVICTED] += 4
+    monitor.report(Invariant.CLOSE, "unanswered_idle", b"9b1f03aa5c7e2d41")
+    assert render(metrics, Gauges(14, 9, 2)).decode().splitlines() == [
+        "edge_router.handled.stock-check.passed:1|c",
+        "edge_router.handled.stock-check.dropped:0|c",
+        "edge_router.handled.stock-check.bad_gateway:0|c",
+        "edge_router.handled.look_up_x.passed:0|c",
+        "edge_router.handled.look_up_x.dropped:1|c",
+        "edge_router.handled.look_up_x.bad_gateway:1|c",
+        "edge_router.upstream_tries:5|c",
+        "edge_router.in_progress:14|g",
+        "edge_router.known_order_servers:9|g",
+        "edge_router.skipped_order_servers:2|g",
+        "edge_router.rejections.unspecified:0|c",
+        "edge_router.rejections.customer_cap:0|c",
+        "edge_router.rejections.load_limit:0|c",
+        "edge_router.rejections.quota:2|c",
+        "edge_router.rejections.no_endpoint:0|c",
+        "edge_router.rejections.no_retry:0|c",
+        "edge_router.retries.hedged:0|c",
+        "edge_router.retries.error:0|c",
+        "edge_router.retries.overloaded:0|c",
+        "edge_router.retries.timeout:0|c",
+        "edge_router.retries.connect_failed:3|c",
+        "edge_router.retries.reset:0|c",
+        "edge_router.retries.cancelled:0|c",
+        "edge_router.retries.not_sent:0|c",
+        "edge_router.client_closes.client_closed:0|c",
+        "edge_router.client_closes.hangup_seen:0|c",
+        "edge_router.client_closes.idle:0|c",
+        "edge_router.client_closes.evicted:4|c",
+        "edge_router.client_closes.drained:0|c",
+        "edge_router.client_closes.protocol_error:0|c",
+        "edge_router.client_closes.write_stalled:0|c",
+        "edge_router.client_closes.value_aborted:0|c",
+        "edge_router.client_closes.shutdown:0|c",
+        "edge_router.violations.send:0|c",
+        "edge_router.violations.repeat:0|c",
+        "edge_router.violations.close:1|c",
+        "edge_router.violations.start:0|c",
+    ]
+
+
+def test_each_request_counts_in_one_metric_and_each_attempt_once_it_is_written() -> None:
+    async def test() -> None:
+        async with gateway_harness() as harness:
+            client = await harness.connect_client()
+            for number, ending in enumerate((success_reply(b"v"), b"-ERR failed\r\n")):
+                client.send(call_command("charge", number))
+                connection, _ = await harness.endpoint.next_command()
+                assert read_metrics(harness)["in_progress"] == 1
+                assert read_metrics(harness)["upstream_tries"] == number + 1
+                connection.send(ending)
+                await client.next_message()
+            client.send(call_command("charge", 2, wait_ms=0))  # no time left for an attempt
+            assert str(await client.next_message()).startswith("BUSY ")
+            client.send(b"*1\r\n$4\r\nPING\r\n*2\r\n$8\r\nCALL.GET\r\n$1\r\nx\r\n")
+            assert await client.next_message() == b"PONG"  # neither is a request
+            await client.next_message()
+            values = read_metrics(harness)
+            assert [values[f"handled.charge.{how.value}"] for how in RequestResult] == [1, 1, 1]
+            assert sum(n for name, n in values.items() if name.startswith("handled.")) == 3
+            assert (values["upstream_tries"], values["in_progress"]) == (2, 0)
+            assert (values["known_order_servers"], values["skipped_order_servers"]) == (1, 0)
+
+    run_on_loop(test)
