--- a/tests/server/test_process.py
+++ b/tests/server/test_process.py
@@ -31,7 +31,7 @@
 )
 
 
-def test_sigterm_answers_all_that_was_taken_and_what_still_comes_then_exits_0(tmp_path: Path) -> None:
+def test_after_sigterm_accepted_and_queued_requests_are_answered_before_exit_0(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(tmp_path) as p:
             taken, idle = await p.client(), await p.client()
@@ -39,7 +39,7 @@
             assert await idle.next_message() == b"PONG"
             taken.send(call_command(number=1))
             first, _ = await p.endpoint.next_command()
-            # Held still, so that all of this waits in socket and accept queue at the gateway's SIGTERM.
+            # Suspended, so that all of this waits in socket and accept queue at the gateway's SIGTERM.
             p.process.send_signal(signal.SIGSTOP)
             late = await p.client()
             late.send(call_command(number=2))
@@ -61,7 +61,9 @@
     run_on_loop(test)
 
 
-def test_connection_in_the_accept_queue_is_taken_though_the_stopping_gateway_lagged(tmp_path: Path) -> None:
+def test_connection_in_the_accept_queue_is_served_by_a_stopping_gateway_that_was_suspended(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
         async with running(tmp_path) as p:
             p.process.send_signal(signal.SIGTERM)
@@ -72,7 +74,7 @@
             late = await p.client()
             late.send(call_command())
             await with_timeout(late.writer.drain())
-            await asyncio.sleep(ACCEPT_DRAIN_QUIET_S + 0.1)  # its time to close the door passes meanwhile
+            await asyncio.sleep(ACCEPT_DRAIN_QUIET_S + 0.1)  # after which it would close its listener
             p.process.send_signal(signal.SIGCONT)
             connection, _ = await p.endpoint.next_command()
             connection.send(success_reply(b"v"))
@@ -88,14 +90,14 @@
             p.process.send_signal(signal.SIGTERM)
             await p.logged(b"stopping")
 
-            async def knock() -> None:
-                while True:  # ends when the door is closed; each stays open and says nothing
+            async def connect_repeatedly() -> None:
+                while True:  # until the listener is closed; each connection stays open, without a command
                     kept.append(await p.client())
                     await asyncio.sleep(0.02)
 
             kept: list[Connection] = []
             with pytest.raises(ConnectionRefusedError):
-                await with_timeout(knock())
+                await with_timeout(connect_repeatedly())
             assert len(kept) > 1
             assert await with_timeout(p.process.wait()) == 0
 
@@ -110,26 +112,25 @@
             client = await p.client()
             client.send(call_command(number=1))
             before, _ = await p.endpoint.next_command()
-            whole = json.dumps(raw_config(agent.port) | {"name": "other"})
-            for bad in (whole[:-9], json.dumps({"discovery": f"{LOOPBACK}:{agent.port}"})):
+            valid = json.dumps(raw_config(agent.port) | {"name": "other"})
+            for bad in (valid[:-9], json.dumps({"discovery": f"{LOOPBACK}:{agent.port}"})):
                 p.path.write_text(bad)
                 p.process.send_signal(signal.SIGHUP)
                 await p.logged(b"configuration_invalid")
             assert agent.requests.empty()
-            p.path.write_text(whole)
+            p.path.write_text(valid)
             for _ in range(3):
                 p.process.send_signal(signal.SIGHUP)
             await p.logged(b"configuration_needs_restart settings=name")
             assert b"index=1 " in await with_timeout(agent.requests.get())
             before.send(success_reply(b"one"))
             assert await client.next_message() == b"one"
-            # The list in use stays, and what the new agent tells is added to it.
+            # The list in use stays, and the updates of the new agent are applied to it.
             agent.send_update(
                 endpoint_list(3, endpoint_entry("s-1", p.endpoint.port, "terminating"), whole=False)
             )
-            await wait_until(
-                lambda: p.endpoint.closed_connections == 1
-            )  # its connection at rest goes with the drain
+            # The drain closes its idle connection.
+            await wait_until(lambda: p.endpoint.closed_connections == 1)
             client.send(call_command(number=2))
             connection, _ = await second.next_command()
             connection.send(success_reply(b"two"))
@@ -157,6 +158,19 @@
     run_on_loop(test)
 
 
+async def failed_start(path: Path) -> tuple[bytes, bytes]:
+    """Start a gateway whose configuration ends it with exit 2; return its standard output and error."""
+    process = await asyncio.create_subprocess_exec(
+        *COMMAND,
+        env={**os.environ, "ROUTER_CONFIG": str(path)},
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.PIPE,
+    )
+    out, err = await with_timeout(process.communicate())
+    assert process.returncode == 2
+    return out, err
+
+
 def _without(key: str) -> dict[str, Any]:
     raw = raw_config(1)
     del raw[key]
@@ -182,14 +196,7 @@
         path = tmp_path / "config.json"
         if raw is not None:
             path.write_text(raw if isinstance(raw, str) else json.dumps(raw))
-        process = await asyncio.create_subprocess_exec(
-            *COMMAND,
-            env={**os.environ, "ROUTER_CONFIG": str(path)},
-            stdout=asyncio.subprocess.PIPE,
-            stderr=asyncio.subprocess.PIPE,
-        )
-        out, err = await with_timeout(process.communicate())
-        assert process.returncode == 2
+        out, err = await failed_start(path)
         assert out == b""
         (line,) = err.decode().splitlines()
         assert line.startswith("qos_gateway: ")
@@ -205,11 +212,7 @@
         async with listening(agent):
             path = tmp_path / "config.json"
             path.write_text(json.dumps(raw_config(agent.port) | {"listen": f"{LOOPBACK}:{agent.port}"}))
-            process = await asyncio.create_subprocess_exec(
-                *COMMAND, env={**os.environ, "ROUTER_CONFIG": str(path)}, stderr=asyncio.subprocess.PIPE
-            )
-            _, err = await with_timeout(process.communicate())
-            assert process.returncode == 2
+            _, err = await failed_start(path)
             assert err.decode().splitlines()[-1].startswith("qos_gateway: cannot listen: ")
             assert b"Traceback" not in err
 
--- a/tests/server/test_upgrade.py
+++ b/tests/server/test_upgrade.py
@@ -9,13 +9,10 @@
 
 import pytest
 
-from tests.support.processes import inherited_socket, operate, running, serving
+from tests.support.processes import call_admin, inherited_socket_host, running
 from tests.support.servers import (
-    FakeDiscovery,
     FakeEndpoint,
     call_command,
-    endpoint_entry,
-    endpoint_list,
     listening,
     run_on_loop,
     success_reply,
@@ -24,73 +21,70 @@
 )
 
 
-def test_upgrade_on_an_inherited_socket_answers_all_and_leaves_new_ones_to_the_next(tmp_path: Path) -> None:
+def test_upgrade_on_an_inherited_socket_answers_all_and_leaves_new_connections_to_the_next_process(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
-        agent, endpoint = FakeDiscovery(), FakeEndpoint()
-        async with listening(agent), listening(endpoint), inherited_socket() as sock:
-            agent.first_update = endpoint_list(1, endpoint_entry("s-1", endpoint.port))
-            async with serving(tmp_path, agent, endpoint, sock) as old:
-                taken, idle = await old.client(), await old.client()
-                idle.send(b"*1\r\n$4\r\nPING\r\n")
-                assert await idle.next_message() == b"PONG"
-                taken.send(call_command(number=1))
-                first, _ = await endpoint.next_command()
-                async with serving(tmp_path, agent, endpoint, sock) as new:
-                    old.process.send_signal(signal.SIGTERM)
-                    await old.logged(b"stopping")
-                    assert await idle.next_message() is None
-                    for number in range(2, 12):  # the old accepts no more
-                        client = await new.client()
-                        client.send(call_command(number=number))
-                        connection, words = await endpoint.next_command()
-                        assert words[2] == b"%016x" % number
-                        connection.send(success_reply(b"new"))
-                        assert await client.next_message() == b"new"
-                    assert old.process.returncode is None
-                    first.send(success_reply(b"old"))
-                    assert await taken.next_message() == b"old"
-                    assert await taken.next_message() is None
-                    assert await with_timeout(old.process.wait()) == 0
+        async with inherited_socket_host(tmp_path) as host, host.serving() as old:
+            taken, idle = await old.client(), await old.client()
+            idle.send(b"*1\r\n$4\r\nPING\r\n")
+            assert await idle.next_message() == b"PONG"
+            taken.send(call_command(number=1))
+            first, _ = await host.endpoint.next_command()
+            async with host.serving() as new:
+                old.process.send_signal(signal.SIGTERM)
+                await old.logged(b"stopping")
+                assert await idle.next_message() is None
+                for number in range(2, 12):  # the old accepts no more
                     client = await new.client()
-                    client.send(call_command(number=20))
-                    connection, _ = await endpoint.next_command()
-                    connection.send(success_reply(b"still"))
-                    assert await client.next_message() == b"still"
+                    client.send(call_command(number=number))
+                    connection, words = await host.endpoint.next_command()
+                    assert words[2] == b"%016x" % number
+                    connection.send(success_reply(b"new"))
+                    assert await client.next_message() == b"new"
+                assert old.process.returncode is None
+                first.send(success_reply(b"old"))
+                assert await taken.next_message() == b"old"
+                assert await taken.next_message() is None
+                assert await with_timeout(old.process.wait()) == 0
+                client = await new.client()
+                client.send(call_command(number=20))
+                connection, _ = await host.endpoint.next_command()
+                connection.send(success_reply(b"still"))
+                assert await client.next_message() == b"still"
 
     run_on_loop(test)
 
 
-def test_disabled_endpoint_stays_so_over_an_upgrade_and_either_process_takes_the_call(
+def test_disabled_endpoint_stays_disabled_over_an_upgrade_and_either_process_takes_the_call(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        agent, one, two = FakeDiscovery(), FakeEndpoint(), FakeEndpoint()
-        async with listening(agent), listening(one), listening(two), inherited_socket() as sock:
-            agent.first_update = endpoint_list(
-                1, endpoint_entry("s-1", one.port), endpoint_entry("s-2", two.port)
-            )
-            async with serving(tmp_path, agent, one, sock) as old:
+        two = FakeEndpoint()
+        async with listening(two), inherited_socket_host(tmp_path, two) as host:
+            one = host.endpoint
+            async with host.serving() as old:
                 kept = await old.client()
                 kept.send(call_command(number=1, wait_ms=9000))
                 await wait_until(lambda: one.commands.qsize() + two.commands.qsize() == 1)
                 held = (one if one.commands.qsize() else two).commands.get_nowait()[0]
-                assert await operate(old, "/ops/order-servers/down", b"s-1") == 200
-                async with serving(tmp_path, agent, one, sock) as new:
-                    assert b"handover_completed endpoints_disabled=1" in new.read
-                    assert await operate(new, "/ops/readiness") == 200
-                    # During the overlap the old door reaches the new process, and the other way round.
-                    assert await operate(new, "/ops/order-servers/up", b"s-1") == 200
-                    assert await operate(old, "/ops/order-servers/down", b"s-2") == 200
+                assert await call_admin(old, "/ops/order-servers/down", b"s-1") == 200
+                async with host.serving() as new:
+                    assert b"handover_completed endpoints_disabled=1" in new.log_read
+                    assert await call_admin(new, "/ops/readiness") == 200
+                    # During the overlap each process applies the calls that the other one receives.
+                    assert await call_admin(new, "/ops/order-servers/up", b"s-1") == 200
+                    assert await call_admin(old, "/ops/order-servers/down", b"s-2") == 200
                     old.process.send_signal(signal.SIGTERM)
                     await old.logged(b"stopping")
-                    assert await operate(old, "/ops/readiness") == 503
+                    assert await call_admin(old, "/ops/readiness") == 503
                     await asyncio.sleep(0)
                     for number in range(2, 12):
                         client = await new.client()
                         client.send(call_command(number=number))
                         answered = asyncio.ensure_future(client.next_message())
                         while not answered.done():
-                            assert two.commands.empty()  # left out: nothing may go there
+                            assert two.commands.empty()  # disabled: it gets no request
                             if not one.commands.empty():
                                 one.commands.get_nowait()[0].send(success_reply(b"v"))
                             await asyncio.sleep(0.001)
@@ -98,35 +92,32 @@
                     assert await kept.next_message() == b"old"
                     assert await with_timeout(old.process.wait()) == 0
                     await new.logged(b"handover_other_process_ended")
-                    assert await operate(new, "/ops/order-servers/up", b"s-2") == 200
-                    assert await operate(new, "/ops/order-servers/up", b"s-3") == 404
+                    assert await call_admin(new, "/ops/order-servers/up", b"s-2") == 200
+                    assert await call_admin(new, "/ops/order-servers/up", b"s-3") == 404
 
     run_on_loop(test)
 
 
-def test_old_process_gets_its_shares_back_when_the_new_one_dies(tmp_path: Path) -> None:
+def test_old_process_regains_its_shares_when_the_new_one_dies(tmp_path: Path) -> None:
     async def test() -> None:
-        agent, endpoint = FakeDiscovery(), FakeEndpoint()
-        async with listening(agent), listening(endpoint), inherited_socket() as sock:
-            agent.first_update = endpoint_list(1, endpoint_entry("s-1", endpoint.port))
-            async with serving(tmp_path, agent, endpoint, sock) as old:
-                async with serving(tmp_path, agent, endpoint, sock) as new:
-                    new.process.kill()
-                    await new.process.wait()
-                await old.logged(b"handover_other_process_ended")
-                assert await operate(old, "/ops/order-servers/down", b"s-1") == 200
-                assert await operate(old, "/ops/order-servers/up", b"s-1") == 200
-                assert await operate(old, "/ops/readiness") == 200
-                old.process.send_signal(signal.SIGTERM)
-                assert old.process.stderr is not None
-                assert b"handover_other_process_ended" not in await with_timeout(old.process.stderr.read())
-                assert await with_timeout(old.process.wait()) == 0
+        async with inherited_socket_host(tmp_path) as host, host.serving() as old:
+            async with host.serving() as new:
+                new.process.kill()
+                await new.process.wait()
+            await old.logged(b"handover_other_process_ended")
+            assert await call_admin(old, "/ops/order-servers/down", b"s-1") == 200
+            assert await call_admin(old, "/ops/order-servers/up", b"s-1") == 200
+            assert await call_admin(old, "/ops/readiness") == 200
+            old.process.send_signal(signal.SIGTERM)
+            assert old.process.stderr is not None
+            assert b"handover_other_process_ended" not in await with_timeout(old.process.stderr.read())
+            assert await with_timeout(old.process.wait()) == 0
 
     run_on_loop(test)
 
 
 @pytest.mark.parametrize(
-    "said",
+    "reply",
     [
         None,
         b"",
@@ -138,29 +129,26 @@
         b'{"v":1,"state":{"list":null,"clients":1,"backends":1,"decisions":{"accounts":[[1]]}}}\n',
     ],
 )
-def test_silent_or_malformed_process_before_delays_the_start_by_a_bounded_time(
-    tmp_path: Path, said: bytes | None
+def test_silent_or_malformed_previous_process_delays_the_start_by_a_bounded_time(
+    tmp_path: Path, reply: bytes | None
 ) -> None:
     async def test() -> None:
         async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.append(await reader.readline())
-            if said is not None:
-                writer.write(said)
-                if not said.endswith(b"\n"):
+            requests.append(await reader.readline())
+            if reply is not None:
+                writer.write(reply)
+                if not reply.endswith(b"\n"):
                     writer.close()
 
-        asked: list[bytes] = []
+        requests: list[bytes] = []
         server = await asyncio.start_unix_server(answer, tmp_path / "upgrade-n0.sock")
-        agent, endpoint = FakeDiscovery(), FakeEndpoint()
-        async with listening(agent), listening(endpoint), inherited_socket() as sock:
-            agent.first_update = endpoint_list(1, endpoint_entry("s-1", endpoint.port))
-            async with serving(tmp_path, agent, endpoint, sock) as p:
-                assert json.loads(asked[0]) == {"v": 1, "want": "state"}
-                client = await p.client()
-                client.send(call_command())
-                connection, _ = await endpoint.next_command()
-                connection.send(success_reply(b"v"))
-                assert await client.next_message() == b"v"
+        async with inherited_socket_host(tmp_path) as host, host.serving() as p:
+            assert json.loads(requests[0]) == {"v": 1, "want": "state"}
+            client = await p.client()
+            client.send(call_command())
+            connection, _ = await host.endpoint.next_command()
+            connection.send(success_reply(b"v"))
+            assert await client.next_message() == b"v"
         server.close()
 
     run_on_loop(test)
@@ -170,22 +158,20 @@
     async def test() -> None:
         folder = tmp_path / ("long" * 30)
         folder.mkdir()
-        agent, endpoint = FakeDiscovery(), FakeEndpoint()
-        async with listening(agent), listening(endpoint), inherited_socket() as sock:
-            agent.first_update = endpoint_list(1, endpoint_entry("s-1", endpoint.port))
-            async with serving(folder, agent, endpoint, sock) as killed:
+        async with inherited_socket_host(folder) as host:
+            async with host.serving() as killed:
                 killed.process.kill()
                 await killed.process.wait()
-            async with serving(folder, agent, endpoint, sock) as p:  # finds the name, and nobody there
-                assert await operate(p, "/ops/order-servers/down", b"s-1") == 200
-                async with serving(folder, agent, endpoint, sock) as new:
-                    assert b"handover_completed endpoints_disabled=1" in new.read
+            async with host.serving() as p:  # finds the socket of a process that has ended
+                assert await call_admin(p, "/ops/order-servers/down", b"s-1") == 200
+                async with host.serving() as new:
+                    assert b"handover_completed endpoints_disabled=1" in new.log_read
 
     run_on_loop(test)
 
 
 @pytest.mark.parametrize("descriptor", ["0", "999"])
-def test_descriptor_that_is_no_listening_socket_is_passed_over(tmp_path: Path, descriptor: str) -> None:
+def test_inherited_descriptor_that_is_no_listening_socket_is_ignored(tmp_path: Path, descriptor: str) -> None:
     async def test() -> None:
         async with running(tmp_path, ROUTER_PASSED_SOCKET=descriptor) as p:
             client = await p.client()
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -8,7 +8,8 @@
 import socket
 import sys
 from collections.abc import AsyncIterator
-from contextlib import asynccontextmanager
+from contextlib import AbstractAsyncContextManager, asynccontextmanager
+from dataclasses import dataclass
 from pathlib import Path
 
 from tests.support.servers import (
@@ -33,15 +34,15 @@
         self, process: asyncio.subprocess.Process, port: int, endpoint: FakeEndpoint, path: Path
     ) -> None:
         self.process, self.port, self.endpoint, self.path = process, port, endpoint, path
-        self.door = 0
-        self.read = b""  # of the log: what was read past on the way to lines asked for
+        self.admin_port = 0
+        self.log_read = b""  # lines of the log before the one that a test waited for last
 
     async def logged(self, words: bytes) -> bytes:
-        """Reads the log up to a line that holds these words."""
+        """Read the log up to a line with these words, and return that line."""
         assert self.process.stderr is not None
         while words not in (line := await with_timeout(self.process.stderr.readline())):
             assert line, "ended before it said so"
-            self.read += line
+            self.log_read += line
         return line
 
     async def client(self) -> Connection:
@@ -77,7 +78,7 @@
     )
     try:
         made = Process(process, sock.getsockname()[1], endpoint, path)
-        made.door = int((await made.logged(b"admin_started")).rsplit(b":", 1)[1])
+        made.admin_port = int((await made.logged(b"admin_started")).rsplit(b":", 1)[1])
         await made.logged(b"listening on")
         yield made
     finally:
@@ -86,21 +87,45 @@
         await process.wait()
 
 
-async def operate(p: Process, path: str, body: bytes = b"") -> int:
-    """Status of an operator's call."""
-    reader, writer = await with_timeout(asyncio.open_connection(LOOPBACK, p.door))
+async def call_admin(p: Process, path: str, body: bytes = b"") -> int:
+    """Return the status of a call to the admin API; a call with a body is a POST."""
+    reader, writer = await with_timeout(asyncio.open_connection(LOOPBACK, p.admin_port))
     head = f"{'POST' if body else 'GET'} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n"
     writer.write(head.encode() + body)
-    answer = await with_timeout(reader.read())
+    response = await with_timeout(reader.read())
     writer.close()
-    return int(answer.split()[1])
+    return int(response.split()[1])
+
+
+@dataclass(frozen=True)
+class InheritedSocketHost:
+    """The platform's side of an upgrade: one listening socket for several processes, and their discovery."""
+
+    folder: Path
+    agent: FakeDiscovery
+    endpoint: FakeEndpoint
+    sock: socket.socket
+
+    def serving(self) -> AbstractAsyncContextManager[Process]:
+        """Start a process that takes over from the one before it, if there is one."""
+        return serving(self.folder, self.agent, self.endpoint, self.sock)
+
+
+@asynccontextmanager
+async def inherited_socket_host(folder: Path, *more: FakeEndpoint) -> AsyncIterator[InheritedSocketHost]:
+    """Yield a host with endpoint s-1; more endpoints, which already listen, are s-2 and so on."""
+    agent, endpoint = FakeDiscovery(), FakeEndpoint()
+    async with listening(agent), listening(endpoint), inherited_socket() as sock:
+        entries = (endpoint_entry(f"s-{i}", each.port) for i, each in enumerate((endpoint, *more), 1))
+        agent.first_update = endpoint_list(1, *entries)
+        yield InheritedSocketHost(folder, agent, endpoint, sock)
 
 
 @asynccontextmanager
 async def launched(
     folder: Path, agent: FakeDiscovery, **more: str
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    """A gateway's process, from its first moment."""
+    """Start a gateway's process; it may not listen yet."""
     path = folder / "config.json"
     path.write_text(json.dumps(raw_config(agent.port)))
     process = await asyncio.create_subprocess_exec(
@@ -123,6 +148,7 @@
 
 @asynccontextmanager
 async def running(folder: Path, **more: str) -> AsyncIterator[Process]:
+    """Start a gateway with one endpoint, and wait until it listens."""
     agent, endpoint = FakeDiscovery(), FakeEndpoint()
     async with listening(agent), listening(endpoint):
         agent.first_update = endpoint_list(1, endpoint_entry("s-1", endpoint.port))
