--- /dev/null
+++ b/tests/support/slow_start_simulation.py
@@ -0,0 +1,277 @@
+"""Gateways and endpoints on a virtual clock, while some of the endpoints are in slow start."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Iterator
+from dataclasses import dataclass, field, replace
+from heapq import heappop, heappush
+from itertools import accumulate, count
+from math import sqrt
+from typing import NamedTuple
+
+from qos_gateway.decisions.engine import DecisionEngine
+from qos_gateway.types import (
+    AttemptEnded,
+    CancelAttempt,
+    Event,
+    Health,
+    ListKind,
+    Outcome,
+    Send,
+    SetTimer,
+    Settings,
+    TimerFired,
+    Topology,
+)
+from tests.support.builders import MS, SECOND, arrival, ended, listed_endpoint, plan, settings
+
+# All times are in ns. Endpoints start at START_NS; in the endpoint list a start at 0 is long ago.
+START_NS = 100 * SECOND
+LEAD_NS, SLOW_START_NS, OVERLOAD_WINDOW_NS = SECOND, 5 * SECOND, 2 * SECOND
+END_NS = START_NS + SLOW_START_NS
+RESPONSE_TIME_NS = 40 * MS  # without the time in the queue and the time of the work
+MAX_QUEUE_S = 0.8  # of work that waits at an endpoint; beyond it, the endpoint rejects requests
+
+
+@dataclass(frozen=True, kw_only=True)
+class FleetSize:
+    """Gateways and endpoints of one simulation."""
+
+    gateways: int
+    warm: int  # endpoints that are warm before
+    starting: int  # endpoints that start
+    capacity_per_s: float  # requests that a warm endpoint serves
+
+
+@dataclass(frozen=True, kw_only=True)
+class Scenario:
+    """Changes of a list of endpoints; some of them start at `START_NS`."""
+
+    fleet: FleetSize
+    utilization: float  # offered load by the capacity of the warm endpoints
+    failing: int = 0  # warm endpoints that fail when the others start
+    restarted: bool = False  # the starting ones were in the list before
+    error_ratio: float = 0.0  # fraction of the attempts that end in an error or a time-out
+    gateway_restarts: int = 0  # in the middle of the slow start
+    overload_multiple: float = 2.0
+    initial_capacity: float = 0.2
+    traffic_spread: float = 1.0  # sigma of the logarithm of a gateway's share of the traffic
+
+
+@dataclass
+class SimulatedEndpoint:
+    """A first-in, first-out queue; its capacity rises linearly after its start."""
+
+    scenario: Scenario
+    started_at: int = 0
+    free_at: int = 0
+    failed: bool = False
+    # Attempts since its start: when, and whether the gateway was informed of the start.
+    sent: list[tuple[int, bool]] = field(default_factory=list)
+
+    def capacity(self, now: int) -> float:
+        """Return the requests per second that it serves."""
+        full = self.scenario.fleet.capacity_per_s
+        if not self.started_at:
+            return full
+        start = self.scenario.initial_capacity
+        return full * min(1.0, start + (1.0 - start) * (now - self.started_at) / SLOW_START_NS)
+
+    def serve(self, now: int, work: float) -> int | None:
+        """Return when the response is sent, None if the request is rejected."""
+        if self.free_at - now > MAX_QUEUE_S * SECOND:
+            return None
+        self.free_at = max(now, self.free_at) + int(work / self.capacity(now) * SECOND)
+        return self.free_at + RESPONSE_TIME_NS
+
+    def load_ratios(self) -> Iterator[float]:
+        """Compare the attempts in each window of the slow start with the overload limit.
+
+        Only windows count of which two thirds came from gateways that were informed of its start.
+        """
+        first = informed = 0
+        for last, (now, was_informed) in enumerate(self.sent):
+            informed += was_informed
+            while self.sent[first][0] <= now - OVERLOAD_WINDOW_NS:
+                informed -= self.sent[first][1]
+                first += 1
+            received = last + 1 - first
+            n = self.scenario.overload_multiple * self.capacity(now) * OVERLOAD_WINDOW_NS / SECOND
+            if now < self.started_at + SLOW_START_NS and 3 * informed > 2 * received:
+                yield received / (n + 2 * sqrt(n) + 2)
+
+
+class ScheduledEvent(NamedTuple):
+    """An event for one incarnation of a gateway; None is the list with the endpoints that start."""
+
+    at: int
+    order: int
+    position: int
+    incarnation: int
+    event: Event | None
+
+
+class AttemptInFlight(NamedTuple):
+    """Where an attempt is, and since when."""
+
+    endpoint: int
+    sent_at: int
+
+
+class Simulation:
+    """Gateways and endpoints that exchange events on a virtual clock."""
+
+    def __init__(self, scenario: Scenario, seed: int) -> None:
+        fleet = scenario.fleet
+        self.scenario, self.rng = scenario, random.Random(seed)
+        self.settings: Settings = settings(
+            plans=(plan(rate=0.0, burst=0.0),),
+            gateway_count=fleet.gateways,
+            may_message=False,
+            overload_window=OVERLOAD_WINDOW_NS,
+            overload_multiple=scenario.overload_multiple,
+            initial_capacity_fraction=scenario.initial_capacity,
+            slow_start_window=SLOW_START_NS,
+        )
+        ids = self.rng.sample(range(1, 10_000), fleet.warm + fleet.starting)
+        self.failing, self.starting = ids[: scenario.failing], ids[fleet.warm :]
+        known = ids if scenario.restarted else ids[: fleet.warm]
+        self.endpoints = {i: SimulatedEndpoint(scenario) for i in known}
+        self.gateways = [self.new_gateway(position) for position in range(fleet.gateways)]
+        self.incarnations = [0] * fleet.gateways  # events for an earlier incarnation are dropped
+        self.informed = [False] * fleet.gateways
+        self.events: list[ScheduledEvent] = []
+        self.order = count()
+        self.in_flight: dict[tuple[int, int], AttemptInFlight] = {}  # by request and attempt
+        self.attempts: dict[int, int] = {}
+        self.requests = 0
+
+    def new_gateway(self, position: int) -> DecisionEngine:
+        return DecisionEngine(
+            replace(self.settings, position=position), self.rng.randrange(1 << 30), START_NS - LEAD_NS
+        )
+
+    def topology(self, kind: ListKind) -> Topology:
+        entries = tuple(
+            listed_endpoint(i, Health.REMOVED if e.failed else Health.READY, e.started_at, cell=i % 4)
+            for i, e in self.endpoints.items()
+        )
+        return Topology(kind, 1, entries)
+
+    def schedule(self, at: int, position: int, event: Event | None) -> None:
+        entry = ScheduledEvent(at, next(self.order), position, self.incarnations[position], event)
+        heappush(self.events, entry)
+
+    def run(self) -> None:
+        """Send requests to the gateways from `LEAD_NS` before the start to the end of the slow start."""
+        scenario, rng = self.scenario, self.rng
+        positions = range(scenario.fleet.gateways)
+        for position in positions:
+            list_at = START_NS - LEAD_NS + rng.randrange(100 * MS)
+            self.schedule(list_at, position, self.topology(ListKind.FULL))
+            self.schedule(START_NS + rng.randrange(50 * MS, 400 * MS), position, None)
+        shares = list(accumulate(rng.lognormvariate(0.0, scenario.traffic_spread) for _ in positions))
+        restarts = {START_NS + SLOW_START_NS // 2 + i * 20 * MS: i for i in range(scenario.gateway_restarts)}
+        rate = self.requests_per_ns()
+        now, started = START_NS - LEAD_NS, False
+        while now < END_NS:
+            now += int(rng.expovariate(rate))
+            while self.events and self.events[0].at <= now:
+                due = heappop(self.events)
+                if due.at >= START_NS and not started:
+                    started = True
+                    self.start_endpoints()
+                if due.incarnation == self.incarnations[due.position]:
+                    self.deliver(due.at, due.position, due.event)
+            for at in [at for at in restarts if at <= now]:
+                self.restart_gateway(at, restarts.pop(at))
+            (position,) = rng.choices(positions, cum_weights=shares)
+            self.send_request(now, position)
+
+    def requests_per_ns(self) -> float:
+        scenario, fleet = self.scenario, self.scenario.fleet
+        warm_before = fleet.warm + fleet.starting * scenario.restarted
+        return scenario.utilization * fleet.capacity_per_s * warm_before / SECOND
+
+    def send_request(self, now: int, position: int) -> None:
+        self.requests += 1
+        made = arrival(
+            self.requests,
+            now,
+            class_index=self.requests % 3,
+            customer_id=self.rng.randrange(50),
+            gateway_spread=1,
+            first_gateway=position,
+        )
+        self.handle(now, position, made)
+
+    def start_endpoints(self) -> None:
+        for i in self.failing:
+            self.endpoints[i].failed = True
+        for i in self.starting:
+            self.endpoints[i] = SimulatedEndpoint(self.scenario, started_at=START_NS)
+
+    def restart_gateway(self, now: int, position: int) -> None:
+        self.incarnations[position] += 1
+        self.gateways[position] = self.new_gateway(position)
+        kind = ListKind.FULL if position % 2 else ListKind.CACHED
+        self.informed[position] = True
+        self.handle(now, position, self.topology(kind))
+
+    def deliver(self, now: int, position: int, event: Event | None) -> None:
+        if event is None:
+            self.informed[position] = True
+            event = self.topology(ListKind.DELTA)
+        if isinstance(event, AttemptEnded):
+            if (event.request_id, event.attempt) not in self.in_flight:
+                return
+            del self.in_flight[event.request_id, event.attempt]
+        self.handle(now, position, event)
+
+    def handle(self, now: int, position: int, event: Event) -> None:
+        for action in self.gateways[position].handle(now, event):
+            match action:
+                case SetTimer(after, token):
+                    self.schedule(now + after, position, TimerFired(token))
+                case CancelAttempt(request, attempt) if (request, attempt) in self.in_flight:
+                    self.cancel(now, position, action)
+                case Send():
+                    self.send_attempt(now, position, action)
+
+    def cancel(self, now: int, position: int, action: CancelAttempt) -> None:
+        attempt = self.in_flight[action.request_id, action.attempt]
+        cancelled = ended(
+            action.request_id,
+            attempt.endpoint,
+            Outcome.CANCELLED,
+            action.attempt,
+            elapsed=now - attempt.sent_at,
+            finished=False,
+        )
+        self.schedule(now, position, cancelled)
+
+    def send_attempt(self, now: int, position: int, send: Send) -> None:
+        endpoint = self.endpoints[send.endpoint]
+        attempt = self.attempts[send.request_id] = self.attempts.get(send.request_id, -1) + 1
+        if endpoint.started_at:
+            endpoint.sent.append((now, self.informed[position]))
+        chance = self.rng.random()
+        at: int | None
+        if endpoint.failed:
+            at, outcome = now + 2 * MS, Outcome.CONNECT_FAILED
+        elif (at := endpoint.serve(now, self.rng.uniform(0.5, 1.5))) is None:
+            at, outcome = now + 2 * MS, Outcome.OVERLOADED
+        else:
+            outcome = Outcome.ERROR if chance < self.scenario.error_ratio / 2 else Outcome.OK
+        timeout = send.timeout or 3 * SECOND
+        if at - now > timeout or self.scenario.error_ratio / 2 <= chance < self.scenario.error_ratio:
+            at, outcome = now + timeout, Outcome.TIMEOUT
+        self.in_flight[send.request_id, attempt] = AttemptInFlight(send.endpoint, now)
+        finished = outcome is Outcome.OK or (outcome is Outcome.TIMEOUT and not send.timeout)
+        result = ended(send.request_id, send.endpoint, outcome, attempt, elapsed=at - now, finished=finished)
+        self.schedule(at, position, result)
+
+    def worst_load_ratio(self) -> float:
+        """Return the highest load ratio of the endpoints that start; 0 without one."""
+        return max((ratio for i in self.starting for ratio in self.endpoints[i].load_ratios()), default=0.0)
