--- a/tests/server/test_config.py
+++ b/tests/server/test_config.py
@@ -10,6 +10,7 @@
 
 from qos_gateway.server.config import Config, ConfigError, flatten, load, needs_restart, parse, reload
 from qos_gateway.server.config.restart_rules import CONFIGURATION_KEYS
+from tests.support.builders import SECOND
 from tests.support.servers import LOOPBACK, endpoint_list, raw_config
 
 
@@ -89,3 +90,14 @@
     assert config.classes == (b"look up", b"submit", b"charge")
     assert config.plans == (b"team",)
     assert config.settings.classes[0].name == "look_up"
+
+
+@pytest.mark.parametrize("value", [-1, 3, 51, "50", True, None])
+def test_invalid_lease_term_is_one_plain_line(value: object) -> None:
+    with pytest.raises(ConfigError, match="quota_lease_s"):
+        parse(raw_config(1) | {"quota_lease_s": value}, {})
+
+
+def test_lease_term_comes_from_the_configuration() -> None:
+    assert parse(raw_config(1) | {"quota_lease_s": 50}, {}).settings.lease_term == 50 * SECOND
+    assert parse(raw_config(1), {}).settings.lease_term == 0
