--- a/tests/server/test_discovery_versions.py
+++ b/tests/server/test_discovery_versions.py
@@ -2,6 +2,11 @@
 
 from __future__ import annotations
 
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from dataclasses import dataclass
+from typing import Any
+
 import pytest
 
 from qos_gateway.types import Health
@@ -18,22 +23,44 @@
 )
 
 
-def test_drain_holds_though_a_lagging_agent_sends_an_older_whole_list() -> None:
+@dataclass(frozen=True)
+class AgentChange:
+    """A follower of one agent that is given another one, which lags behind."""
+
+    old: FakeDiscovery
+    new: FakeDiscovery
+    follower: Follower
+
+    async def change_agent(self) -> None:
+        self.follower.watch.change_agent((LOOPBACK, self.new.port))
+        await with_timeout(self.new.requests.get())
+
+
+@asynccontextmanager
+async def agent_change(
+    version: int | None, known: dict[str, Any] | None = None
+) -> AsyncIterator[AgentChange]:
+    """Yield a follower that has called the old agent; `version` and `known` are what it starts with."""
+    old, new = FakeDiscovery(), FakeDiscovery()
+    async with listening(old), listening(new):
+        follower = Follower(old, version, known)
+        await with_timeout(old.requests.get())
+        yield AgentChange(old, new, follower)
+        await follower.watch.close()
+
+
+def test_drain_holds_though_a_lagging_agent_sends_an_older_full_list() -> None:
     async def test() -> None:
-        old, new = FakeDiscovery(), FakeDiscovery()
-        async with listening(old), listening(new):
-            f = Follower(old, None)
-            await with_timeout(old.requests.get())
-            old.send_update(
+        async with agent_change(None) as change:
+            change.old.send_update(
                 endpoint_list(
                     41, endpoint_entry("s-1", 1, "terminating"), endpoint_entry("s-2", 2, "terminating")
                 )
             )
-            await f.next()
-            f.watch.change_agent((LOOPBACK, new.port))
-            await with_timeout(new.requests.get())
+            await change.follower.next()
+            await change.change_agent()
             # The second has restarted, so the drain of its previous process no longer holds.
-            new.send_update(
+            change.new.send_update(
                 endpoint_list(
                     40,
                     endpoint_entry("s-1", 1),
@@ -41,70 +68,68 @@
                     endpoint_entry("s-3", 3),
                 )
             )
-            topology = (await f.next()).topology
+            topology = (await change.follower.next()).topology
             assert [e.health for e in topology.entries] == [Health.DRAINING, Health.READY, Health.READY]
-            new.send_update(endpoint_list(42, endpoint_entry("s-1", 1), whole=False))
-            assert (await f.next()).topology.entries[0].health is Health.READY
-            await f.watch.close()
+            change.new.send_update(endpoint_list(42, endpoint_entry("s-1", 1), whole=False))
+            assert (await change.follower.next()).topology.entries[0].health is Health.READY
 
     run_on_loop(test)
 
 
-@pytest.mark.parametrize("known_by", ["whole list", "configuration", "process before"])
-def test_older_whole_list_brings_back_nothing_that_was_gone_or_draining(known_by: str) -> None:
-    """What a whole list leaves out is gone: an agent that lags behind the one before may still name it."""
+@pytest.mark.parametrize("known_by", ["full list", "configuration", "previous process"])
+def test_older_full_list_restores_no_endpoint_that_was_removed_or_draining(known_by: str) -> None:
+    """An endpoint that a full list omits is removed; an agent that lags behind may still list it."""
 
     async def test() -> None:
-        old, new = FakeDiscovery(), FakeDiscovery()
         newest = endpoint_list(41, endpoint_entry("s-1", 1), endpoint_entry("s-2", 2, "terminating"))
-        async with listening(old), listening(new):
-            f = Follower(old, 40, newest if known_by == "configuration" else None)
-            await with_timeout(old.requests.get())
-            if known_by == "whole list":
+        async with agent_change(40, newest if known_by == "configuration" else None) as change:
+            if known_by == "full list":
                 first = endpoint_list(
                     40, *(endpoint_entry(f"s-{n}", n) for n in (1, 2, 3)), endpoint_entry("s-4", 4, born_ms=7)
                 )
-                old.send_update(first)
-                old.send_update(newest)
-                await f.next()
-                await f.next()
-            elif known_by == "process before":
-                f.watch.adopt_list(newest)
-            f.watch.change_agent((LOOPBACK, new.port))
-            await with_timeout(new.requests.get())
+                change.old.send_update(first)
+                change.old.send_update(newest)
+                await change.follower.next()
+                await change.follower.next()
+            elif known_by == "previous process":
+                change.follower.watch.adopt_list(newest)
+            await change.change_agent()
             listed = [endpoint_entry(f"s-{n}", n) for n in (1, 2, 3)]
-            new.send_update(endpoint_list(39, *listed, endpoint_entry("s-4", 4, born_ms=9)))
-            topology = (await f.next()).topology
-            # Where s-3 was never seen nobody knows that it is gone; s-4 has started again since.
-            seen = known_by == "whole list"
-            gone = Health.DRAINING if seen else Health.READY
-            assert [e.health for e in topology.entries] == [Health.READY, Health.DRAINING, gone, Health.READY]
-            # Nor do changes from before the newest list bring anything back.
-            new.send_update(endpoint_list(40, *(endpoint_entry(f"s-{n}", n) for n in (2, 3)), whole=False))
-            topology = (await f.next()).topology
-            assert [e.health for e in topology.entries] == [Health.DRAINING, gone]
-            hosts = (f.watch.current_list() or {})["hosts"]
+            change.new.send_update(endpoint_list(39, *listed, endpoint_entry("s-4", 4, born_ms=9)))
+            topology = (await change.follower.next()).topology
+            # Where s-3 was never listed its removal is unknown; s-4 has started again since.
+            seen = known_by == "full list"
+            removed = Health.DRAINING if seen else Health.READY
+            assert [e.health for e in topology.entries] == [
+                Health.READY,
+                Health.DRAINING,
+                removed,
+                Health.READY,
+            ]
+            # Changes from before the newest list restore no endpoint either.
+            change.new.send_update(
+                endpoint_list(40, *(endpoint_entry(f"s-{n}", n) for n in (2, 3)), whole=False)
+            )
+            topology = (await change.follower.next()).topology
+            assert [e.health for e in topology.entries] == [Health.DRAINING, removed]
+            hosts = (change.follower.watch.current_list() or {})["hosts"]
             last = "terminating" if seen else "in_service"
             assert [host["health"] for host in hosts[:3]] == ["in_service", "terminating", last]
-            new.send_update(
+            change.new.send_update(
                 endpoint_list(42, endpoint_entry("s-2", 2), endpoint_entry("s-3", 3), whole=False)
             )
-            topology = (await f.next()).topology
+            topology = (await change.follower.next()).topology
             assert [e.health for e in topology.entries] == [Health.READY, Health.READY]
-            await f.watch.close()
 
     run_on_loop(test)
 
 
-def test_older_list_takes_back_no_restart_that_a_newer_one_told_of() -> None:
-    """An endpoint that an older list calls warm is cold still, and one that has drained since drains on."""
+def test_older_list_reverts_no_restart_that_a_newer_one_reported() -> None:
+    """An endpoint that an older list reports as warm stays in slow start; a draining one stays draining."""
 
     async def test() -> None:
-        old, new = FakeDiscovery(), FakeDiscovery()
-        async with listening(old), listening(new):
-            f = Follower(old, None)
-            await with_timeout(old.requests.get())
-            old.send_update(
+        async with agent_change(None) as change:
+            change.old.send_update(
                 endpoint_list(
                     41,
                     endpoint_entry("s-1", 1, born_ms=9),
@@ -112,17 +137,15 @@
                     endpoint_entry("s-3", 3, born_ms=5),
                 )
             )
-            await f.next()
-            f.watch.change_agent((LOOPBACK, new.port))
-            await with_timeout(new.requests.get())
+            await change.follower.next()
+            await change.change_agent()
             before = [endpoint_entry("s-1", 1), endpoint_entry("s-2", 2), endpoint_entry("s-3", 3, born_ms=8)]
-            new.send_update(endpoint_list(40, *before))
-            entries = (await f.next()).topology.entries
+            change.new.send_update(endpoint_list(40, *before))
+            entries = (await change.follower.next()).topology.entries
             assert [(e.health, e.started_at // MILLISECOND) for e in entries] == [
                 (Health.READY, 9),
                 (Health.DRAINING, 9),
                 (Health.READY, 8),
             ]
-            await f.watch.close()
 
     run_on_loop(test)
