--- a/tests/decisions/test_engine.py
+++ b/tests/decisions/test_engine.py
@@ -11,20 +11,9 @@
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
 from qos_gateway.decisions.quota.owner_quota import OwnerQuota
 from qos_gateway.decisions.quota.peers.peer_messages import Reservation, ReservationKind, encode_reservation
-from qos_gateway.types import (
-    CounterReplied,
-    Event,
-    Health,
-    ListKind,
-    Outcome,
-    PeerMessage,
-    TimerFired,
-)
+from qos_gateway.types import CounterReplied, Event, Health, ListKind, Outcome, PeerMessage, TimerFired
 from tests.support.builders import MS, SECOND, arrival, ended, full_list, listed_endpoint, settings
-from tests.support.engines import (
-    engine_alone,
-    sends,
-)
+from tests.support.engines import engine_alone, sends
 from tests.support.event_fuzzer import EVENTS, EventFuzzer
 from tests.support.fleet import MANY
 
@@ -70,7 +59,7 @@
 
 
 class RemoteQuotaFuzzer(EventFuzzer):
-    """The same odd orders of events, where homes or the counter are asked."""
+    """The same orders of events, with an owner or the counter that holds the quota."""
 
     def __init__(self, **changes: Any) -> None:
         super().__init__()
