--- a/benchmarks/gateway_process.py
+++ b/benchmarks/gateway_process.py
@@ -18,7 +18,7 @@
 from benchmarks.stand_in_process import PROCESS_TIMEOUT_S
 from benchmarks.stand_ins import LOCALHOST, StandInPorts
 from qos_gateway.units import MILLISECOND
-from tests.support.servers import nested_settings
+from tests.support.configurations import nested_settings
 
 COUNTER_TIMEOUT_NS = 80 * MILLISECOND
 SECRET_SEED = "8c1f30d27a5be964"
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -25,8 +25,8 @@
 from qos_gateway.server.config import MAX_LEASE_S, ConfigError, parse
 from qos_gateway.types import Action, AddToCounter, CounterReplied, ListKind, Outcome, Reject, Send, Settings
 from tests.support.builders import MS, SECOND, arrival, ended, full_list, listed_endpoint, plan, settings
+from tests.support.configurations import raw_config
 from tests.support.handover import capture_json, restore_json
-from tests.support.servers import raw_config
 
 TERM, SET = 50 * SECOND, 10
 CEILED = plan(
--- a/tests/server/test_admin.py
+++ b/tests/server/test_admin.py
@@ -16,17 +16,11 @@
 from qos_gateway.server.observability.metrics import Gauges, Metrics, RequestResult, render
 from qos_gateway.server.observability.retry_causes import RetryCause
 from qos_gateway.types import RejectReason
-from tests.support.servers import (
-    LOOPBACK,
-    call_command,
-    endpoint_entry,
-    endpoint_list,
-    gateway_harness,
-    run_on_loop,
-    success_reply,
-    wait_until,
-    with_timeout,
-)
+from tests.support.clients import call_command
+from tests.support.event_loop import LOOPBACK, run_on_loop, wait_until, with_timeout
+from tests.support.fake_discovery import endpoint_entry, endpoint_list
+from tests.support.fake_endpoint import success_reply
+from tests.support.gateway_harness import gateway_harness
 
 
 class FakeAdminHandler:
--- a/tests/server/test_attempts_given_up.py
+++ b/tests/server/test_attempts_given_up.py
@@ -11,7 +11,8 @@
 from qos_gateway.server.endpoints.connection_pool import REUSE_DELAY_S
 from qos_gateway.types import Outcome
 from tests.support.endpoint_harness import endpoint_harness
-from tests.support.servers import LOOPBACK, run_on_loop, success_reply, with_timeout
+from tests.support.event_loop import LOOPBACK, run_on_loop, with_timeout
+from tests.support.fake_endpoint import success_reply
 
 
 @pytest.mark.parametrize("how", ["cancelled", "out of time"])
--- a/tests/server/test_client_connections.py
+++ b/tests/server/test_client_connections.py
@@ -17,17 +17,11 @@
     RejectReason,
     Send,
 )
+from tests.support.clients import CUSTOMER, call_command
+from tests.support.event_loop import run_on_loop, wait_until, with_timeout
+from tests.support.fake_endpoint import success_reply
+from tests.support.gateway_harness import GatewayHarness, gateway_harness
 from tests.support.scripted_engine import only_endpoint, script_engine
-from tests.support.servers import (
-    CUSTOMER,
-    GatewayHarness,
-    call_command,
-    gateway_harness,
-    run_on_loop,
-    success_reply,
-    wait_until,
-    with_timeout,
-)
 
 MS, SECOND = 1_000_000, 1_000_000_000
 
--- a/tests/server/test_client_disconnects.py
+++ b/tests/server/test_client_disconnects.py
@@ -14,18 +14,12 @@
 from qos_gateway.server.endpoints.connection_pool import REUSE_DELAY_S
 from qos_gateway.server.wiring import GatewayParts
 from qos_gateway.types import Action, Arrival, AttemptEnded, ClientDisconnected, Outcome, Reject, Send
+from tests.support.clients import call_command
+from tests.support.event_loop import listening, run_on_loop, wait_until, with_timeout
+from tests.support.fake_counter import FakeCounter
+from tests.support.fake_endpoint import success_reply
+from tests.support.gateway_harness import GatewayHarness, gateway_harness
 from tests.support.scripted_engine import ScriptedEngine, only_endpoint, script_engine
-from tests.support.servers import (
-    FakeCounter,
-    GatewayHarness,
-    call_command,
-    gateway_harness,
-    listening,
-    run_on_loop,
-    success_reply,
-    wait_until,
-    with_timeout,
-)
 
 
 class DelayedConnects:
--- a/tests/server/test_config.py
+++ b/tests/server/test_config.py
@@ -10,7 +10,9 @@
 
 from qos_gateway.server.config import Config, ConfigError, flatten, load, needs_restart, parse, reload
 from qos_gateway.server.config.restart_rules import CONFIGURATION_KEYS
-from tests.support.servers import LOOPBACK, endpoint_list, raw_config
+from tests.support.configurations import raw_config
+from tests.support.event_loop import LOOPBACK
+from tests.support.fake_discovery import endpoint_list
 
 
 def test_keys_stand_for_fields_of_the_configuration() -> None:
--- a/tests/server/test_connection_ends.py
+++ b/tests/server/test_connection_ends.py
@@ -10,14 +10,10 @@
 
 from qos_gateway.server.clients import socket_protocol as client_socket
 from qos_gateway.server.clients import timeouts as client_timeouts
-from tests.support.servers import (
-    call_command,
-    gateway_harness,
-    run_on_loop,
-    success_reply,
-    wait_until,
-    with_timeout,
-)
+from tests.support.clients import call_command
+from tests.support.event_loop import run_on_loop, wait_until, with_timeout
+from tests.support.fake_endpoint import success_reply
+from tests.support.gateway_harness import gateway_harness
 
 
 def test_slow_client_gets_all_replies_before_the_end_that_follows_its_protocol_error(
--- a/tests/server/test_connection_pool.py
+++ b/tests/server/test_connection_pool.py
@@ -14,19 +14,12 @@
 from qos_gateway.server.endpoints.keep_alive import KeepAliveEstimator
 from qos_gateway.server.networking.clock import monotonic_unix_ns
 from qos_gateway.types import Outcome
+from tests.support.clients import call_command
 from tests.support.descriptors import no_descriptors_left
 from tests.support.endpoint_harness import endpoint_harness
-from tests.support.servers import (
-    LOOPBACK,
-    FakeEndpoint,
-    call_command,
-    gateway_harness,
-    listening,
-    run_on_loop,
-    success_reply,
-    wait_until,
-    with_timeout,
-)
+from tests.support.event_loop import LOOPBACK, listening, run_on_loop, wait_until, with_timeout
+from tests.support.fake_endpoint import FakeEndpoint, success_reply
+from tests.support.gateway_harness import gateway_harness
 
 SECOND = 1_000_000_000
 
--- a/tests/server/test_counter.py
+++ b/tests/server/test_counter.py
@@ -14,19 +14,12 @@
 from qos_gateway.server.counter.connections import CONNECTIONS
 from qos_gateway.server.counter.protocol import CounterResponse, encode_increment, parse_increment_response
 from qos_gateway.types import CounterReplied, Outcome
-from tests.support.servers import (
-    LOOPBACK,
-    FakeCounter,
-    call_command,
-    gateway_harness,
-    listening,
-    nested_settings,
-    raw_config,
-    run_on_loop,
-    success_reply,
-    wait_until,
-    with_timeout,
-)
+from tests.support.clients import call_command
+from tests.support.configurations import nested_settings, raw_config
+from tests.support.event_loop import LOOPBACK, listening, run_on_loop, wait_until, with_timeout
+from tests.support.fake_counter import FakeCounter
+from tests.support.fake_endpoint import success_reply
+from tests.support.gateway_harness import gateway_harness
 
 
 @pytest.fixture(autouse=True)
--- a/tests/server/test_descriptor_limits.py
+++ b/tests/server/test_descriptor_limits.py
@@ -17,23 +17,14 @@
 
 from qos_gateway.server.clients import listener
 from qos_gateway.server.clients.listener import Listener
+from tests.support.clients import call_command
+from tests.support.configurations import raw_config
+from tests.support.event_loop import LOOPBACK, listening, run_on_loop, wait_until, with_timeout
+from tests.support.fake_counter import FakeCounter
+from tests.support.fake_discovery import FakeDiscovery, endpoint_entry, endpoint_list
+from tests.support.fake_endpoint import FakeEndpoint, success_reply
 from tests.support.processes import COMMAND
-from tests.support.servers import (
-    LOOPBACK,
-    Connection,
-    FakeCounter,
-    FakeDiscovery,
-    FakeEndpoint,
-    call_command,
-    endpoint_entry,
-    endpoint_list,
-    listening,
-    raw_config,
-    run_on_loop,
-    success_reply,
-    wait_until,
-    with_timeout,
-)
+from tests.support.resp_connection import Connection
 
 DESCRIPTORS = 256
 PING = b"*1\r\n$4\r\nPING\r\n"
--- a/tests/server/test_discovery.py
+++ b/tests/server/test_discovery.py
@@ -13,16 +13,8 @@
 from qos_gateway.server.discovery.watch_schedule import INITIAL_BACKOFF_S, MAX_BACKOFF_S
 from qos_gateway.types import Health, ListKind
 from tests.support.discovery import Follower, discovery_client, record_waits
-from tests.support.servers import (
-    LOOPBACK,
-    FakeDiscovery,
-    endpoint_entry,
-    endpoint_list,
-    listening,
-    run_on_loop,
-    wait_until,
-    with_timeout,
-)
+from tests.support.event_loop import LOOPBACK, listening, run_on_loop, wait_until, with_timeout
+from tests.support.fake_discovery import FakeDiscovery, endpoint_entry, endpoint_list
 
 
 def test_changes_come_in_order_and_a_broken_watch_goes_on_from_the_last_version() -> None:
--- a/tests/server/test_discovery_deadlines.py
+++ b/tests/server/test_discovery_deadlines.py
@@ -28,14 +28,8 @@
     WatchSchedule,
 )
 from tests.support.discovery import discovery_client, record_waits
-from tests.support.servers import (
-    LOOPBACK,
-    FakeDiscovery,
-    endpoint_entry,
-    endpoint_list,
-    run_on_loop,
-    with_timeout,
-)
+from tests.support.event_loop import LOOPBACK, run_on_loop, with_timeout
+from tests.support.fake_discovery import FakeDiscovery, endpoint_entry, endpoint_list
 
 LATEST = PROPAGATION_DEADLINE_S - UPDATE_TIME_S  # s by which the next call begins
 BUSY = b"HTTP/1.1 %d Busy\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n"
--- a/tests/server/test_discovery_silence.py
+++ b/tests/server/test_discovery_silence.py
@@ -10,15 +10,8 @@
 from qos_gateway.server.discovery import watch_schedule
 from qos_gateway.server.discovery.watch_schedule import UPDATE_TIME_S
 from tests.support.discovery import Follower
-from tests.support.servers import (
-    LOOPBACK,
-    FakeDiscovery,
-    endpoint_entry,
-    endpoint_list,
-    listening,
-    run_on_loop,
-    with_timeout,
-)
+from tests.support.event_loop import LOOPBACK, listening, run_on_loop, with_timeout
+from tests.support.fake_discovery import FakeDiscovery, endpoint_entry, endpoint_list
 
 
 def test_silent_watch_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/server/test_discovery_versions.py
+++ b/tests/server/test_discovery_versions.py
@@ -7,15 +7,8 @@
 from qos_gateway.types import Health
 from qos_gateway.units import MILLISECOND
 from tests.support.discovery import Follower
-from tests.support.servers import (
-    LOOPBACK,
-    FakeDiscovery,
-    endpoint_entry,
-    endpoint_list,
-    listening,
-    run_on_loop,
-    with_timeout,
-)
+from tests.support.event_loop import LOOPBACK, listening, run_on_loop, with_timeout
+from tests.support.fake_discovery import FakeDiscovery, endpoint_entry, endpoint_list
 
 
 def test_drain_holds_though_a_lagging_agent_sends_an_older_whole_list() -> None:
--- a/tests/server/test_endpoint_connections.py
+++ b/tests/server/test_endpoint_connections.py
@@ -16,17 +16,9 @@
 from qos_gateway.server.networking.resp import ResponseFrames
 from qos_gateway.types import Outcome
 from tests.support.endpoint_harness import endpoint_harness
-from tests.support.servers import (
-    LOOPBACK,
-    Connection,
-    FakeEndpoint,
-    bulk_string,
-    listening,
-    run_on_loop,
-    success_reply,
-    wait_until,
-    with_timeout,
-)
+from tests.support.event_loop import LOOPBACK, listening, run_on_loop, wait_until, with_timeout
+from tests.support.fake_endpoint import FakeEndpoint, bulk_string, success_reply
+from tests.support.resp_connection import Connection
 
 SECOND = 1_000_000_000
 
--- a/tests/server/test_endpoint_feed.py
+++ b/tests/server/test_endpoint_feed.py
@@ -12,21 +12,12 @@
 from qos_gateway.server.clients.connections import ClientConnections
 from qos_gateway.server.discovery.endpoint_list import endpoint_id
 from qos_gateway.server.gateway import GatewayProcess
-from tests.support.servers import (
-    LOOPBACK,
-    FakeDiscovery,
-    FakeEndpoint,
-    call_command,
-    endpoint_entry,
-    endpoint_list,
-    gateway_harness,
-    listening,
-    make_config,
-    run_on_loop,
-    success_reply,
-    wait_until,
-    with_timeout,
-)
+from tests.support.clients import call_command
+from tests.support.configurations import make_config
+from tests.support.event_loop import LOOPBACK, listening, run_on_loop, wait_until, with_timeout
+from tests.support.fake_discovery import FakeDiscovery, endpoint_entry, endpoint_list
+from tests.support.fake_endpoint import FakeEndpoint, success_reply
+from tests.support.gateway_harness import gateway_harness
 
 ZONES, KINDS = ("a", "b"), ("m1", "m2")
 
--- a/tests/server/test_endpoint_list.py
+++ b/tests/server/test_endpoint_list.py
@@ -10,14 +10,9 @@
 from qos_gateway.server.discovery.endpoint_list import endpoint_id, parse_update
 from qos_gateway.server.discovery.errors import ListError
 from qos_gateway.types import Endpoint, Health, ListKind
-from tests.support.servers import (
-    LOOPBACK,
-    endpoint_entry,
-    endpoint_list,
-    gateway_harness,
-    run_on_loop,
-    wait_until,
-)
+from tests.support.event_loop import LOOPBACK, run_on_loop, wait_until
+from tests.support.fake_discovery import endpoint_entry, endpoint_list
+from tests.support.gateway_harness import gateway_harness
 
 ZONES, KINDS = ("a", "b"), ("m1", "m2")
 
--- a/tests/server/test_graceful_shutdown.py
+++ b/tests/server/test_graceful_shutdown.py
@@ -16,20 +16,14 @@
 from qos_gateway.server.clients import accept_drain
 from qos_gateway.server.clients.listener import Listener
 from qos_gateway.types import Arrival, Send
+from tests.support.clients import call_command
+from tests.support.configurations import raw_config
+from tests.support.event_loop import listening, run_on_loop, wait_until, with_timeout
+from tests.support.fake_discovery import FakeDiscovery
+from tests.support.fake_endpoint import FakeEndpoint, success_reply
+from tests.support.gateway_harness import gateway_harness
 from tests.support.processes import launched, running
 from tests.support.scripted_engine import only_endpoint, script_engine
-from tests.support.servers import (
-    FakeDiscovery,
-    FakeEndpoint,
-    call_command,
-    gateway_harness,
-    listening,
-    raw_config,
-    run_on_loop,
-    success_reply,
-    wait_until,
-    with_timeout,
-)
 
 SECOND = 1_000_000_000
 ROOT = Path(__file__).parent.parent.parent
--- a/tests/server/test_guards.py
+++ b/tests/server/test_guards.py
@@ -14,15 +14,12 @@
 from qos_gateway.types import Action, Arrival, Health, Outcome, Reject, Send, Topology
 from qos_gateway.types.settings import IdempotencyScope, Settings
 from tests.support.builders import listed_endpoint as listed_endpoint
+from tests.support.clients import call_command
+from tests.support.configurations import make_config
+from tests.support.event_loop import run_on_loop, wait_until
+from tests.support.fake_endpoint import success_reply
+from tests.support.gateway_harness import gateway_harness
 from tests.support.scripted_engine import only_endpoint, script_engine
-from tests.support.servers import (
-    call_command,
-    gateway_harness,
-    make_config,
-    run_on_loop,
-    success_reply,
-    wait_until,
-)
 
 SECOND = 1_000_000_000
 IDEMPOTENT, KEYED, NOT_IDEMPOTENT = 0, 1, 2  # classes of the settings of the tests
--- a/tests/server/test_handover.py
+++ b/tests/server/test_handover.py
@@ -14,15 +14,11 @@
     FRACTIONS,
 )
 from qos_gateway.server.handover.messages import ReceivedState, StateResponse, encode_message
-from tests.support.servers import (
-    GatewayHarness,
-    call_command,
-    endpoint_entry,
-    endpoint_list,
-    gateway_harness,
-    run_on_loop,
-    success_reply,
-)
+from tests.support.clients import call_command
+from tests.support.event_loop import run_on_loop
+from tests.support.fake_discovery import endpoint_entry, endpoint_list
+from tests.support.fake_endpoint import success_reply
+from tests.support.gateway_harness import GatewayHarness, gateway_harness
 
 
 async def serve_one(harness: GatewayHarness) -> None:
--- a/tests/server/test_handover_channel.py
+++ b/tests/server/test_handover_channel.py
@@ -15,7 +15,7 @@
 from qos_gateway.server.handover import open_connections
 from qos_gateway.server.handover.channel import HandoverChannel
 from qos_gateway.server.handover.messages import HandoverState
-from tests.support.servers import run_on_loop, wait_until, with_timeout
+from tests.support.event_loop import run_on_loop, wait_until, with_timeout
 
 FIXTURES = Path(__file__).parent.parent / "fixtures"
 ENGINE: dict[str, Any] = json.loads((FIXTURES / "handover_state.json").read_text())["written"]
--- a/tests/server/test_held_values.py
+++ b/tests/server/test_held_values.py
@@ -8,16 +8,11 @@
 import pytest
 
 from qos_gateway.types import Outcome
-from tests.support.servers import (
-    Connection,
-    GatewayHarness,
-    call_command,
-    gateway_harness,
-    run_on_loop,
-    success_reply,
-    wait_until,
-    with_timeout,
-)
+from tests.support.clients import call_command
+from tests.support.event_loop import run_on_loop, wait_until, with_timeout
+from tests.support.fake_endpoint import success_reply
+from tests.support.gateway_harness import GatewayHarness, gateway_harness
+from tests.support.resp_connection import Connection
 from tests.support.values import value
 
 
--- a/tests/server/test_large_values.py
+++ b/tests/server/test_large_values.py
@@ -18,17 +18,11 @@
 )
 from qos_gateway.types import AttemptEnded, ClientDisconnected, Outcome, ResponseStarted, Send
 from tests.support.builders import SECOND
+from tests.support.clients import call_command
+from tests.support.event_loop import LOOPBACK, run_on_loop, wait_until, with_timeout
+from tests.support.fake_endpoint import success_reply
+from tests.support.gateway_harness import GatewayHarness, gateway_harness
 from tests.support.scripted_engine import only_endpoint, pass_deadline, script_engine
-from tests.support.servers import (
-    LOOPBACK,
-    GatewayHarness,
-    call_command,
-    gateway_harness,
-    run_on_loop,
-    success_reply,
-    wait_until,
-    with_timeout,
-)
 from tests.support.values import value
 
 
--- a/tests/server/test_momentary_failures.py
+++ b/tests/server/test_momentary_failures.py
@@ -23,21 +23,12 @@
 from qos_gateway.server.handover.channel import HandoverChannel
 from qos_gateway.server.networking.transient_errors import RETRY_INTERVAL_S
 from tests.server.test_admin import FakeAdminHandler
+from tests.support.configurations import make_config, raw_config
 from tests.support.descriptors import no_descriptors_left
+from tests.support.event_loop import LOOPBACK, listening, run_on_loop, wait_until, with_timeout
+from tests.support.fake_discovery import FakeDiscovery, endpoint_entry, endpoint_list
+from tests.support.fake_endpoint import FakeEndpoint
 from tests.support.processes import running
-from tests.support.servers import (
-    LOOPBACK,
-    FakeDiscovery,
-    FakeEndpoint,
-    endpoint_entry,
-    endpoint_list,
-    listening,
-    make_config,
-    raw_config,
-    run_on_loop,
-    wait_until,
-    with_timeout,
-)
 
 
 def test_reload_is_tried_again_where_the_file_cannot_be_read_for_a_moment(tmp_path: Path) -> None:
--- a/tests/server/test_peers.py
+++ b/tests/server/test_peers.py
@@ -10,19 +10,11 @@
 from qos_gateway.server.gateway import GatewayProcess
 from qos_gateway.server.peers import Peers
 from qos_gateway.types import PeerMessage
+from tests.support.configurations import raw_config
+from tests.support.event_loop import LOOPBACK, listening, run_on_loop, wait_until, with_timeout
+from tests.support.fake_discovery import FakeDiscovery, endpoint_entry, endpoint_list
+from tests.support.gateway_harness import gateway_harness
 from tests.support.scripted_engine import ScriptedEngine
-from tests.support.servers import (
-    LOOPBACK,
-    FakeDiscovery,
-    endpoint_entry,
-    endpoint_list,
-    gateway_harness,
-    listening,
-    raw_config,
-    run_on_loop,
-    wait_until,
-    with_timeout,
-)
 
 ZONES, KINDS = ("a", "b"), ("m1", "m2")
 
--- a/tests/server/test_periodic_checks.py
+++ b/tests/server/test_periodic_checks.py
@@ -8,7 +8,9 @@
 import pytest
 
 from qos_gateway.server.clients import timeouts as client_timeouts
-from tests.support.servers import FakeCounter, gateway_harness, listening, run_on_loop
+from tests.support.event_loop import listening, run_on_loop
+from tests.support.fake_counter import FakeCounter
+from tests.support.gateway_harness import gateway_harness
 
 
 def fail(*_: Any) -> None:
--- a/tests/server/test_pipelined_deadlines.py
+++ b/tests/server/test_pipelined_deadlines.py
@@ -10,14 +10,10 @@
 from qos_gateway.server.clients.socket_protocol import has_unread_bytes
 from qos_gateway.types import Action, Arrival, Reject
 from qos_gateway.units import SECOND
+from tests.support.clients import call_command
+from tests.support.event_loop import run_on_loop, wait_until
+from tests.support.gateway_harness import GatewayHarness, gateway_harness
 from tests.support.scripted_engine import script_engine
-from tests.support.servers import (
-    GatewayHarness,
-    call_command,
-    gateway_harness,
-    run_on_loop,
-    wait_until,
-)
 
 CLASS_DEADLINE_S = 2.0
 STEP_S = 0.4
--- a/tests/server/test_process.py
+++ b/tests/server/test_process.py
@@ -12,23 +12,13 @@
 import pytest
 
 from qos_gateway.server.clients.accept_drain import ACCEPT_DRAIN_QUIET_S
+from tests.support.clients import call_command
+from tests.support.configurations import nested_settings, raw_config
+from tests.support.event_loop import LOOPBACK, listening, run_on_loop, wait_until, with_timeout
+from tests.support.fake_discovery import FakeDiscovery, endpoint_entry, endpoint_list
+from tests.support.fake_endpoint import FakeEndpoint, success_reply
 from tests.support.processes import COMMAND, running
-from tests.support.servers import (
-    LOOPBACK,
-    Connection,
-    FakeDiscovery,
-    FakeEndpoint,
-    call_command,
-    endpoint_entry,
-    endpoint_list,
-    listening,
-    nested_settings,
-    raw_config,
-    run_on_loop,
-    success_reply,
-    wait_until,
-    with_timeout,
-)
+from tests.support.resp_connection import Connection
 
 
 def test_sigterm_answers_all_that_was_taken_and_what_still_comes_then_exits_0(tmp_path: Path) -> None:
--- a/tests/server/test_requests.py
+++ b/tests/server/test_requests.py
@@ -28,19 +28,12 @@
     TimerFired,
     Topology,
 )
+from tests.support.clients import CUSTOMER, call_command
+from tests.support.event_loop import run_on_loop, wait_until, with_timeout
+from tests.support.fake_discovery import endpoint_entry, endpoint_list
+from tests.support.fake_endpoint import bulk_string, success_reply
+from tests.support.gateway_harness import gateway_harness
 from tests.support.scripted_engine import ScriptedEngine, only_endpoint, pass_deadline, script_engine
-from tests.support.servers import (
-    CUSTOMER,
-    bulk_string,
-    call_command,
-    endpoint_entry,
-    endpoint_list,
-    gateway_harness,
-    run_on_loop,
-    success_reply,
-    wait_until,
-    with_timeout,
-)
 
 MS, SECOND = 1_000_000, 1_000_000_000
 
--- a/tests/server/test_time_to_ready.py
+++ b/tests/server/test_time_to_ready.py
@@ -16,8 +16,11 @@
 
 from benchmarks.design import DESIGN
 from benchmarks.discovery_updates import encode_full_list
+from tests.support.configurations import raw_config
+from tests.support.event_loop import LOOPBACK, run_on_loop, with_timeout
+from tests.support.fake_discovery import FakeDiscovery
 from tests.support.processes import COMMAND
-from tests.support.servers import LOOPBACK, Connection, FakeDiscovery, raw_config, run_on_loop, with_timeout
+from tests.support.resp_connection import Connection
 
 READY = 10.0  # s; seen beside other load: 2.2 to 2.4, and 5.8 where two calls are turned away first
 TURN, PART = 0.01, 3  # s that the process runs, and of how many such turns it has one
--- a/tests/server/test_upgrade.py
+++ b/tests/server/test_upgrade.py
@@ -9,19 +9,11 @@
 
 import pytest
 
+from tests.support.clients import call_command
+from tests.support.event_loop import listening, run_on_loop, wait_until, with_timeout
+from tests.support.fake_discovery import FakeDiscovery, endpoint_entry, endpoint_list
+from tests.support.fake_endpoint import FakeEndpoint, success_reply
 from tests.support.processes import inherited_socket, operate, running, serving
-from tests.support.servers import (
-    FakeDiscovery,
-    FakeEndpoint,
-    call_command,
-    endpoint_entry,
-    endpoint_list,
-    listening,
-    run_on_loop,
-    success_reply,
-    wait_until,
-    with_timeout,
-)
 
 
 def test_upgrade_on_an_inherited_socket_answers_all_and_leaves_new_ones_to_the_next(tmp_path: Path) -> None:
--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -10,7 +10,8 @@
 
 from qos_gateway.server.discovery.client import DiscoveryClient, DiscoveryOptions
 from qos_gateway.server.discovery.endpoint_list import EndpointUpdate, parse_update
-from tests.support.servers import LOOPBACK, FakeDiscovery, with_timeout
+from tests.support.event_loop import LOOPBACK, with_timeout
+from tests.support.fake_discovery import FakeDiscovery
 
 ZONES, KINDS = ("a", "b"), ("m1", "m2")
 
--- a/tests/support/endpoint_harness.py
+++ b/tests/support/endpoint_harness.py
@@ -13,12 +13,8 @@
 from qos_gateway.server.networking.value_stream import FlowControl, ResponseSink
 from qos_gateway.server.observability.metrics import Metrics
 from qos_gateway.types import Outcome
-from tests.support.servers import (
-    LOOPBACK,
-    FakeEndpoint,
-    listening,
-    with_timeout,
-)
+from tests.support.event_loop import LOOPBACK, listening, with_timeout
+from tests.support.fake_endpoint import FakeEndpoint
 
 SECOND = 1_000_000_000
 
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -11,17 +11,11 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
-from tests.support.servers import (
-    LOOPBACK,
-    Connection,
-    FakeDiscovery,
-    FakeEndpoint,
-    endpoint_entry,
-    endpoint_list,
-    listening,
-    raw_config,
-    with_timeout,
-)
+from tests.support.configurations import raw_config
+from tests.support.event_loop import LOOPBACK, listening, with_timeout
+from tests.support.fake_discovery import FakeDiscovery, endpoint_entry, endpoint_list
+from tests.support.fake_endpoint import FakeEndpoint
+from tests.support.resp_connection import Connection
 
 COMMAND = (sys.executable, "-m", "qos_gateway")
 
--- a/tests/support/scripted_engine.py
+++ b/tests/support/scripted_engine.py
@@ -9,9 +9,7 @@
     Arrival,
     Event,
 )
-from tests.support.servers import (
-    GatewayHarness,
-)
+from tests.support.gateway_harness import GatewayHarness
 
 MS, SECOND = 1_000_000, 1_000_000_000
 
