--- a/tests/server/test_graceful_shutdown.py
+++ b/tests/server/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: each command taken before it gets its one reply, whatever happens meanwhile."""
+"""Graceful shutdown: each command that was accepted before it gets exactly one reply."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
 
 from qos_gateway.server.clients import accept_drain
 from qos_gateway.server.clients.listener import Listener
-from qos_gateway.types import Arrival, Send
+from qos_gateway.types import Arrival
+from qos_gateway.units import SECOND
 from tests.support.clients import call_command
 from tests.support.configurations import raw_config
 from tests.support.event_loop import listening, run_on_loop, wait_until, with_timeout
@@ -23,9 +24,8 @@
 from tests.support.fake_endpoint import FakeEndpoint, success_reply
 from tests.support.gateway_harness import gateway_harness
 from tests.support.processes import launched, running
-from tests.support.scripted_engine import only_endpoint, script_engine
+from tests.support.scripted_engine import forward_to, only_endpoint, script_engine
 
-SECOND = 1_000_000_000
 ROOT = Path(__file__).parent.parent.parent
 
 
@@ -34,8 +34,23 @@
     monkeypatch.setattr(accept_drain, "ACCEPT_DRAIN_QUIET_S", 0.0)
 
 
+def test_draining_gateway_closes_a_busy_connection_after_its_response() -> None:
+    """A periodic check would rarely find a busy client between two requests."""
+
+    async def test() -> None:
+        async with gateway_harness() as harness:
+            client = await harness.connect_client()
+            client.send(call_command())
+            connection, _ = await harness.endpoint.next_command()
+            harness.gateway.clients.context.drain.closes_idle = True
+            connection.send(success_reply(b"v"))
+            assert [await client.next_message(), await client.next_message()] == [b"v", None]
+
+    run_on_loop(test)
+
+
 @pytest.mark.usefixtures("listener_closes_at_once")
-def test_request_is_answered_though_it_lasts_longer_than_stopping_was_to() -> None:
+def test_request_that_outlasts_the_drain_is_answered() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             harness.gateway.clients._max_drain_s = -1.0
@@ -52,7 +67,7 @@
 
 
 @pytest.mark.usefixtures("listener_closes_at_once")
-def test_connection_accepted_just_before_the_stop_is_served_however_late_its_protocol_knows_of_it(
+def test_connection_accepted_just_before_the_drain_is_served_even_if_its_protocol_connects_late(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     connect = Listener._connect
@@ -82,7 +97,7 @@
 
 
 @pytest.mark.usefixtures("listener_closes_at_once")
-def test_half_a_command_is_answered_and_not_reset_at_the_end() -> None:
+def test_incomplete_command_is_answered_and_not_reset_at_the_end() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             harness.gateway.clients._max_drain_s = -1.0
@@ -93,9 +108,8 @@
             )
             stopping = asyncio.create_task(harness.process.stop())
             assert str(await client.next_message()) == "BUSY"
-            client.send(
-                call_command(number=1)[-3:]
-            )  # crosses the end: read and dropped, or it would be reset
+            # Unread bytes would reset the connection, so the gateway reads and drops them.
+            client.send(call_command(number=1)[-3:])
             assert await client.next_message() is None
             client.writer.close()
             await wait_until(lambda: harness.gateway.clients.connection_count() == 0)
@@ -106,16 +120,15 @@
 
 
 @pytest.mark.usefixtures("listener_closes_at_once")
-def test_request_that_comes_while_stopping_ends_before_the_platform_kills(
+def test_request_that_arrives_during_the_drain_ends_before_the_platform_kills(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """On a connection that never rests, a request may come late and have a long deadline."""
+    """On a connection that is never idle, a request may arrive late and have a long deadline."""
     monkeypatch.setattr("qos_gateway.server.gateway.MAX_KILL_DEADLINE_NS", SECOND // 2)
 
     async def test() -> None:
         async with gateway_harness() as harness:
-            endpoint = only_endpoint(harness)
-            engine = script_engine(harness, *[lambda a: [Send(a.request_id, endpoint, 0)]] * 2)
+            engine = script_engine(harness, *[forward_to(only_endpoint(harness))] * 2)
             client = await harness.connect_client()
             client.send(call_command(number=1))
             first, _ = await harness.endpoint.next_command()
@@ -133,7 +146,7 @@
     run_on_loop(test)
 
 
-def test_signals_twice_and_mixed_take_no_answer_along(tmp_path: Path) -> None:
+def test_repeated_and_mixed_signals_lose_no_reply(tmp_path: Path) -> None:
     async def test() -> None:
         async with running(tmp_path) as p:
             client = await p.client()
@@ -151,8 +164,8 @@
     run_on_loop(test)
 
 
-def test_signals_while_starting_end_it_in_good_order(tmp_path: Path) -> None:
-    """Discovery is silent, so the start waits for its first list; both signals come meanwhile."""
+def test_signals_during_the_start_end_the_process_with_status_zero(tmp_path: Path) -> None:
+    """Discovery is silent, so both signals arrive while the start waits for the first endpoint list."""
 
     async def test() -> None:
         agent = FakeDiscovery()
@@ -168,18 +181,18 @@
 
 
 def test_sighup_before_its_handler_is_in_place_does_not_end_the_process(tmp_path: Path) -> None:
-    """Until Python has loaded it the signal would have its default, which kills."""
+    """Without a handler, the default action of the signal ends the process."""
 
     async def test() -> None:
         agent = FakeDiscovery()
         path = tmp_path / "config.json"
         async with listening(agent):
             path.write_text(json.dumps(raw_config(agent.port)))
-            line = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
+            run_command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
             process = await asyncio.create_subprocess_exec(
                 "/bin/sh",
                 "-c",
-                line.replace(".venv/bin/python", sys.executable),
+                run_command.replace(".venv/bin/python", sys.executable),
                 cwd=ROOT,
                 stderr=asyncio.subprocess.DEVNULL,
                 env={**os.environ, "ROUTER_CONFIG": str(path)},
--- /dev/null
+++ b/tests/server/test_pipelining.py
@@ -0,0 +1,86 @@
+"""Pipelined commands: how many are served at once, and how many are deferred."""
+
+from __future__ import annotations
+
+from qos_gateway.server.clients.connection_input import MAX_PIPELINED
+from qos_gateway.types import Action, Arrival, Reject, RejectReason
+from qos_gateway.units import MILLISECOND
+from tests.support.clients import PING, call_command
+from tests.support.event_loop import run_on_loop, wait_until
+from tests.support.gateway_harness import gateway_harness
+from tests.support.scripted_engine import leave_open, script_engine
+
+
+def test_commands_beyond_the_pipeline_limit_are_deferred_and_answered_in_order() -> None:
+    async def test() -> None:
+        async with gateway_harness() as harness:
+            command_count = 3 * MAX_PIPELINED
+            arrived: list[int] = []
+
+            def hold(arrival: Arrival) -> list[Action]:
+                arrived.append(arrival.request_id)
+                return []
+
+            script_engine(harness, *[hold] * command_count)
+            client = await harness.connect_client()
+            client.send(b"".join(call_command(number=n) for n in range(command_count)))
+            await wait_until(lambda: len(arrived) == MAX_PIPELINED)
+            client.send(PING)
+            while len(arrived) < command_count:
+                assert len(harness.open_requests) <= MAX_PIPELINED
+                before = len(arrived)
+                # Out of order: the last of them first.
+                harness.gateway.executor.execute(Reject(arrived[before - 1], 7 * MILLISECOND))
+                for request in arrived[before - MAX_PIPELINED : before - 1]:
+                    harness.gateway.executor.execute(Reject(request, 7 * MILLISECOND))
+                await wait_until(lambda before=before: len(arrived) > before)  # type: ignore[misc]
+            for request in arrived[-MAX_PIPELINED:]:
+                harness.gateway.executor.execute(Reject(request, 7 * MILLISECOND))
+            assert {str(await client.next_message()) for _ in range(command_count)} == {"BUSY 7"}
+            assert await client.next_message() == b"PONG"
+            assert harness.buffers.deferred_bytes == 0
+
+    run_on_loop(test)
+
+
+def test_deferred_commands_are_bounded_over_all_clients_and_each_is_answered() -> None:
+    """Each command that was read gets a reply; closing the connection instead would lose requests."""
+
+    async def test() -> None:
+        async with gateway_harness() as harness:
+            harness.buffers.limit_bytes = 10_000
+            script_engine(harness, *[leave_open] * (MAX_PIPELINED + 1))
+            client = await harness.connect_client()
+            client.send(b"".join(call_command(number=n, wait_ms=2000) for n in range(300)))
+            await wait_until(lambda: len(harness.open_requests) == MAX_PIPELINED)
+            client.send(call_command(number=300, wait_ms=2000))  # not read before the buffers have room again
+            replies = [str(await client.next_message()) for _ in range(300)]
+            assert set(replies[:MAX_PIPELINED]) == {"ERR out of time"}
+            assert set(replies[MAX_PIPELINED:]) == {"BUSY"}
+            await wait_until(lambda: len(harness.open_requests) == 1)
+            assert harness.buffers.deferred_bytes == 0
+            assert (
+                harness.gateway.observability.metrics.rejections[RejectReason.LOAD_LIMIT]
+                == 300 - MAX_PIPELINED
+            )
+            assert not harness.gateway.observability.invariants.violations
+            assert str(await client.next_message()) == "ERR out of time"
+
+    run_on_loop(test)
+
+
+def test_protocol_error_behind_rejected_commands_is_answered_after_them() -> None:
+    async def test() -> None:
+        async with gateway_harness() as harness:
+            harness.buffers.limit_bytes = 0
+            script_engine(harness, *[leave_open] * MAX_PIPELINED)
+            client = await harness.connect_client()
+            commands = [call_command(number=n, wait_ms=60) for n in range(MAX_PIPELINED + 2)]
+            client.send(b"".join(commands) + b"PING\r\n")
+            replies = [str(await client.next_message()) for _ in range(MAX_PIPELINED + 3)]
+            assert set(replies[:MAX_PIPELINED]) == {"ERR out of time"}
+            assert replies[MAX_PIPELINED : MAX_PIPELINED + 2] == ["BUSY", "BUSY"]
+            assert "Protocol error" in replies[-1]
+            assert await client.next_message() is None
+
+    run_on_loop(test)
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -5,6 +5,7 @@
 import hiredis
 
 CUSTOMER = b"00000000b4d65521"
+PING = b"*1\r\n$4\r\nPING\r\n"
 
 
 def call_command(
--- a/tests/support/fake_endpoint.py
+++ b/tests/support/fake_endpoint.py
@@ -27,6 +27,20 @@
     async def next_command(self) -> tuple[Connection, list[bytes]]:
         return await with_timeout(self.commands.get())
 
+    async def reply_to_next_command(self, reply: bytes) -> list[bytes]:
+        """Send a reply to the next command; return the words of the command."""
+        connection, words = await self.next_command()
+        connection.send(reply)
+        return words
+
+    async def next_requests(self, count: int) -> dict[int, Connection]:
+        """Wait for this many requests; return the connection of each, by the id of the request."""
+        connections = {}
+        for _ in range(count):
+            connection, words = await self.next_command()
+            connections[int(words[2], 16)] = connection
+        return connections
+
 
 def bulk_string(value: bytes) -> bytes:
     return b"$%d\r\n%b\r\n" % (len(value), value)
--- a/tests/support/gateway_harness.py
+++ b/tests/support/gateway_harness.py
@@ -7,7 +7,9 @@
 from contextlib import asynccontextmanager
 from typing import Any
 
+from qos_gateway.server.clients.buffer_budgets import BufferBudget
 from qos_gateway.server.gateway import GatewayProcess
+from qos_gateway.server.requests.open_request import OpenRequest
 from tests.support.configurations import make_config
 from tests.support.event_loop import LOOPBACK, listening, with_timeout
 from tests.support.fake_discovery import FakeDiscovery, endpoint_entry, endpoint_list
@@ -24,6 +26,16 @@
         self.discovery = discovery
         self.endpoint = endpoint
 
+    @property
+    def buffers(self) -> BufferBudget:
+        """Return the memory that commands and replies of all clients hold."""
+        return self.gateway.clients.context.buffers
+
+    @property
+    def open_requests(self) -> dict[int, OpenRequest]:
+        """Return the requests that the gateway keeps, by the engine's id."""
+        return self.gateway.requests._requests
+
     async def connect_client(self) -> Connection:
         return Connection(*await with_timeout(asyncio.open_connection(LOOPBACK, self.gateway.clients.port)))
 
--- a/tests/support/scripted_engine.py
+++ b/tests/support/scripted_engine.py
@@ -2,20 +2,38 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from typing import Any
 
-from qos_gateway.types import (
-    Action,
-    Arrival,
-    Event,
-)
+from qos_gateway.types import Action, Arrival, Event, Fail, Reject, Send
 from tests.support.gateway_harness import GatewayHarness
 
 MS, SECOND = 1_000_000, 1_000_000_000
 
+ArrivalPlan = Callable[[Arrival], list[Action]]
+
+
+def leave_open(_arrival: Arrival) -> list[Action]:
+    """Neither forward the request nor respond to it."""
+    return []
+
+
+def reject(arrival: Arrival) -> list[Action]:
+    """Reject the request without a time to wait."""
+    return [Reject(arrival.request_id, 0)]
+
+
+def fail(arrival: Arrival) -> list[Action]:
+    return [Fail(arrival.request_id)]
+
+
+def forward_to(endpoint: int) -> ArrivalPlan:
+    """Return a plan that starts one attempt at this endpoint."""
+    return lambda arrival: [Send(arrival.request_id, endpoint, 0)]
+
 
 class ScriptedEngine:
-    """Stands in for the decision engine: acts on each arrival as the test scripts it, and records events."""
+    """Records events, and follows one plan of the test for each arrival, in order."""
 
     def __init__(self, *plans: Any) -> None:
         self.plans = list(plans)
