--- a/tests/server/test_guards.py
+++ b/tests/server/test_guards.py
@@ -1,4 +1,4 @@
-"""The run-time guards of sending, repeating, closing and starting: each must notice a gateway that errs."""
+"""The run-time guards of sends, retries, closes, start and stop: each must detect a faulty gateway."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from qos_gateway.server.requests.repeat_guard import RepeatGuard
 from qos_gateway.server.requests.send_guard import SendGuard
 from qos_gateway.server.start_guard import check_start, check_stop
-from qos_gateway.types import Action, Arrival, Health, Outcome, Reject, Send, Topology
+from qos_gateway.types import Arrival, Health, Outcome, Reject, Send, Topology
 from qos_gateway.types.settings import IdempotencyScope, Settings
-from tests.support.builders import listed_endpoint as listed_endpoint
+from qos_gateway.units import SECOND
+from tests.support.builders import listed_endpoint
 from tests.support.clients import call_command
 from tests.support.configurations import make_config
 from tests.support.event_loop import run_on_loop, wait_until
 from tests.support.fake_endpoint import success_reply
 from tests.support.gateway_harness import gateway_harness
-from tests.support.scripted_engine import only_endpoint, script_engine
+from tests.support.scripted_engine import forward_to, leave_open, only_endpoint, script_engine
 
-SECOND = 1_000_000_000
 IDEMPOTENT, KEYED, NOT_IDEMPOTENT = 0, 1, 2  # classes of the settings of the tests
 COMMAND = AttemptCommand((b"CALL.GET", b"c", b"i"), b"", b"", ())
 
 
 @dataclass
 class FakeRequest:
-    """A request as the guards see it."""
+    """A request with the fields that the guards read."""
 
     class_index: int = IDEMPOTENT
     closed: bool = False
@@ -42,14 +42,14 @@
 
 
 def attempt_at(
-    endpoint: int = 1, started_at: int = 0, outcome: Outcome | None = None, expires_at: int = 2 * SECOND
+    endpoint: int = 1, started_at_ns: int = 0, outcome: Outcome | None = None, expires_at_ns: int = 2 * SECOND
 ) -> Attempt:
     attempt = Attempt(
         request=1,
         number=0,
         endpoint=endpoint,
-        started_at_ns=started_at,
-        expires_at_ns=expires_at,
+        started_at_ns=started_at_ns,
+        expires_at_ns=expires_at_ns,
         command=COMMAND,
     )
     attempt.ended = outcome is not None
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize(
-    ("request_changes", "expires_at", "send_deadline", "drained", "rule"),
+    ("request_changes", "expires_at_ns", "send_deadline_ns", "is_drained", "rule"),
     [
         ({}, 2 * SECOND, 0, False, None),
         ({}, 2 * SECOND, 0, True, "drained_endpoint"),
@@ -69,19 +69,19 @@
         ({}, 2 * SECOND, SECOND + 1, False, None),
     ],
 )
-def test_send_guard(
+def test_send_guard_reports_each_broken_rule(
     request_changes: dict[str, object],
-    expires_at: int,
-    send_deadline: int,
-    drained: bool,
+    expires_at_ns: int,
+    send_deadline_ns: int,
+    is_drained: bool,
     rule: str | None,
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     monitor = InvariantMonitor()
-    attempt = attempt_at(expires_at=expires_at)
-    attempt.send_deadline_ns = send_deadline
+    attempt = attempt_at(expires_at_ns=expires_at_ns)
+    attempt.send_deadline_ns = send_deadline_ns
     request = replace(FakeRequest(), **request_changes)  # type: ignore[arg-type]
-    assert SendGuard(monitor).allows(attempt, request, drained, SECOND) is (rule is None)
+    assert SendGuard(monitor).allows(attempt, request, is_drained, SECOND) is (rule is None)
     assert monitor.violations[Invariant.SEND] == (rule is not None)
     if rule is not None:
         assert f"invariant=send rule={rule} request=9b1f03aa5c7e2d41" in caplog.text
@@ -102,44 +102,67 @@
 CELL, ZONE, ALL = IdempotencyScope.CELL, IdempotencyScope.ZONE, IdempotencyScope.ALL
 
 
+@dataclass(frozen=True, kw_only=True)
+class RepeatCase:
+    """A further attempt at an endpoint, and the attempts that its request has had before."""
+
+    class_index: int
+    attempts: list[Attempt]
+    allowed: bool
+    endpoint: int = 2
+    scope: IdempotencyScope = CELL
+    hedging: bool = True
+    now_ns: int = 0
+
+
+def after(outcome: Outcome | None) -> list[Attempt]:
+    """Return one attempt at endpoint 1 that ended so, or that is in flight."""
+    return [attempt_at(outcome=outcome)]
+
+
 @pytest.mark.parametrize(
-    ("class_index", "scope", "hedging", "attempts", "endpoint", "now", "allowed"),
+    "case",
     [
-        (IDEMPOTENT, CELL, True, [attempt_at(outcome=Outcome.RESET)], 2, 0, True),
-        (IDEMPOTENT, CELL, True, [attempt_at(outcome=Outcome.RESET)] * 3, 2, 0, False),
-        (IDEMPOTENT, CELL, True, [attempt_at()], 2, 0, True),
-        (IDEMPOTENT, CELL, False, [attempt_at()], 2, 0, False),
-        (NOT_IDEMPOTENT, CELL, True, [attempt_at(outcome=Outcome.CONNECT_FAILED)] * 2, 2, 0, True),
-        (NOT_IDEMPOTENT, CELL, True, [attempt_at(outcome=Outcome.OVERLOADED)], 2, 0, True),
-        (NOT_IDEMPOTENT, CELL, True, [attempt_at(outcome=Outcome.RESET)], 2, 0, False),
-        (NOT_IDEMPOTENT, CELL, True, [attempt_at(outcome=Outcome.ERROR)], 2, 0, False),
-        (NOT_IDEMPOTENT, CELL, True, [attempt_at(outcome=Outcome.TIMEOUT)], 2, 0, False),
-        (NOT_IDEMPOTENT, CELL, True, [attempt_at()], 2, 0, False),
-        (KEYED, CELL, True, [attempt_at(outcome=Outcome.RESET)], 3, 0, True),
-        (KEYED, CELL, True, [attempt_at(outcome=Outcome.RESET)], 2, 0, False),
-        (KEYED, ZONE, True, [attempt_at(outcome=Outcome.RESET)], 2, 0, True),
-        (KEYED, ZONE, True, [attempt_at(outcome=Outcome.RESET)], 3, 0, False),
-        (KEYED, ALL, True, [attempt_at(outcome=Outcome.RESET)], 3, 0, True),
-        (KEYED, ALL, True, [attempt_at(outcome=Outcome.RESET)], 3, 5 * SECOND, False),
-        (KEYED, CELL, True, [attempt_at(outcome=Outcome.OVERLOADED)], 2, 9 * SECOND, True),
-        # The first that may have executed counts, not the first that was made.
-        (KEYED, CELL, True, [attempt_at(2, 0, Outcome.OVERLOADED), attempt_at(1, 1)], 3, SECOND, True),
+        RepeatCase(class_index=IDEMPOTENT, attempts=after(Outcome.RESET), allowed=True),
+        RepeatCase(class_index=IDEMPOTENT, attempts=after(Outcome.RESET) * 3, allowed=False),
+        RepeatCase(class_index=IDEMPOTENT, attempts=after(None), allowed=True),
+        RepeatCase(class_index=IDEMPOTENT, attempts=after(None), allowed=False, hedging=False),
+        RepeatCase(class_index=NOT_IDEMPOTENT, attempts=after(Outcome.CONNECT_FAILED) * 2, allowed=True),
+        RepeatCase(class_index=NOT_IDEMPOTENT, attempts=after(Outcome.OVERLOADED), allowed=True),
+        RepeatCase(class_index=NOT_IDEMPOTENT, attempts=after(Outcome.RESET), allowed=False),
+        RepeatCase(class_index=NOT_IDEMPOTENT, attempts=after(Outcome.ERROR), allowed=False),
+        RepeatCase(class_index=NOT_IDEMPOTENT, attempts=after(Outcome.TIMEOUT), allowed=False),
+        RepeatCase(class_index=NOT_IDEMPOTENT, attempts=after(None), allowed=False),
+        RepeatCase(class_index=KEYED, attempts=after(Outcome.RESET), allowed=True, endpoint=3),
+        RepeatCase(class_index=KEYED, attempts=after(Outcome.RESET), allowed=False),
+        RepeatCase(class_index=KEYED, attempts=after(Outcome.RESET), allowed=True, scope=ZONE),
+        RepeatCase(class_index=KEYED, attempts=after(Outcome.RESET), allowed=False, scope=ZONE, endpoint=3),
+        RepeatCase(class_index=KEYED, attempts=after(Outcome.RESET), allowed=True, scope=ALL, endpoint=3),
+        RepeatCase(
+            class_index=KEYED,
+            attempts=after(Outcome.RESET),
+            allowed=False,
+            scope=ALL,
+            endpoint=3,
+            now_ns=5 * SECOND,
+        ),
+        RepeatCase(class_index=KEYED, attempts=after(Outcome.OVERLOADED), allowed=True, now_ns=9 * SECOND),
+        # The first attempt that may have executed counts, not the first that was started.
+        RepeatCase(
+            class_index=KEYED,
+            attempts=[attempt_at(2, 0, Outcome.OVERLOADED), attempt_at(1, 1)],
+            allowed=True,
+            endpoint=3,
+            now_ns=SECOND,
+        ),
     ],
 )
-def test_repeat_guard(
-    class_index: int,
-    scope: IdempotencyScope,
-    hedging: bool,
-    attempts: list[Attempt],
-    endpoint: int,
-    now: int,
-    allowed: bool,
-) -> None:
+def test_repeat_guard_allows_only_attempts_that_idempotency_permits(case: RepeatCase) -> None:
     monitor = InvariantMonitor()
-    guard = RepeatGuard(settings(scope, hedging), monitor, ENDPOINTS.get)
-    request = FakeRequest(class_index, attempts=attempts)
-    assert guard.allows_attempt(request, endpoint, now) is allowed
-    assert monitor.violations[Invariant.REPEAT] == (not allowed)
+    guard = RepeatGuard(settings(case.scope, case.hedging), monitor, ENDPOINTS.get)
+    request = FakeRequest(case.class_index, attempts=case.attempts)
+    assert guard.allows_attempt(request, case.endpoint, case.now_ns) is case.allowed
+    assert monitor.violations[Invariant.REPEAT] == (not case.allowed)
 
 
 @pytest.mark.parametrize(
@@ -154,7 +177,7 @@
         (NOT_IDEMPOTENT, ALL, Outcome.CONNECT_FAILED, True),
     ],
 )
-def test_client_is_invited_to_repeat_only_where_that_is_harmless(
+def test_rejection_is_allowed_only_if_a_retry_by_the_client_is_safe(
     class_index: int, scope: IdempotencyScope, outcome: Outcome | None, allowed: bool
 ) -> None:
     monitor = InvariantMonitor()
@@ -164,7 +187,7 @@
     assert monitor.violations[Invariant.REPEAT] == (not allowed)
 
 
-def test_start_and_stop_are_looked_at() -> None:
+def test_violations_at_start_and_stop_are_counted() -> None:
     monitor = InvariantMonitor()
     check_start(monitor, True, False)
     check_stop(monitor, 0)
@@ -174,21 +197,18 @@
     assert monitor.violations == {Invariant.START: 2, Invariant.CLOSE: 1}
 
 
-def test_engine_that_errs_is_kept_from_running_a_request_twice() -> None:
-    """The engine sends a request that may not be repeated again, then tells its client to come again."""
+def test_faulty_engine_cannot_execute_a_request_twice() -> None:
+    """The engine retries a request that is not idempotent, then invites its client to retry."""
 
     async def test() -> None:
         async with gateway_harness() as harness:
-
-            def send(arrival: Arrival) -> list[Action]:
-                return [Send(arrival.request_id, only_endpoint(harness), 0)]
-
-            engine = script_engine(harness, send)
+            endpoint = only_endpoint(harness)
+            engine = script_engine(harness, forward_to(endpoint))
             client = await harness.connect_client()
             client.send(call_command("charge", 1))
             connection, _ = await harness.endpoint.next_command()
             number = engine.events_of(Arrival)[0].request_id
-            harness.gateway.executor.execute(Send(number, only_endpoint(harness), 0))
+            harness.gateway.executor.execute(Send(number, endpoint, 0))
             harness.gateway.executor.execute(Reject(number, 0))
             assert str(await client.next_message()) == "ERR failed"
             assert harness.gateway.observability.invariants.violations == {Invariant.REPEAT: 2}
@@ -198,15 +218,14 @@
     run_on_loop(test)
 
 
-def test_send_to_an_endpoint_whose_drain_the_engine_missed_is_refused() -> None:
+def test_attempt_at_an_endpoint_whose_drain_the_engine_missed_is_blocked() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             endpoint = only_endpoint(harness)
-            script_engine(harness, *[lambda a: [Send(a.request_id, endpoint, 0)]] * 2)
+            script_engine(harness, *[forward_to(endpoint)] * 2)
             client = await harness.connect_client()
             client.send(call_command(number=1))
-            connection, _ = await harness.endpoint.next_command()
-            connection.send(success_reply(b"v"))
+            await harness.endpoint.reply_to_next_command(success_reply(b"v"))
             assert await client.next_message() == b"v"
             entry = listed_endpoint(endpoint, Health.DRAINING)
             harness.gateway.endpoint_connections.set_address(endpoint, None)
@@ -219,10 +238,10 @@
     run_on_loop(test)
 
 
-def test_connection_closed_under_a_request_is_reported() -> None:
+def test_connection_closed_with_an_open_request_is_reported() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            script_engine(harness, lambda _a: [])
+            script_engine(harness, leave_open)
             client = await harness.connect_client()
             client.send(call_command(number=7))
             await wait_until(lambda: len(harness.gateway.requests) == 1)
