--- a/tests/server/test_client_connections.py
+++ b/tests/server/test_client_connections.py
@@ -71,6 +71,11 @@
     run_on_loop(test)
 
 
+def test_client_may_take_two_seconds_for_the_header_of_a_command() -> None:
+    assert client_timeouts.COMMAND_TIMEOUT_S > 2.0
+    assert client_timeouts.COMMAND_TIMEOUT_S + client_timeouts.CHECK_INTERVAL_S < 3.0
+
+
 @pytest.mark.parametrize(
     "data", [b"", b"*", b"*4\r\n$8\r\nCALL.GET\r\n", b"*1\r\n$60000\r\n" + b"x" * 59_000]
 )
--- a/tests/support/fake_endpoint.py
+++ b/tests/support/fake_endpoint.py
@@ -33,6 +33,12 @@
         connection.send(reply)
         return words
 
+    async def start_reply_to_next_command(self, first_bytes: bytes) -> Connection:
+        """Send the first bytes of a reply to the next command; return the connection for the others."""
+        connection, _ = await self.next_command()
+        connection.send(first_bytes)
+        return connection
+
     async def next_requests(self, count: int) -> dict[int, Connection]:
         """Wait for this many requests; return the connection of each, by the id of the request."""
         connections = {}
--- a/tests/support/gateway_harness.py
+++ b/tests/support/gateway_harness.py
@@ -31,11 +31,20 @@
         """Return the memory that commands and replies of all clients hold."""
         return self.gateway.clients.context.buffers
 
+    @property
+    def active_streams(self) -> int:
+        """Return how many values are being streamed to clients."""
+        return self.gateway.clients.context.streams.active_streams
+
     @property
     def open_requests(self) -> dict[int, OpenRequest]:
         """Return the requests that the gateway keeps, by the engine's id."""
         return self.gateway.requests._requests
 
+    def request_results(self) -> list[int]:
+        """Return how many requests of the first class succeeded, were rejected and failed."""
+        return list(self.gateway.observability.metrics.requests[0].values())
+
     async def connect_client(self) -> Connection:
         return Connection(*await with_timeout(asyncio.open_connection(LOOPBACK, self.gateway.clients.port)))
 
