--- a/tests/server/test_client_connections.py
+++ b/tests/server/test_client_connections.py
@@ -7,7 +7,6 @@
 import pytest
 
 from qos_gateway.server.clients import timeouts as client_timeouts
-from qos_gateway.types import Arrival
 from tests.support.clients import PING, call_command
 from tests.support.event_loop import run_on_loop, wait_until
 from tests.support.fake_endpoint import success_reply
@@ -22,14 +21,14 @@
             harness.gateway.clients.max_connections = 3
             busy = await harness.connect_client()
             busy.send(call_command())
-            await wait_until(lambda: len(engine.events_of(Arrival)) == 1)
+            await wait_until(lambda: len(engine.arrivals) == 1)
             idle_clients = [await harness.connect_client() for _ in range(5)]
             assert [await client.next_message() for client in idle_clients[:3]] == [None] * 3
             for client in idle_clients[3:]:
                 client.send(PING)
                 assert await client.next_message() == b"PONG"
             assert harness.gateway.clients.connection_count() == 3
-            assert len(engine.events_of(Arrival)) == 1
+            assert len(engine.arrivals) == 1
 
     run_on_loop(test)
 
@@ -64,7 +63,7 @@
             busy = [await harness.connect_client() for _ in range(2)]
             for number, client in enumerate(busy):
                 client.send(call_command(number=number))
-            await wait_until(lambda: len(engine.events_of(Arrival)) == 2)
+            await wait_until(lambda: len(engine.arrivals) == 2)
             assert await (await harness.connect_client()).next_message() is None
             assert harness.gateway.clients.connection_count() == 2
 
@@ -120,10 +119,10 @@
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             client.send(b"".join(call_command(number=number) for number in range(request_count)))
             await wait_until(
-                lambda: bool(engine.events_of(Arrival)) and harness.gateway.clients.connection_count() == 0
+                lambda: bool(engine.arrivals) and harness.gateway.clients.connection_count() == 0
             )
             replying.cancel()
-            assert len(engine.events_of(Arrival)) < request_count
+            assert len(engine.arrivals) < request_count
             assert harness.buffers.deferred_bytes == 0
 
     run_on_loop(test)
--- a/tests/server/test_client_disconnects.py
+++ b/tests/server/test_client_disconnects.py
@@ -5,7 +5,7 @@
 import pytest
 
 from qos_gateway.server.clients.connection_input import MAX_PIPELINED
-from qos_gateway.types import Arrival, ClientDisconnected, Reject
+from qos_gateway.types import ClientDisconnected
 from qos_gateway.units import SECOND
 from tests.support.clients import call_command
 from tests.support.disconnects import (
@@ -17,7 +17,13 @@
 from tests.support.event_loop import LOOPBACK, listening, run_on_loop, wait_until, with_timeout
 from tests.support.fake_counter import FakeCounter
 from tests.support.gateway_harness import gateway_harness
-from tests.support.scripted_engine import forward_to, leave_open, only_endpoint, script_engine
+from tests.support.scripted_engine import (
+    forward_to,
+    leave_open,
+    only_endpoint,
+    reject_open_request,
+    script_engine,
+)
 
 
 def test_attempt_on_an_opening_connection_is_not_sent_after_its_client_disconnected() -> None:
@@ -51,7 +57,7 @@
             client = await harness.connect_client()
             client.send(b"".join(call_command(number=n) for n in range(MAX_PIPELINED + 8)))
             await wait_until(
-                lambda: len(engine.events_of(Arrival)) == MAX_PIPELINED and harness.buffers.deferred_bytes > 0
+                lambda: len(engine.arrivals) == MAX_PIPELINED and harness.buffers.deferred_bytes > 0
             )
             if how == "half-close":
                 client.writer.write_eof()
@@ -61,8 +67,8 @@
             await wait_until(lambda: len(engine.events_of(ClientDisconnected)) == MAX_PIPELINED)
             assert harness.gateway.clients.connection_count() == 0
             assert harness.buffers.deferred_bytes == 0
-            for arrival in engine.events_of(Arrival)[:MAX_PIPELINED]:
-                harness.gateway.executor.execute(Reject(arrival.request_id, 0))
+            for arrival in engine.arrivals[:MAX_PIPELINED]:
+                reject_open_request(harness, arrival)
             await assert_only_this_request_is_forwarded(harness, await harness.connect_client(), number=99)
 
     run_on_loop(test)
--- a/tests/server/test_engine_faults.py
+++ b/tests/server/test_engine_faults.py
@@ -9,7 +9,6 @@
 from qos_gateway.server.endpoints.attempt import Attempt
 from qos_gateway.types import (
     Action,
-    Arrival,
     ClientDisconnected,
     Event,
     Reject,
@@ -80,7 +79,7 @@
             client = await harness.connect_client()
             client.send(call_command())
             assert str(await client.next_message()) == "ERR internal fault"
-            (arrival,) = engine.events_of(Arrival)
+            (arrival,) = engine.arrivals
             disconnected = [event.request_id for event in engine.events_of(ClientDisconnected)]
             assert disconnected == [arrival.request_id]
 
--- a/tests/server/test_graceful_shutdown.py
+++ b/tests/server/test_graceful_shutdown.py
@@ -15,7 +15,6 @@
 
 from qos_gateway.server.clients import accept_drain
 from qos_gateway.server.clients.listener import Listener
-from qos_gateway.types import Arrival
 from qos_gateway.units import SECOND
 from tests.support.clients import call_command
 from tests.support.configurations import raw_config
@@ -137,7 +136,7 @@
             killed = harness.gateway.clock() + SECOND // 2 + 7 * SECOND // 10
             client.send(call_command(number=2))
             second, _ = await harness.endpoint.next_command()
-            assert [a.deadline < killed for a in engine.events_of(Arrival)] == [False, True]
+            assert [a.deadline < killed for a in engine.arrivals] == [False, True]
             first.send(success_reply(b"1"))
             second.send(success_reply(b"2"))
             assert [await client.next_message() for _ in range(3)] == [b"1", b"2", None]
--- a/tests/server/test_pipelined_deadlines.py
+++ b/tests/server/test_pipelined_deadlines.py
@@ -1,129 +1,119 @@
-"""Deadlines of commands that wait unread behind others on their connection."""
+"""Deadlines of deferred commands, and of those that wait in the sockets behind them."""
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
 from dataclasses import replace
 
-from qos_gateway.server.clients import connection_input as client_input
+from qos_gateway.server.clients.connection_input import MAX_PIPELINED
 from qos_gateway.server.clients.socket_protocol import has_unread_bytes
-from qos_gateway.types import Action, Arrival, Reject
+from qos_gateway.types import Arrival
 from qos_gateway.units import SECOND
 from tests.support.clients import call_command
 from tests.support.event_loop import run_on_loop, wait_until
 from tests.support.gateway_harness import GatewayHarness, gateway_harness
-from tests.support.scripted_engine import script_engine
+from tests.support.scripted_engine import leave_open, reject_open_request, script_engine
 
 CLASS_DEADLINE_S = 2.0
 STEP_S = 0.4
 STEPS = 3
 
 
-def holding(arrived: list[Arrival]) -> Callable[[Arrival], list[Action]]:
-    """Return what an engine does that answers no request, and notes each in a list."""
+class AdvancedClock:
+    """The loop's clock, which a test can advance."""
 
-    def hold(arrival: Arrival) -> list[Action]:
-        arrived.append(arrival)
-        return []
+    def __init__(self) -> None:
+        self._loop = asyncio.get_running_loop()
+        self.advance_s = 0.0
 
-    return hold
+    def time(self) -> float:
+        return self._loop.time() + self.advance_s
 
 
-def set_clock(harness: GatewayHarness, time: Callable[[], float]) -> None:
-    """Set the clock of the client side; a connection keeps the one that it was opened with."""
-    clients = harness.gateway.clients
-    clients.context = replace(clients.context, time=time)
+def advance_clock_of(harness: GatewayHarness) -> AdvancedClock:
+    """Replace the clock of the client side; a connection keeps the one that it was opened with."""
+    clock, clients = AdvancedClock(), harness.gateway.clients
+    clients.context = replace(clients.context, time=clock.time)
+    return clock
 
 
-def test_command_behind_others_keeps_all_the_time_that_it_waited() -> None:
-    """Each reply lets one more command in; those that wait on have waited all the while."""
+def time_left_s(harness: GatewayHarness, arrival: Arrival) -> float:
+    return (arrival.deadline - harness.gateway.clock()) / SECOND
+
+
+def test_deadline_of_a_deferred_command_includes_all_its_waiting_time() -> None:
+    """Each reply starts one more command; the others have waited since they were read."""
 
     async def test() -> None:
         async with gateway_harness() as harness:
-            arrived: list[Arrival] = []
-            hold = holding(arrived)
-            number = client_input.MAX_PIPELINED + STEPS
-            script_engine(harness, *[hold] * number)
-            loop = asyncio.get_running_loop()
-            passed_s = 0.0
-            set_clock(harness, lambda: loop.time() + passed_s)
+            command_count = MAX_PIPELINED + STEPS
+            engine = script_engine(harness, *[leave_open] * command_count)
+            clock = advance_clock_of(harness)
             client = await harness.connect_client()
-            client.send(b"".join(call_command(number=n) for n in range(number)))
-            await wait_until(lambda: len(arrived) == client_input.MAX_PIPELINED)
+            client.send(b"".join(call_command(number=n) for n in range(command_count)))
+            await wait_until(lambda: len(engine.arrivals) == MAX_PIPELINED)
             for step in range(STEPS):
-                passed_s += STEP_S
-                harness.gateway.executor.execute(Reject(arrived[step].request_id, 0))
-                wanted = client_input.MAX_PIPELINED + step + 1
-                await wait_until(lambda wanted=wanted: len(arrived) == wanted)  # type: ignore[misc]
-                time_left_s = (arrived[-1].deadline - harness.gateway.clock()) / SECOND
-                assert time_left_s <= CLASS_DEADLINE_S - passed_s
+                clock.advance_s += STEP_S
+                reject_open_request(harness, engine.arrivals[step])
+                wanted = MAX_PIPELINED + step + 1
+                await wait_until(lambda wanted=wanted: len(engine.arrivals) == wanted)  # type: ignore[misc]
+                assert time_left_s(harness, engine.arrivals[-1]) <= CLASS_DEADLINE_S - clock.advance_s
 
     run_on_loop(test)
 
 
-def test_bytes_that_lay_in_the_socket_while_reading_was_paused_have_waited_as_long() -> None:
+def test_deadline_includes_the_time_in_the_socket_while_reading_was_paused() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            arrived: list[Arrival] = []
-            hold = holding(arrived)
-            most = client_input.MAX_PIPELINED
-            script_engine(harness, *[hold] * (most + 3))
-            loop = asyncio.get_running_loop()
-            passed_s = 0.0
-            set_clock(harness, lambda: loop.time() + passed_s)
+            engine = script_engine(harness, *[leave_open] * (MAX_PIPELINED + 3))
+            clock = advance_clock_of(harness)
             client = await harness.connect_client()
-            client.send(b"".join(call_command(number=n) for n in range(most + 1)))
-            await wait_until(lambda: len(arrived) == most)
-            client.send(call_command(number=most + 1))  # while the one before it waits, and nothing is read
+            client.send(b"".join(call_command(number=n) for n in range(MAX_PIPELINED + 1)))
+            await wait_until(lambda: len(engine.arrivals) == MAX_PIPELINED)
+            # Sent while a command is deferred and reading is paused.
+            client.send(call_command(number=MAX_PIPELINED + 1))
             connection = harness.gateway.clients.connections()[0]
             await wait_until(lambda: has_unread_bytes(connection._transport))
-            passed_s += STEP_S
-            for request in arrived[:2]:
-                harness.gateway.executor.execute(Reject(request.request_id, 0))
-            await wait_until(lambda: len(arrived) == most + 2)
-            assert (arrived[-1].deadline - harness.gateway.clock()) / SECOND <= CLASS_DEADLINE_S - passed_s
-            harness.gateway.executor.execute(Reject(arrived[2].request_id, 0))
-            client.send(call_command(number=most + 2))  # read as it comes: its time is whole
-            await wait_until(lambda: len(arrived) == most + 3)
-            time_left_s = (arrived[-1].deadline - harness.gateway.clock()) / SECOND
-            assert time_left_s > CLASS_DEADLINE_S - passed_s
+            clock.advance_s += STEP_S
+            for arrival in engine.arrivals[:2]:
+                reject_open_request(harness, arrival)
+            await wait_until(lambda: len(engine.arrivals) == MAX_PIPELINED + 2)
+            assert time_left_s(harness, engine.arrivals[-1]) <= CLASS_DEADLINE_S - clock.advance_s
+            reject_open_request(harness, engine.arrivals[2])
+            client.send(call_command(number=MAX_PIPELINED + 2))  # read on arrival: it has waited for no time
+            await wait_until(lambda: len(engine.arrivals) == MAX_PIPELINED + 3)
+            assert time_left_s(harness, engine.arrivals[-1]) > CLASS_DEADLINE_S - clock.advance_s
 
     run_on_loop(test)
 
 
-def test_bytes_that_the_socket_had_no_room_for_have_waited_as_long() -> None:
-    """They lie with the client's system, and come once reading goes on."""
+def test_deadline_includes_the_time_in_the_clients_socket_while_the_gateways_was_full() -> None:
+    """Such bytes wait in the send buffer of the client, and arrive after reading resumes."""
 
     async def test() -> None:
         async with gateway_harness() as harness:
-            arrived: list[Arrival] = []
-            hold = holding(arrived)
-            most = client_input.MAX_PIPELINED
-            behind = 2 * most
-            script_engine(harness, *[hold] * (most + behind))
-            loop = asyncio.get_running_loop()
-            passed_s = 0.0
-            set_clock(harness, lambda: loop.time() + passed_s)
+            waiting_count = 2 * MAX_PIPELINED
+            engine = script_engine(harness, *[leave_open] * (MAX_PIPELINED + waiting_count))
+            clock = advance_clock_of(harness)
             client = await harness.connect_client()
-            client.send(b"".join(call_command(number=n) for n in range(most)))
-            await wait_until(lambda: len(arrived) == most)
+            client.send(b"".join(call_command(number=n) for n in range(MAX_PIPELINED)))
+            await wait_until(lambda: len(engine.arrivals) == MAX_PIPELINED)
             (connection,) = harness.gateway.clients.connections()
             client.send(
                 b"".join(
-                    call_command("submit", number=n, body=b"B" * 50_000) for n in range(most, most + behind)
+                    call_command("submit", number=n, body=b"B" * 50_000)
+                    for n in range(MAX_PIPELINED, MAX_PIPELINED + waiting_count)
                 )
             )
             await wait_until(lambda: has_unread_bytes(connection._transport))
             await asyncio.sleep(0.05)
-            passed_s += STEP_S
-            answered = 0
-            while len(arrived) < most + behind:
-                harness.gateway.executor.execute(Reject(arrived[answered].request_id, 0))
-                answered += 1
-                await wait_until(lambda: len(arrived) >= most + answered)  # noqa: B023
-            for arrival in arrived[most:]:
-                time_left_s = (arrival.deadline - harness.gateway.clock()) / SECOND
-                assert time_left_s <= CLASS_DEADLINE_S - passed_s
+            clock.advance_s += STEP_S
+            rejected_count = 0
+            while len(engine.arrivals) < MAX_PIPELINED + waiting_count:
+                reject_open_request(harness, engine.arrivals[rejected_count])
+                rejected_count += 1
+                await wait_until(lambda: len(engine.arrivals) >= MAX_PIPELINED + rejected_count)  # noqa: B023
+            for arrival in engine.arrivals[MAX_PIPELINED:]:
+                assert time_left_s(harness, arrival) <= CLASS_DEADLINE_S - clock.advance_s
 
     run_on_loop(test)
--- a/tests/server/test_pipelining.py
+++ b/tests/server/test_pipelining.py
@@ -3,39 +3,32 @@
 from __future__ import annotations
 
 from qos_gateway.server.clients.connection_input import MAX_PIPELINED
-from qos_gateway.types import Action, Arrival, Reject, RejectReason
+from qos_gateway.types import RejectReason
 from qos_gateway.units import MILLISECOND
 from tests.support.clients import PING, call_command
 from tests.support.event_loop import run_on_loop, wait_until
 from tests.support.gateway_harness import gateway_harness
-from tests.support.scripted_engine import leave_open, script_engine
+from tests.support.scripted_engine import leave_open, reject_open_request, script_engine
 
 
 def test_commands_beyond_the_pipeline_limit_are_deferred_and_answered_in_order() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             command_count = 3 * MAX_PIPELINED
-            arrived: list[int] = []
-
-            def hold(arrival: Arrival) -> list[Action]:
-                arrived.append(arrival.request_id)
-                return []
-
-            script_engine(harness, *[hold] * command_count)
+            engine = script_engine(harness, *[leave_open] * command_count)
             client = await harness.connect_client()
             client.send(b"".join(call_command(number=n) for n in range(command_count)))
-            await wait_until(lambda: len(arrived) == MAX_PIPELINED)
+            await wait_until(lambda: len(engine.arrivals) == MAX_PIPELINED)
             client.send(PING)
-            while len(arrived) < command_count:
+            while len(arrivals := engine.arrivals) < command_count:
                 assert len(harness.open_requests) <= MAX_PIPELINED
-                before = len(arrived)
                 # Out of order: the last of them first.
-                harness.gateway.executor.execute(Reject(arrived[before - 1], 7 * MILLISECOND))
-                for request in arrived[before - MAX_PIPELINED : before - 1]:
-                    harness.gateway.executor.execute(Reject(request, 7 * MILLISECOND))
-                await wait_until(lambda before=before: len(arrived) > before)  # type: ignore[misc]
-            for request in arrived[-MAX_PIPELINED:]:
-                harness.gateway.executor.execute(Reject(request, 7 * MILLISECOND))
+                reject_open_request(harness, arrivals[-1], 7 * MILLISECOND)
+                for arrival in arrivals[-MAX_PIPELINED:-1]:
+                    reject_open_request(harness, arrival, 7 * MILLISECOND)
+                await wait_until(lambda: len(engine.arrivals) > len(arrivals))
+            for arrival in engine.arrivals[-MAX_PIPELINED:]:
+                reject_open_request(harness, arrival, 7 * MILLISECOND)
             assert {str(await client.next_message()) for _ in range(command_count)} == {"BUSY 7"}
             assert await client.next_message() == b"PONG"
             assert harness.buffers.deferred_bytes == 0
--- a/tests/server/test_requests.py
+++ b/tests/server/test_requests.py
@@ -4,7 +4,7 @@
 
 import hiredis
 
-from qos_gateway.types import Arrival, AttemptEnded, ClientDisconnected, Fail, Outcome, Reject
+from qos_gateway.types import AttemptEnded, ClientDisconnected, Fail, Outcome, Reject
 from tests.support.clients import CUSTOMER, PING, call_command
 from tests.support.event_loop import run_on_loop, wait_until
 from tests.support.fake_endpoint import success_reply
@@ -56,13 +56,13 @@
             reply = await client.next_message()
             assert isinstance(reply, hiredis.ReplyError)
             assert str(reply) == "BUSY 2"
-            (arrival,) = engine.events_of(Arrival)
+            (arrival,) = engine.arrivals
             assert (arrival.class_index, arrival.plan_index, arrival.customer_id) == (2, 0, 0xB4D65521)
             assert (arrival.units, arrival.options) == (1.0, 2)
             assert (arrival.gateway_spread, arrival.first_gateway) == (2, 0)
             client.send(call_command())
             assert str(await client.next_message()) == "BUSY"
-            assert engine.events_of(Arrival)[1].options == 0
+            assert engine.arrivals[1].options == 0
 
     run_on_loop(test)
 
@@ -88,10 +88,10 @@
             engine = script_engine(harness, *[leave_open] * 3)
             client, other = await harness.connect_client(), await harness.connect_client()
             client.send(call_command(number=5))
-            await wait_until(lambda: len(engine.events_of(Arrival)) == 1)
+            await wait_until(lambda: len(engine.arrivals) == 1)
             other.send(call_command(number=5))
             assert "open" in str(await other.next_message())
-            assert len(engine.events_of(Arrival)) == 1
+            assert len(engine.arrivals) == 1
             client.abort()
             await wait_until(lambda: len(engine.events_of(ClientDisconnected)) == 1)
             other.send(call_command(number=5, wait_ms=60))
@@ -160,7 +160,7 @@
             engine = script_engine(harness, forward_to(only_endpoint(harness)))
             await disconnect_with_a_request_in_flight(harness, engine)
             assert not engine.events_of(AttemptEnded)
-            timer = harness.open_requests[engine.events_of(Arrival)[0].request_id].deadline_timer
+            timer = harness.open_requests[engine.arrivals[0].request_id].deadline_timer
             assert timer is not None
             assert not timer.cancelled()
             pass_deadline(harness, engine)
--- a/tests/server/test_unread_disconnects.py
+++ b/tests/server/test_unread_disconnects.py
@@ -11,7 +11,7 @@
 
 from qos_gateway.server.clients.connection_input import MAX_PIPELINED
 from qos_gateway.server.endpoints.connection_pool import REUSE_DELAY_S
-from qos_gateway.types import Arrival, AttemptEnded, Outcome, Reject, Send
+from qos_gateway.types import AttemptEnded, Outcome, Send
 from tests.support.clients import call_command
 from tests.support.disconnects import (
     assert_only_this_request_is_forwarded,
@@ -22,7 +22,14 @@
 from tests.support.event_loop import LOOPBACK, run_on_loop, wait_until, with_timeout
 from tests.support.fake_endpoint import success_reply
 from tests.support.gateway_harness import GatewayHarness, gateway_harness
-from tests.support.scripted_engine import ScriptedEngine, forward_to, leave_open, only_endpoint, script_engine
+from tests.support.scripted_engine import (
+    ScriptedEngine,
+    forward_to,
+    leave_open,
+    only_endpoint,
+    reject_open_request,
+    script_engine,
+)
 
 
 class BlockingClient:
@@ -52,9 +59,9 @@
     """The first attempt starts after the reply of the counter."""
     engine.plans[:] = [leave_open]
     client.send(1)
-    await wait_until(lambda: len(engine.events_of(Arrival)) == 1)
+    await wait_until(lambda: len(engine.arrivals) == 1)
     client.disconnect(how)
-    harness.gateway.executor.execute(Send(engine.events_of(Arrival)[0].request_id, only_endpoint(harness), 0))
+    harness.gateway.executor.execute(Send(engine.arrivals[0].request_id, only_endpoint(harness), 0))
     return 0
 
 
@@ -66,7 +73,7 @@
     await harness.endpoint.reply_to_next_command(b"-BUSY\r\n")
     await wait_until(lambda: len(engine.events_of(AttemptEnded)) == 1)
     client.disconnect(how)
-    harness.gateway.executor.execute(Send(engine.events_of(Arrival)[0].request_id, endpoint, 0))
+    harness.gateway.executor.execute(Send(engine.arrivals[0].request_id, endpoint, 0))
     return 1
 
 
@@ -77,7 +84,7 @@
     client.send(1)
     await harness.endpoint.next_command()
     client.disconnect(how)
-    harness.gateway.executor.execute(Send(engine.events_of(Arrival)[0].request_id, endpoint, 0))
+    harness.gateway.executor.execute(Send(engine.arrivals[0].request_id, endpoint, 0))
     return 1
 
 
@@ -111,16 +118,12 @@
     endpoint = only_endpoint(harness)
     engine.plans[:] = [leave_open] * MAX_PIPELINED + [forward_to(endpoint)] * 8
     client.send(*range(1, MAX_PIPELINED + 9))
-    await wait_until(
-        lambda: len(engine.events_of(Arrival)) == MAX_PIPELINED and harness.buffers.deferred_bytes > 0
-    )
+    await wait_until(lambda: len(engine.arrivals) == MAX_PIPELINED and harness.buffers.deferred_bytes > 0)
     client.disconnect(how)
-    for arrival in engine.events_of(Arrival)[:MAX_PIPELINED]:
-        harness.gateway.executor.execute(Reject(arrival.request_id, 0))
+    for arrival in engine.arrivals[:MAX_PIPELINED]:
+        reject_open_request(harness, arrival)
     await wait_until(
-        lambda: (
-            harness.gateway.clients.connection_count() == 0 or len(engine.events_of(Arrival)) > MAX_PIPELINED
-        )
+        lambda: harness.gateway.clients.connection_count() == 0 or len(engine.arrivals) > MAX_PIPELINED
     )
     return 0
 
--- a/tests/support/scripted_engine.py
+++ b/tests/support/scripted_engine.py
@@ -49,6 +49,11 @@
         actions: list[Action] = plan(event)
         return actions
 
+    @property
+    def arrivals(self) -> list[Arrival]:
+        """Return the requests that have arrived, in order."""
+        return self.events_of(Arrival)
+
     def events_of(self, kind: type) -> list[Any]:
         return [event for event in self.events if isinstance(event, kind)]
 
@@ -59,6 +64,11 @@
     return engine
 
 
+def reject_open_request(harness: GatewayHarness, arrival: Arrival, retry_after_ns: int = 0) -> None:
+    """Reject a request that the engine left open."""
+    harness.gateway.executor.execute(Reject(arrival.request_id, retry_after_ns))
+
+
 def pass_deadline(harness: GatewayHarness, engine: ScriptedEngine) -> None:
     """Let the latest request's deadline pass, however fast the machine is."""
     deadlines = harness.gateway.deadlines
