--- a/tests/server/test_graceful_shutdown.py
+++ b/tests/server/test_graceful_shutdown.py
@@ -167,10 +167,10 @@
     """Discovery is silent, so both signals arrive while the start waits for the first endpoint list."""
 
     async def test() -> None:
-        agent = FakeDiscovery()
+        discovery = FakeDiscovery()
         endpoint = FakeEndpoint()
-        async with listening(agent), listening(endpoint), launched(tmp_path, agent) as process:
-            await with_timeout(agent.requests.get())
+        async with listening(discovery), listening(endpoint), launched(tmp_path, discovery) as process:
+            await with_timeout(discovery.requests.get())
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGTERM)
             process.send_signal(signal.SIGTERM)
@@ -183,10 +183,10 @@
     """Without a handler, the default action of the signal ends the process."""
 
     async def test() -> None:
-        agent = FakeDiscovery()
+        discovery = FakeDiscovery()
         path = tmp_path / "config.json"
-        async with listening(agent):
-            path.write_text(json.dumps(raw_config(agent.port)))
+        async with listening(discovery):
+            path.write_text(json.dumps(raw_config(discovery.port)))
             run_command = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
             process = await asyncio.create_subprocess_exec(
                 "/bin/sh",
@@ -200,7 +200,7 @@
                 command_line = Path(f"/proc/{process.pid}/cmdline")
                 await wait_until(lambda: command_line.read_bytes().startswith(sys.executable.encode()))
                 process.send_signal(signal.SIGHUP)
-                await with_timeout(agent.requests.get())
+                await with_timeout(discovery.requests.get())
                 process.send_signal(signal.SIGTERM)
                 assert await with_timeout(process.wait()) == 0
             finally:
--- a/tests/support/fake_counter.py
+++ b/tests/support/fake_counter.py
@@ -8,7 +8,7 @@
 
 
 class CounterCall:
-    """One call to the counter, for a test to answer."""
+    """One call to the counter, to which a test replies."""
 
     def __init__(self, writer: asyncio.StreamWriter, line: bytes) -> None:
         self._writer = writer
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -1,4 +1,4 @@
-"""Gateways in processes of their own, on a configuration file and, where wanted, an inherited socket."""
+"""Gateways in processes of their own, with a configuration file and, optionally, an inherited socket."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
         self, process: asyncio.subprocess.Process, port: int, endpoint: FakeEndpoint, path: Path
     ) -> None:
         self.process, self.port, self.endpoint, self.path = process, port, endpoint, path
-        self.door = 0
-        self.read = b""  # of the log: what was read past on the way to lines asked for
+        self.admin_port = 0
+        self.read = b""  # the lines of the log that `logged` skipped
 
     async def logged(self, words: bytes) -> bytes:
-        """Reads the log up to a line that holds these words."""
+        """Read the log up to a line that contains these words; return that line."""
         assert self.process.stderr is not None
         while words not in (line := await with_timeout(self.process.stderr.readline())):
-            assert line, "ended before it said so"
+            assert line, "the log ended without these words"
             self.read += line
         return line
 
@@ -44,7 +44,7 @@
 
 @asynccontextmanager
 async def inherited_socket() -> AsyncIterator[socket.socket]:
-    """A listening socket as the platform holds it."""
+    """Open a listening socket that processes can inherit, as the platform does."""
     with socket.create_server((LOOPBACK, 0)) as sock:
         sock.set_inheritable(True)
         yield sock
@@ -52,11 +52,11 @@
 
 @asynccontextmanager
 async def serving(
-    folder: Path, agent: FakeDiscovery, endpoint: FakeEndpoint, sock: socket.socket
+    folder: Path, discovery: FakeDiscovery, endpoint: FakeEndpoint, sock: socket.socket
 ) -> AsyncIterator[Process]:
-    """A gateway on a listening socket that the platform holds."""
+    """Run a gateway that inherits its listening socket; yield it when it accepts connections."""
     path = folder / "config.json"
-    path.write_text(json.dumps(raw_config(agent.port)))
+    path.write_text(json.dumps(raw_config(discovery.port)))
     process = await asyncio.create_subprocess_exec(
         *COMMAND,
         stderr=asyncio.subprocess.PIPE,
@@ -71,7 +71,7 @@
     )
     try:
         made = Process(process, sock.getsockname()[1], endpoint, path)
-        made.door = int((await made.logged(b"admin_started")).rsplit(b":", 1)[1])
+        made.admin_port = int((await made.logged(b"admin_started")).rsplit(b":", 1)[1])
         await made.logged(b"listening on")
         yield made
     finally:
@@ -81,30 +81,30 @@
 
 
 async def operate(p: Process, path: str, body: bytes = b"") -> int:
-    """Status of an operator's call."""
-    reader, writer = await with_timeout(asyncio.open_connection(LOOPBACK, p.door))
+    """Call the admin API; return the status of the response."""
+    reader, writer = await with_timeout(asyncio.open_connection(LOOPBACK, p.admin_port))
     head = f"{'POST' if body else 'GET'} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n"
     writer.write(head.encode() + body)
-    answer = await with_timeout(reader.read())
+    response = await with_timeout(reader.read())
     writer.close()
-    return int(answer.split()[1])
+    return int(response.split()[1])
 
 
 @asynccontextmanager
 async def launched(
-    folder: Path, agent: FakeDiscovery, **more: str
+    folder: Path, discovery: FakeDiscovery, **environment: str
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    """A gateway's process, from its first moment."""
+    """Start a gateway; yield its process at once."""
     path = folder / "config.json"
-    path.write_text(json.dumps(raw_config(agent.port)))
+    path.write_text(json.dumps(raw_config(discovery.port)))
     process = await asyncio.create_subprocess_exec(
         *COMMAND,
         stderr=asyncio.subprocess.PIPE,
         env={
             **os.environ,
             "ROUTER_CONFIG": str(path),
-            "ROUTER_DISCOVERY": f"{LOOPBACK}:{agent.port}",
-            **more,
+            "ROUTER_DISCOVERY": f"{LOOPBACK}:{discovery.port}",
+            **environment,
         },
     )
     try:
@@ -116,12 +116,13 @@
 
 
 @asynccontextmanager
-async def running(folder: Path, **more: str) -> AsyncIterator[Process]:
-    agent, endpoint = FakeDiscovery(), FakeEndpoint()
-    async with listening(agent), listening(endpoint):
-        agent.first_update = endpoint_list(1, endpoint_entry("s-1", endpoint.port))
-        async with launched(folder, agent, **more) as process:
+async def running(folder: Path, **environment: str) -> AsyncIterator[Process]:
+    """Run a gateway with one endpoint; yield it when it accepts connections."""
+    discovery, endpoint = FakeDiscovery(), FakeEndpoint()
+    async with listening(discovery), listening(endpoint):
+        discovery.first_update = endpoint_list(1, endpoint_entry("s-1", endpoint.port))
+        async with launched(folder, discovery, **environment) as process:
             assert process.stderr is not None
             while b"listening on" not in (line := await with_timeout(process.stderr.readline())):
-                assert line, "ended before it listened"
+                assert line, "the log ended before the gateway listened"
             yield Process(process, int(line.rsplit(b":", 1)[1]), endpoint, folder / "config.json")
--- a/tests/support/resp_connection.py
+++ b/tests/support/resp_connection.py
@@ -11,7 +11,7 @@
 
 
 class Connection:
-    """One end of a RESP connection, for reading whole commands or replies."""
+    """One end of a RESP connection, which reads complete commands or replies."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
--- a/tests/support/scripted_engine.py
+++ b/tests/support/scripted_engine.py
@@ -70,7 +70,7 @@
 
 
 def pass_deadline(harness: GatewayHarness, engine: ScriptedEngine) -> None:
-    """Let the latest request's deadline pass, however fast the machine is."""
+    """Let the deadline of the latest request expire, independently of the machine's speed."""
     deadlines = harness.gateway.deadlines
     clock = harness.gateway.clock
     deadlines.clock = lambda: clock() + 60 * SECOND
