--- a/tests/server/test_attempt_execution.py
+++ b/tests/server/test_attempt_execution.py
@@ -12,12 +12,8 @@
 from qos_gateway.types import Outcome
 from tests.support.builders import SECOND
 from tests.support.endpoint_harness import RawEndpoint, endpoint_harness, reset
-from tests.support.servers import (
-    LOOPBACK,
-    FakeEndpoint,
-    run_on_loop,
-    wait_until,
-)
+from tests.support.event_loop import LOOPBACK, run_on_loop, wait_until
+from tests.support.fake_endpoint import FakeEndpoint
 
 CLOCK = monotonic_unix_ns()
 
--- a/tests/server/test_endpoint_responses.py
+++ b/tests/server/test_endpoint_responses.py
@@ -12,12 +12,8 @@
 from qos_gateway.server.networking.resp import ResponseFrames
 from qos_gateway.types import Outcome
 from tests.support.endpoint_harness import endpoint_harness
-from tests.support.servers import (
-    FakeEndpoint,
-    run_on_loop,
-    success_reply,
-    wait_until,
-)
+from tests.support.event_loop import run_on_loop, wait_until
+from tests.support.fake_endpoint import FakeEndpoint, success_reply
 
 
 @pytest.mark.parametrize(
--- a/tests/server/test_metrics.py
+++ b/tests/server/test_metrics.py
@@ -7,13 +7,11 @@
 from qos_gateway.server.observability.metrics import Gauges, Metrics, RequestResult, render
 from qos_gateway.server.observability.retry_causes import RetryCause
 from qos_gateway.types import RejectReason
+from tests.support.clients import call_command
+from tests.support.event_loop import run_on_loop
+from tests.support.fake_endpoint import success_reply
+from tests.support.gateway_harness import gateway_harness
 from tests.support.metric_values import read_metrics
-from tests.support.servers import (
-    call_command,
-    gateway_harness,
-    run_on_loop,
-    success_reply,
-)
 
 
 def test_metrics_are_rendered_one_a_line() -> None:
--- a/tests/server/test_stale_responses.py
+++ b/tests/server/test_stale_responses.py
@@ -9,12 +9,8 @@
 from qos_gateway.server.endpoints import connection_pool
 from qos_gateway.types import Outcome
 from tests.support.endpoint_harness import RawEndpoint, endpoint_harness, reset
-from tests.support.servers import (
-    FakeEndpoint,
-    run_on_loop,
-    success_reply,
-    wait_until,
-)
+from tests.support.event_loop import run_on_loop, wait_until
+from tests.support.fake_endpoint import FakeEndpoint, success_reply
 
 
 @pytest.fixture
--- a/tests/server/test_support_servers.py
+++ b/tests/server/test_stand_ins.py
@@ -4,14 +4,9 @@
 
 import asyncio
 
-from tests.support.servers import (
-    LOOPBACK,
-    Connection,
-    FakeEndpoint,
-    bulk_string,
-    listening,
-    run_on_loop,
-)
+from tests.support.event_loop import LOOPBACK, listening, run_on_loop
+from tests.support.fake_endpoint import FakeEndpoint, bulk_string
+from tests.support.resp_connection import Connection
 
 
 def test_connection_helper_reads_complete_messages() -> None:
