--- a/tests/server/test_admin.py
+++ b/tests/server/test_admin.py
@@ -11,12 +11,7 @@
 from qos_gateway.server.admin import connection as admin_connection
 from qos_gateway.server.admin import server as admin
 from qos_gateway.server.admin.server import AdminServer
-from tests.support.servers import (
-    LOOPBACK,
-    run_on_loop,
-    wait_until,
-    with_timeout,
-)
+from tests.support.event_loop import LOOPBACK, run_on_loop, wait_until, with_timeout
 
 
 class FakeAdminHandler:
--- a/tests/server/test_connection_pool.py
+++ b/tests/server/test_connection_pool.py
@@ -8,18 +8,12 @@
 from qos_gateway.server.endpoints import connection_pool
 from qos_gateway.server.endpoints.keep_alive import KeepAliveEstimator
 from qos_gateway.types import Outcome
+from tests.support.clients import call_command
 from tests.support.descriptors import no_descriptors_left
 from tests.support.endpoint_harness import endpoint_harness
-from tests.support.servers import (
-    LOOPBACK,
-    FakeEndpoint,
-    call_command,
-    gateway_harness,
-    listening,
-    run_on_loop,
-    success_reply,
-    wait_until,
-)
+from tests.support.event_loop import LOOPBACK, listening, run_on_loop, wait_until
+from tests.support.fake_endpoint import FakeEndpoint, success_reply
+from tests.support.gateway_harness import gateway_harness
 
 
 def test_connection_is_not_reused_at_once_where_another_may_be_opened() -> None:
--- a/tests/server/test_disabled_endpoint.py
+++ b/tests/server/test_disabled_endpoint.py
@@ -4,16 +4,12 @@
 
 import asyncio
 
+from tests.support.clients import call_command
+from tests.support.event_loop import run_on_loop, wait_until
+from tests.support.fake_discovery import endpoint_entry, endpoint_list
+from tests.support.fake_endpoint import success_reply
+from tests.support.gateway_harness import gateway_harness
 from tests.support.metric_values import read_metrics
-from tests.support.servers import (
-    call_command,
-    endpoint_entry,
-    endpoint_list,
-    gateway_harness,
-    run_on_loop,
-    success_reply,
-    wait_until,
-)
 
 
 def test_endpoint_disabled_by_operators_gets_no_request_until_it_is_enabled() -> None:
--- a/tests/server/test_endpoint_drain.py
+++ b/tests/server/test_endpoint_drain.py
@@ -6,12 +6,8 @@
 
 from qos_gateway.types import Outcome
 from tests.support.endpoint_harness import endpoint_harness
-from tests.support.servers import (
-    FakeEndpoint,
-    run_on_loop,
-    success_reply,
-    wait_until,
-)
+from tests.support.event_loop import run_on_loop, wait_until
+from tests.support.fake_endpoint import FakeEndpoint, success_reply
 
 
 def test_draining_endpoint_loses_idle_connections_and_finishes_attempts_in_flight() -> None:
--- a/tests/server/test_upgrade.py
+++ b/tests/server/test_upgrade.py
@@ -9,16 +9,10 @@
 
 import pytest
 
+from tests.support.clients import call_command
+from tests.support.event_loop import listening, run_on_loop, wait_until, with_timeout
+from tests.support.fake_endpoint import FakeEndpoint, success_reply
 from tests.support.processes import call_admin, inherited_socket_host, running
-from tests.support.servers import (
-    FakeEndpoint,
-    call_command,
-    listening,
-    run_on_loop,
-    success_reply,
-    wait_until,
-    with_timeout,
-)
 
 
 def test_upgrade_on_an_inherited_socket_answers_all_and_leaves_new_connections_to_the_next_process(
--- a/tests/support/endpoint_harness.py
+++ b/tests/support/endpoint_harness.py
@@ -17,7 +17,9 @@
 from qos_gateway.server.observability.metrics import Metrics
 from qos_gateway.types import Outcome
 from tests.support.builders import SECOND
-from tests.support.servers import LOOPBACK, Connection, FakeEndpoint, listening, success_reply, with_timeout
+from tests.support.event_loop import LOOPBACK, listening, with_timeout
+from tests.support.fake_endpoint import FakeEndpoint, success_reply
+from tests.support.resp_connection import Connection
 
 CLOCK = monotonic_unix_ns()
 
--- a/tests/support/metric_values.py
+++ b/tests/support/metric_values.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.support.servers import GatewayHarness
+from tests.support.gateway_harness import GatewayHarness
 
 
 def read_metrics(harness: GatewayHarness) -> dict[str, int]:
--- a/tests/support/scripted_engine.py
+++ b/tests/support/scripted_engine.py
@@ -2,22 +2,38 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from typing import Any
 
-from qos_gateway.types import (
-    Action,
-    Arrival,
-    Event,
-)
-from tests.support.servers import (
-    GatewayHarness,
-)
+from qos_gateway.types import Action, Arrival, Event, Fail, Reject, Send
+from tests.support.gateway_harness import GatewayHarness
 
 MS, SECOND = 1_000_000, 1_000_000_000
 
+ArrivalPlan = Callable[[Arrival], list[Action]]
+
+
+def leave_open(_arrival: Arrival) -> list[Action]:
+    """Neither forward the request nor respond to it."""
+    return []
+
+
+def reject(arrival: Arrival) -> list[Action]:
+    """Reject the request without a time to wait."""
+    return [Reject(arrival.request_id, 0)]
+
+
+def fail(arrival: Arrival) -> list[Action]:
+    return [Fail(arrival.request_id)]
+
+
+def forward_to(endpoint: int) -> ArrivalPlan:
+    """Return a plan that starts one attempt at this endpoint."""
+    return lambda arrival: [Send(arrival.request_id, endpoint, 0)]
+
 
 class ScriptedEngine:
-    """Stands in for the decision engine: acts on each arrival as the test scripts it, and records events."""
+    """Records events, and follows one plan of the test for each arrival, in order."""
 
     def __init__(self, *plans: Any) -> None:
         self.plans = list(plans)
@@ -33,6 +49,11 @@
         actions: list[Action] = plan(event)
         return actions
 
+    @property
+    def arrivals(self) -> list[Arrival]:
+        """Return the requests that have arrived, in order."""
+        return self.events_of(Arrival)
+
     def events_of(self, kind: type) -> list[Any]:
         return [event for event in self.events if isinstance(event, kind)]
 
@@ -43,6 +64,11 @@
     return engine
 
 
+def reject_open_request(harness: GatewayHarness, arrival: Arrival, retry_after_ns: int = 0) -> None:
+    """Reject a request that the engine left open."""
+    harness.gateway.executor.execute(Reject(arrival.request_id, retry_after_ns))
+
+
 def pass_deadline(harness: GatewayHarness, engine: ScriptedEngine) -> None:
     """Let the latest request's deadline pass, however fast the machine is."""
     deadlines = harness.gateway.deadlines
