--- a/tests/server/test_connection_pool.py
+++ b/tests/server/test_connection_pool.py
@@ -8,7 +8,7 @@
 from qos_gateway.server.endpoints import connection_pool
 from qos_gateway.server.endpoints.keep_alive import KeepAliveEstimator
 from qos_gateway.types import Outcome
-from tests.support.clients import call_command
+from tests.support.clients import PING, call_command
 from tests.support.descriptors import no_descriptors_left
 from tests.support.endpoint_harness import endpoint_harness
 from tests.support.event_loop import LOOPBACK, listening, run_on_loop, wait_until
@@ -144,7 +144,7 @@
     async def test() -> None:
         async with gateway_harness() as harness:
             client = await harness.connect_client()
-            client.send(b"*1\r\n$4\r\nPING\r\n")
+            client.send(PING)
             assert await client.next_message() == b"PONG"
             with no_descriptors_left():
                 client.send(call_command(number=1))
--- a/tests/server/test_descriptor_limits.py
+++ b/tests/server/test_descriptor_limits.py
@@ -17,7 +17,7 @@
 
 from qos_gateway.server.clients import listener
 from qos_gateway.server.clients.listener import Listener
-from tests.support.clients import call_command
+from tests.support.clients import PING, call_command
 from tests.support.configurations import raw_config
 from tests.support.event_loop import LOOPBACK, listening, run_on_loop, wait_until, with_timeout
 from tests.support.fake_counter import FakeCounter
@@ -27,7 +27,6 @@
 from tests.support.resp_connection import Connection
 
 DESCRIPTORS = 256
-PING = b"*1\r\n$4\r\nPING\r\n"
 HALF = b"*4\r\n$8\r\nCALL.GET\r\n$16\r\n0000"
 
 
--- a/tests/server/test_endpoint_feed.py
+++ b/tests/server/test_endpoint_feed.py
@@ -12,7 +12,7 @@
 from qos_gateway.server.clients.connections import ClientConnections
 from qos_gateway.server.discovery.endpoint_list import endpoint_id
 from qos_gateway.server.gateway import GatewayProcess
-from tests.support.clients import call_command
+from tests.support.clients import PING, call_command
 from tests.support.configurations import make_config
 from tests.support.event_loop import LOOPBACK, listening, run_on_loop, wait_until, with_timeout
 from tests.support.fake_discovery import FakeDiscovery, endpoint_entry, endpoint_list
@@ -83,11 +83,11 @@
             harness.discovery.send_update(endpoint_list(2))
             await wait_until(lambda: not harness.process.is_ready())
             client = await harness.connect_client()
-            client.send(b"*1\r\n$4\r\nPING\r\n")
+            client.send(PING)
             assert str(await client.next_message()).startswith("LOADING")
             harness.discovery.send_update(endpoint_list(3, endpoint_entry("s-1", harness.endpoint.port)))
             await wait_until(harness.process.is_ready)
-            client.send(b"*1\r\n$4\r\nPING\r\n")
+            client.send(PING)
             assert await client.next_message() == b"PONG"
 
     run_on_loop(test)
--- a/tests/server/test_metrics.py
+++ b/tests/server/test_metrics.py
@@ -7,7 +7,7 @@
 from qos_gateway.server.observability.metrics import Gauges, Metrics, RequestResult, render
 from qos_gateway.server.observability.retry_causes import RetryCause
 from qos_gateway.types import RejectReason
-from tests.support.clients import call_command
+from tests.support.clients import PING, call_command
 from tests.support.event_loop import run_on_loop
 from tests.support.fake_endpoint import success_reply
 from tests.support.gateway_harness import gateway_harness
@@ -79,7 +79,7 @@
                 await client.next_message()
             client.send(call_command("charge", 2, wait_ms=0))  # no time left for an attempt
             assert str(await client.next_message()).startswith("BUSY ")
-            client.send(b"*1\r\n$4\r\nPING\r\n*2\r\n$8\r\nCALL.GET\r\n$1\r\nx\r\n")
+            client.send(PING + b"*2\r\n$8\r\nCALL.GET\r\n$1\r\nx\r\n")
             assert await client.next_message() == b"PONG"  # neither is a request
             await client.next_message()
             values = read_metrics(harness)
--- a/tests/server/test_process.py
+++ b/tests/server/test_process.py
@@ -12,7 +12,7 @@
 import pytest
 
 from qos_gateway.server.clients.accept_drain import ACCEPT_DRAIN_QUIET_S
-from tests.support.clients import call_command
+from tests.support.clients import PING, call_command
 from tests.support.configurations import nested_settings, raw_config
 from tests.support.event_loop import LOOPBACK, listening, run_on_loop, wait_until, with_timeout
 from tests.support.fake_discovery import FakeDiscovery, endpoint_entry, endpoint_list
@@ -25,7 +25,7 @@
     async def test() -> None:
         async with running(tmp_path) as p:
             taken, idle = await p.client(), await p.client()
-            idle.send(b"*1\r\n$4\r\nPING\r\n")
+            idle.send(PING)
             assert await idle.next_message() == b"PONG"
             taken.send(call_command(number=1))
             first, _ = await p.endpoint.next_command()
--- a/tests/server/test_support_servers.py
+++ b/tests/server/test_resp_connection.py
@@ -1,4 +1,4 @@
-"""The servers and clients that the tests use."""
+"""The RESP connection that the tests use."""
 
 from __future__ import annotations
 
--- a/tests/server/test_upgrade.py
+++ b/tests/server/test_upgrade.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.support.clients import call_command
+from tests.support.clients import PING, call_command
 from tests.support.event_loop import listening, run_on_loop, wait_until, with_timeout
 from tests.support.fake_endpoint import FakeEndpoint, success_reply
 from tests.support.processes import call_admin, inherited_socket_host, running
@@ -21,7 +21,7 @@
     async def test() -> None:
         async with inherited_socket_host(tmp_path) as host, host.serving() as old:
             taken, idle = await old.client(), await old.client()
-            idle.send(b"*1\r\n$4\r\nPING\r\n")
+            idle.send(PING)
             assert await idle.next_message() == b"PONG"
             taken.send(call_command(number=1))
             first, _ = await host.endpoint.next_command()
@@ -169,7 +169,7 @@
     async def test() -> None:
         async with running(tmp_path, ROUTER_PASSED_SOCKET=descriptor) as p:
             client = await p.client()
-            client.send(b"*1\r\n$4\r\nPING\r\n")
+            client.send(PING)
             assert await client.next_message() == b"PONG"
 
     run_on_loop(test)
