--- a/qos_gateway/decisions/admission/commitment_table.py
+++ b/qos_gateway/decisions/admission/commitment_table.py
@@ -73,8 +73,8 @@
     def _offer(self, now: int, commitment: Commitment, demand: Demand, throughputs: dict[int, float]) -> int:
         """Return the concurrency that the seven cases offer, 0 to reject."""
         others = self._busy_others(commitment)
-        in_flight = sum(other.expected_in_flight for other in others)
-        headroom = min((other.headroom for other in others), default=commitment.headroom)
+        in_flight = sum([other.expected_in_flight for other in others])
+        headroom = min([other.headroom for other in others], default=commitment.headroom)
         longest_response = self._longest_response(now, others, throughputs)
         network = self.model.network
         delay = self.model.delay
@@ -103,7 +103,7 @@
                 throughputs[other.account.customer_id] = throughput
         capped = [other for other in others if other.in_flight_cap > 1]
         return min(
-            (other.in_flight_cap * SECOND / throughputs[other.account.customer_id] for other in capped),
+            [other.in_flight_cap * SECOND / throughputs[other.account.customer_id] for other in capped],
             default=inf,
         )
 
--- a/qos_gateway/decisions/admission/priority_demand.py
+++ b/qos_gateway/decisions/admission/priority_demand.py
@@ -22,6 +22,6 @@
 
     def fraction_below(self, now: int, priority: float) -> float:
         """Return the part of recent arrivals whose kind has a lower mean priority."""
-        total = sum(mean.rate(now) for mean in self._by_kind.values())
-        below = sum(mean.rate(now) for mean in self._by_kind.values() if mean.value < priority)
+        total = sum([mean.rate(now) for mean in self._by_kind.values()])
+        below = sum([mean.rate(now) for mean in self._by_kind.values() if mean.value < priority])
         return below / max(total, 1e-9)
--- a/qos_gateway/decisions/quota/counter_quota.py
+++ b/qos_gateway/decisions/quota/counter_quota.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
+import random
 from collections.abc import Iterable
 
-from ...types import Action, CounterReplied, Outcome
+from ...types import Action, CounterReplied, Outcome, Settings
 from ...units import SECOND
 from .account.bucket_reports import CURRENT_REPORT_NS, REPORT_EXPIRES_AFTER_NS, REPORT_FRESH_FOR_NS
 from .account.customer_account import CustomerAccount
@@ -25,6 +26,10 @@
 
     uses_counter = True
 
+    def __init__(self, settings: Settings, seed: int, now: int, rng: random.Random) -> None:
+        super().__init__(settings, seed, now, rng)
+        self._ceilings_beyond_quota = [ceiling_beyond_quota(plan) for plan in settings.plans]
+
     def _refill_unreported(self, now: int, account: CustomerAccount, elapsed_s: float) -> None:
         if self._probably_has_tokens(now, account):
             account.counter_calls.forget_refilled(account.plan.rate * elapsed_s)
@@ -35,7 +40,7 @@
         if buckets.slice_count <= 1:
             return super()._ceiling_bucket(now, account, even)
         return whole_slice(
-            ceiling_beyond_quota(account.plan),
+            self._ceilings_beyond_quota[account.plan_index],
             even=even,
             total=self.handover_fraction,
             largest=self.settings.largest_request_units,
