--- a/qos_gateway/server/clients/connection.py
+++ b/qos_gateway/server/clients/connection.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-from functools import partial
 from typing import Protocol
 
 from ..networking.value_stream import FlowControl
@@ -46,7 +45,6 @@
         "_context",
         "_listener",
         "_replies",
-        "command_received",
         "idle_since_s",
         "input",
     )
@@ -55,7 +53,6 @@
         super().__init__()
         self._listener = listener
         self._context = context
-        self.command_received = partial(listener.command_received, self)
         self._replies: ReplyQueue  # from `connection_made` on
         self.input: ConnectionInput  # from `connection_made` on
         self._close_reason: CloseReason | None = None  # None until the gateway closes it
@@ -66,12 +63,16 @@
         super().connection_made(transport)
         context = self._context
         self._replies = ReplyQueue(self._transport, context.buffers, context.streams)
-        self.input = ConnectionInput(self, context, self._replies)
+        self.input = ConnectionInput(context, self._replies)
         self._listener.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
         """Execute the commands in the data."""
-        self.input.receive(data)
+        self.input.receive(self, data)
+
+    def command_received(self) -> None:
+        """Notify the listener of a complete command."""
+        self._listener.command_received(self)
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio names it
         """Report the client's open requests as abandoned."""
@@ -133,6 +134,9 @@
         """Return whether the open socket holds bytes that were not read."""
         return not self._transport.is_closing() and has_unread_bytes(self._transport)
 
+    def _resume_input(self) -> None:
+        self.input.resume(self)
+
     # Replies.
 
     def reply(self, pending_reply: PendingReply, reply: bytes) -> None:
@@ -144,14 +148,14 @@
         pending = self._replies.pending
         if pending:
             self.start_next_stream()
-            if self.input.is_held_back() and len(pending) < MAX_PIPELINED:
-                self._context.call_soon(self.input.resume)
+            if self.input.is_held_back(self) and len(pending) < MAX_PIPELINED:
+                self._context.call_soon(self._resume_input)
             return
         self.idle_since_s = self._context.time()
         if self.input.is_closed:
             self.half_close(self.idle_since_s)
-        elif self.input.is_held_back():
-            self._context.call_soon(self.input.resume)
+        elif self.input.is_held_back(self):
+            self._context.call_soon(self._resume_input)
         elif self._context.drain.closes_idle and self.is_idle():
             # The periodic check of a drain would hardly ever find a busy client idle.
             self.close(CloseReason.DRAINED)
@@ -169,7 +173,7 @@
             len(self._replies.pending) > 1 or client_input.deferred.data or client_input.reader.is_midway
         )
         if self._replies.start_first_stream(bool(has_commands_behind)):
-            client_input.update_reading()
+            client_input.update_reading(self)
 
     def abort_stream(self, pending_reply: PendingReply, reply: bytes) -> None:
         """End a large value that stays incomplete; reply with `reply` if nothing of it was written.
@@ -186,7 +190,7 @@
     def pause_writing(self) -> None:
         """Stop reading from the client, and from the endpoint whose value is being written."""
         self._write_progress.block(self._context.time(), unacknowledged_bytes(self._transport))
-        self.input.update_reading()
+        self.input.update_reading(self)
         self._replies.set_stream_paused(True)
 
     def resume_writing(self) -> None:
@@ -194,7 +198,7 @@
         self._write_progress.unblock()
         self._replies.release_written()
         self._replies.set_stream_paused(False)
-        self.input.resume()
+        self.input.resume(self)
 
     # The end of the connection.
 
@@ -217,7 +221,7 @@
         self.input.close()
         pending_reply = PendingReply(self)
         self._replies.pending.append(pending_reply)
-        self.input.update_reading()
+        self.input.update_reading(self)
         self.reply(pending_reply, reply)
 
     def close(self, reason: CloseReason) -> None:
--- a/qos_gateway/server/clients/connection_input.py
+++ b/qos_gateway/server/clients/connection_input.py
@@ -67,12 +67,12 @@
 class ConnectionInput:
     """Executes a client's commands as they are read, while few enough of them have no reply yet.
 
-    Input that may not be executed yet is deferred, and reading is paused.
+    Input that may not be executed yet is deferred, and reading is paused. The connection is passed to each
+    method: a reference to it would be a cycle, so that closed connections waited for the garbage collector.
     """
 
     __slots__ = (
         "_backlog_since_s",
-        "_connection",
         "_context",
         "_discarded_bytes",
         "_replies",
@@ -83,8 +83,7 @@
         "reader",
     )
 
-    def __init__(self, connection: InputConnection, context: ConnectionContext, replies: ReplyQueue) -> None:
-        self._connection = connection
+    def __init__(self, context: ConnectionContext, replies: ReplyQueue) -> None:
         self._context = context
         self._replies = replies
         self.reader = CommandReader(context.time)
@@ -96,39 +95,40 @@
         self.is_parsing = False  # a command is being executed, and others may follow in the same data
         self.is_closed = False  # no further command is executed; what is read is discarded
 
-    def receive(self, data: bytes) -> None:
+    def receive(self, connection: InputConnection, data: bytes) -> None:
         """Execute the commands in the data as far as that is allowed now."""
         if self.is_closed:
             self._discarded_bytes += len(data)
             if self._discarded_bytes > MAX_DISCARDED_BYTES:
-                self.update_reading()
+                self.update_reading(connection)
         elif self.deferred.data:
-            self._defer(self.deferred.data + data, self.deferred.since_s)
+            self._defer(connection, self.deferred.data + data, self.deferred.since_s)
         else:
-            received_at_s = self._backlog_received_at_s() if self._backlog_since_s else self._context.time()
-            self._execute_commands(data, received_at_s)
+            received_at_s = (
+                self._backlog_received_at_s(connection) if self._backlog_since_s else self._context.time()
+            )
+            self._execute_commands(connection, data, received_at_s)
 
-    def _backlog_received_at_s(self) -> float:
+    def _backlog_received_at_s(self, connection: InputConnection) -> float:
         """Return the earliest time at which the bytes read now may have been sent.
 
         Bytes that the socket buffer cannot hold wait at the client and arrive as the buffer is read. Thus
         nothing waits any more once a read has emptied the socket.
         """
         since_s = self._backlog_since_s
-        if not self._connection.has_unread_bytes():
+        if not connection.has_unread_bytes():
             self._backlog_since_s = 0.0
         return since_s
 
-    def _execute_commands(self, data: bytes, received_at_s: float) -> None:
+    def _execute_commands(self, connection: InputConnection, data: bytes, received_at_s: float) -> None:
         context = self._context
-        connection = self._connection
         position = 0
         waited_s = context.time() - received_at_s
         self.is_parsing = True
         try:
             while position < len(data) and not self.is_closed:
-                if not self._may_execute():
-                    self._defer(data[position:], received_at_s)
+                if not self._may_execute(connection):
+                    self._defer(connection, data[position:], received_at_s)
                     break
                 arguments = self.reader.next_command(data, position)
                 if arguments is None:
@@ -146,57 +146,57 @@
         if context.drain.closes_idle and connection.is_idle():
             connection.close(CloseReason.DRAINED)
 
-    def _may_execute(self) -> bool:
+    def _may_execute(self, connection: InputConnection) -> bool:
         """Return whether another command may be executed now.
 
         None may behind a large value that is written in part: if the value fails, the connection closes.
         """
         is_full = len(self._replies.pending) >= MAX_PIPELINED
-        return not (is_full or self._connection.blocked or self._replies.is_value_in_flow())
+        return not (is_full or connection.blocked or self._replies.is_value_in_flow())
 
-    def _defer(self, data: bytes, received_at_s: float) -> None:
+    def _defer(self, connection: InputConnection, data: bytes, received_at_s: float) -> None:
         """Defer the data and pause reading; reject its requests where the buffer budget is exhausted."""
         if not self.deferred.put(data, received_at_s):
             try:
-                self._shed_commands(data)
+                self._shed_commands(connection, data)
             except CommandSyntaxError as error:
-                self._connection.fail(str(error))
-        self.update_reading()
+                connection.fail(str(error))
+        self.update_reading(connection)
 
-    def _shed_commands(self, data: bytes) -> None:
+    def _shed_commands(self, connection: InputConnection, data: bytes) -> None:
         """Reply to each command in the data, as the requests that were read must get a reply."""
         position = 0
         while (arguments := self.reader.next_command(data, position)) is not None:
             position = self.reader.end
-            pending_reply = PendingReply(self._connection)
+            pending_reply = PendingReply(connection)
             self._replies.pending.append(pending_reply)
             self._context.commands.shed(pending_reply, arguments)
 
-    def is_held_back(self) -> bool:
+    def is_held_back(self, connection: InputConnection) -> bool:
         """Return whether input waits, deferred or unread in the socket."""
-        return bool(self.deferred.data) or not self._connection.is_reading
+        return bool(self.deferred.data) or not connection.is_reading
 
-    def resume(self) -> None:
+    def resume(self, connection: InputConnection) -> None:
         """Execute deferred commands as far as that is allowed now, then read on if none remain."""
-        if self.deferred.data and not self.is_closed and not self._connection.is_closing():
-            self._execute_commands(self.deferred.take(), self.deferred.since_s)
-        self.update_reading()
+        if self.deferred.data and not self.is_closed and not connection.is_closing():
+            self._execute_commands(connection, self.deferred.take(), self.deferred.since_s)
+        self.update_reading(connection)
 
     def close(self) -> None:
         """Execute no further command; what is read from now on is discarded."""
         self.is_closed = True
 
-    def update_reading(self) -> None:
+    def update_reading(self, connection: InputConnection) -> None:
         """Read while commands may be executed; pause otherwise, and watch for the client's end."""
         if self.is_closed:
             may_read = self._discarded_bytes <= MAX_DISCARDED_BYTES
         else:
-            may_read = not self.deferred.data and self._may_execute()
-        if self._connection.set_reading(may_read):
-            self._context.hangup_monitor.set_watched(self._connection, not may_read)
+            may_read = not self.deferred.data and self._may_execute(connection)
+        if connection.set_reading(may_read):
+            self._context.hangup_monitor.set_watched(connection, not may_read)
             if not may_read:
                 self._backlog_since_s = self._backlog_since_s or self._context.time()
                 return
             self.reader.restart_timeout()
-            if not self._connection.has_unread_bytes():
+            if not connection.has_unread_bytes():
                 self._backlog_since_s = 0.0
