--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak on real gateways, kept short; and gateways broken on purpose, which its judge has to notice."""
+"""Short soak runs on real gateways, and on broken gateways that the soak's checks have to notice."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 import pytest
 import uvloop
 
+from soak.checks.verdict import Verdict
+from soak.checks.violations import Rule
 from soak.gateways import Launch
-from soak.judge import Verdict
 from soak.mutants import MUTANTS
-from soak.run import Options, play
-from soak.schedule import OF_GATEWAYS, Fault, FaultKind
+from soak.options import Options
+from soak.scenario import play
+from soak.schedule import GATEWAY_FAULTS, Fault, FaultKind
 from soak.settings import Deployment, Effect, draw_deployment
-from soak.violations import Rule
 
 SEED = 7
 GATEWAYS, ORDER_SERVERS = 3, 6
@@ -51,7 +52,7 @@
 
 
 def fault(kind: FaultKind, at: float = 1.5, duration_s: float = 2.0) -> Fault:
-    of_gateways = kind in OF_GATEWAYS
+    of_gateways = kind in GATEWAY_FAULTS
     return Fault(kind, at, duration_s, EVERY_GATEWAY if of_gateways else SOME_SERVERS)
 
 
@@ -110,7 +111,7 @@
 
 def play_all(runs: list[Options]) -> list[Verdict]:
     async def play_at_once() -> list[Verdict]:
-        return [verdict for verdict, _ in await asyncio.gather(*(play(run) for run in runs))]
+        return [result.verdict for result in await asyncio.gather(*(play(run) for run in runs))]
 
     return uvloop.run(play_at_once())
 
@@ -130,7 +131,12 @@
         name: {violation.rule for violation in verdict.violations}
         for name, verdict in zip(names, verdicts, strict=True)
     }
-    assert [name for name, rules in found.items() if EXPECTED[name][0] not in rules] == []
+    missed = {
+        name: sorted(rule.value for rule in rules)
+        for name, rules in found.items()
+        if EXPECTED[name][0] not in rules
+    }
+    assert missed == {}, "broken gateways that were not noticed, with the rules that each one did break"
 
 
 def has_pipelines(faults: tuple[Fault, ...]) -> bool:
