--- a/tests/server/test_counter.py
+++ b/tests/server/test_counter.py
@@ -130,6 +130,7 @@
 def test_call_without_an_answer_times_out_and_its_late_answer_is_not_taken_for_the_next() -> None:
     async def test() -> None:
         async with calling(0.05) as (caller, fake):
+            await wait_until(lambda: len(fake.connections) == CONNECTIONS)
             caller.counter.call(7, TIME_TO_LIVE, 1.0)
             late = await fake.next_call()
             assert await caller.wait_for(1) == [(7, Outcome.TIMEOUT, 0.0)]
@@ -189,6 +190,7 @@
 
     async def test() -> None:
         async with calling(0.05) as (caller, fake):
+            await wait_until(lambda: len(fake.connections) == CONNECTIONS)
             caller.counter.call(7, TIME_TO_LIVE, 1.0)
             await fake.next_call()
             assert await caller.wait_for(1) == [(7, Outcome.TIMEOUT, 0.0)]
