--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -25,6 +25,7 @@
 RECOVERY_DURATION_S = 12.0
 EVERY_GATEWAY = tuple(range(GATEWAYS))
 SOME_SERVERS = (0, 1, 2)
+OTHER_SERVERS = (3, 4, 5)  # a fault affects at most half of the order servers
 PARALLEL_RUNS = 6
 
 
@@ -57,6 +58,10 @@
 
 
 KIND = FaultKind
+SLOW = fault(KIND.SLOW, 1.0, 6.0)
+SLOW_EVERYWHERE = (SLOW, replace(SLOW, targets=OTHER_SERVERS))
+LARGE = fault(KIND.LARGE, 1.0, 6.0)
+LARGE_EVERYWHERE = (LARGE, replace(LARGE, targets=OTHER_SERVERS))
 PIPELINES = tuple(fault(KIND.PIPELINE, 1.5 + n) for n in range(5))
 LEAVES = tuple(fault(KIND.LEAVE, 1.5 + 0.25 * n) for n in range(8))
 RELOAD_AND_DRAIN = (
@@ -70,23 +75,23 @@
     "ignore_leaving": (Rule.CLIENT_LEFT, (fault(KIND.UNACCEPTING, 1.0, 4.0), *LEAVES)),
     "promise_too_much_time": (Rule.DEADLINE, ()),
     "alter_commands": (Rule.ALTERED, ()),
-    "repeat_everything": (Rule.DUPLICATE, (fault(KIND.RESET),)),
+    "repeat_everything": (Rule.DUPLICATE, (fault(KIND.RESET, 1.0, 5.0),)),
     "invite_every_repeat": (Rule.FALSE_REFUSAL, (fault(KIND.RESET, 1.0, 6.0),)),
     "try_without_end": (
         Rule.TOO_MANY_ATTEMPTS,
         (fault(KIND.BUSY, 1.0, 6.0), fault(KIND.UNACCEPTING, 1.0, 6.0)),
     ),
-    "hedge_always": (Rule.CONCURRENT_ATTEMPTS, (fault(KIND.HANG, 2.0, 4.0),)),
+    "hedge_always": (Rule.CONCURRENT_ATTEMPTS, (*SLOW_EVERYWHERE, fault(KIND.HANG, 2.0, 4.0))),
     "ignore_drains": (Rule.DRAIN, (fault(KIND.DRAIN, 1.5, 5.0),)),
     "ignore_reloads": (Rule.DRAIN, RELOAD_AND_DRAIN),
     "skip_slow_start": (Rule.SLOW_START, (replace(fault(KIND.REPLACE), targets=(0,)),)),
     "ignore_ceilings": (Rule.CEILING, ()),
-    "pass_values_on_at_once": (Rule.LOST, (fault(KIND.LARGE, 1.0, 6.0), *PIPELINES)),
-    "wait_for_slow_values": (Rule.LOST, (fault(KIND.LARGE, 1.0, 6.0),)),
+    "pass_values_on_at_once": (Rule.LOST, (LARGE, *PIPELINES)),
+    "wait_for_slow_values": (Rule.LOST, LARGE_EVERYWHERE),
     "believe_older_lists": (Rule.DRAIN, (fault(KIND.DRAIN, 1.0, 4.0), fault(KIND.RELOAD_LAGGING, 2.5))),
     "forget_maintenance": (Rule.MAINTENANCE, (fault(KIND.MAINTENANCE, 1.0, 4.0),)),
     "crash": (Rule.CRASH, ()),
-    "stop_at_once": (Rule.LOST, (fault(KIND.HANG, 1.6, 2.0), fault(KIND.RESTART, 2.0))),
+    "stop_at_once": (Rule.LOST, (*SLOW_EVERYWHERE, fault(KIND.HANG, 1.6, 2.0), fault(KIND.RESTART, 2.0))),
     "wait_for_bad_clients": (Rule.BAD_CLIENT, (fault(KIND.HALF_COMMAND),)),
     "stop_serving": (Rule.RECOVERY, ()),
     "serve_without_a_list": (Rule.REPORTED_ITSELF, ()),
