--- a/qos_gateway/types/actions.py
+++ b/qos_gateway/types/actions.py
@@ -6,7 +6,8 @@
 from enum import Enum
 
 
-@dataclass(frozen=True, slots=True)
+# Not frozen, as a frozen class sets each field by a call: one is made for each attempt.
+@dataclass(slots=True)
 class Send:
     """Start an attempt of a request at an endpoint. Times and durations are in ns."""
 
--- a/qos_gateway/types/events.py
+++ b/qos_gateway/types/events.py
@@ -62,7 +62,8 @@
     entries: tuple[Endpoint, ...]
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
+# Not frozen, as a frozen class sets each field by a call: one is made for each request.
+@dataclass(slots=True, kw_only=True)
 class Arrival:
     """Request of a client; it gets exactly one final response before its deadline. Times are in ns."""
 
@@ -92,7 +93,8 @@
     endpoint: int
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
+# Not frozen, like `Arrival`.
+@dataclass(slots=True, kw_only=True)
 class AttemptEnded:
     """End of one attempt. Durations are in ns."""
 
