--- a/qos_gateway/server/networking/resp.py
+++ b/qos_gateway/server/networking/resp.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from functools import lru_cache
+
 MAX_BUFFERED_VALUE_BYTES = 64 << 10  # of one value that is kept in memory until it is complete
 MAX_VALUE_BYTES = 4 << 20  # of an endpoint's value; above the limit for buffered values it is streamed
 FRAMING_BYTES = 4096  # a command's names, headers and arguments other than its value
@@ -13,6 +15,7 @@
 MAX_LENGTH_DIGITS = 9  # of a length in a header; bounds the cost of int()
 RESPONSE_ITEMS = 3  # value, usage, load report
 MAX_DEPTH = 2  # of nested arrays in a response
+CACHED_HEADERS = 128  # per function: headers repeat from message to message
 
 CRLF = b"\r\n"
 CRLF_BYTES = 2
@@ -29,6 +32,8 @@
 NO_VALUE = -1  # a header that is a complete element: no value follows
 ARRAY_OPENED = -2  # a header that the elements of an array follow
 
+NOT_A_COMMAND = "expected an array of bulk strings"
+
 
 class FrameError(ValueError):
     """Data that cannot be part of a message, so that the next one cannot be found; the text says why."""
@@ -155,6 +160,7 @@
         raise NotImplementedError
 
 
+@lru_cache(CACHED_HEADERS)
 def _parse_length(line: bytes, maximum: int) -> int:
     digits = line[1:-2]
     if not digits.isdigit() or len(digits) > MAX_LENGTH_DIGITS:
@@ -165,11 +171,29 @@
     return length
 
 
+@lru_cache(CACHED_HEADERS)
 def _parse_nullable_length(line: bytes, maximum: int) -> int:
     """Return the length, or `NO_VALUE` for RESP2's null."""
     return NO_VALUE if line[1:-2] == NULL_LENGTH else _parse_length(line, maximum)
 
 
+@lru_cache(CACHED_HEADERS)
+def _parse_argument_length(line: bytes) -> int:
+    if not line.startswith(BULK_STRING):
+        raise FrameError(NOT_A_COMMAND)
+    return _parse_length(line, MAX_BUFFERED_VALUE_BYTES)
+
+
+@lru_cache(CACHED_HEADERS)
+def _parse_argument_count(line: bytes) -> int:
+    if not line.startswith(ARRAY):
+        raise FrameError(NOT_A_COMMAND)
+    argument_count = _parse_length(line, MAX_ARGUMENTS)
+    if not argument_count:
+        raise FrameError("empty command")
+    return argument_count
+
+
 class CommandFrames(FrameScanner):
     """Scans clients' commands: arrays of bulk strings."""
 
@@ -177,18 +201,14 @@
 
     def _check_type(self, type_byte: bytes) -> None:
         if type_byte != (BULK_STRING if self._array_elements_left else ARRAY):
-            raise FrameError("expected an array of bulk strings")
+            raise FrameError(NOT_A_COMMAND)
 
     def _parse_header(self, line: bytes) -> int:
-        self._check_type(line[:1])
         if not self._array_elements_left:
-            argument_count = _parse_length(line, MAX_ARGUMENTS)
-            if not argument_count:
-                raise FrameError("empty command")
-            self._array_elements_left.append(argument_count)
+            self._array_elements_left.append(_parse_argument_count(line))
             self._command_bytes = 0
             return ARRAY_OPENED
-        length = _parse_length(line, MAX_BUFFERED_VALUE_BYTES)
+        length = _parse_argument_length(line)
         self._command_bytes += length
         if self._command_bytes > MAX_COMMAND_BYTES:
             raise FrameError("command too long")
@@ -210,11 +230,11 @@
 
     def _parse_header(self, line: bytes) -> int:
         type_byte = line[:1]
-        self._check_type(type_byte)
         if type_byte == BULK_STRING:
             if not self._array_elements_left or self._array_elements_left == [RESPONSE_ITEMS]:
                 return _parse_length(line, MAX_VALUE_BYTES)
             return _parse_nullable_length(line, MAX_REPORT_BYTES)
+        self._check_type(type_byte)
         if type_byte == ARRAY:
             return self._open_array(line)
         return NO_VALUE
