--- a/qos_gateway/decisions/engine.py
+++ b/qos_gateway/decisions/engine.py
@@ -127,7 +127,7 @@
 
     def _resend_releases(self, now: int) -> list[Action]:
         """Release in-flight slots of active customers that the counter still counts."""
-        accounts = [commitment.account for commitment in self.commitments.active.values()]
+        accounts = (commitment.account for commitment in self.commitments.active.values())
         return self.quota.resend_releases(now, accounts)
 
     def _fit_model(self, now: int) -> None:
--- a/qos_gateway/decisions/requests/request_table.py
+++ b/qos_gateway/decisions/requests/request_table.py
@@ -64,6 +64,8 @@
 
     def cancellations(self, request: RequestState, except_for: int = -1) -> list[Action]:
         """Return the cancellations of a request's attempts in flight but for the one of that number."""
+        if not request.attempts_in_flight:
+            return []
         request_id = request.arrival.request_id
         numbers = (n for n in range(request.attempts_sent) if (request_id, n) in self.attempts)
         return [CancelAttempt(request_id, n) for n in numbers if n != except_for]
--- a/qos_gateway/server/networking/clock.py
+++ b/qos_gateway/server/networking/clock.py
@@ -11,5 +11,6 @@
 
     It can be compared with times of other machines, such as a request's `born_ms`.
     """
-    offset_ns = time.time_ns() - time.monotonic_ns()
-    return lambda: offset_ns + time.monotonic_ns()
+    monotonic_ns = time.monotonic_ns
+    offset_ns = time.time_ns() - monotonic_ns()
+    return lambda: offset_ns + monotonic_ns()
--- a/qos_gateway/server/observability/metrics.py
+++ b/qos_gateway/server/observability/metrics.py
@@ -5,7 +5,7 @@
 import re
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
-from enum import Enum
+from enum import Enum, StrEnum
 from typing import TypeVar
 
 from ...edge_names import MetricName
@@ -18,7 +18,7 @@
 _UNSAFE_IN_NAME = re.compile(r"[^0-9A-Za-z_-]")  # has a meaning within a metric's name
 
 
-class RequestResult(Enum):
+class RequestResult(StrEnum):
     """How a request ended; the values are parts of the metrics' names."""
 
     SERVED = MetricName.SERVED
