--- a/qos_gateway/server/clients/request_parser.py
+++ b/qos_gateway/server/clients/request_parser.py
@@ -8,6 +8,7 @@
 from ...edge_names import CommandField, CommandName
 from ...types import Idempotence
 from ..config import Config
+from ..networking.request_command import RequestCommand
 
 MAX_PAIRS_BYTES = 1024  # of a command's names and values
 MAX_WAIT_MS = 86_400_000  # a day
@@ -32,10 +33,7 @@
 class ClientRequest:
     """One request as its client sent it; each attempt sends the same command with its own deadline."""
 
-    command_start: tuple[bytes, ...]  # name, customer and request id
-    pairs_before_deadline: bytes
-    pairs_after_deadline: bytes
-    body: tuple[bytes, ...]
+    command: RequestCommand
     class_index: int
     plan_index: int
     customer_id: int
@@ -48,7 +46,7 @@
     @property
     def request_id(self) -> bytes:
         """The client's id of the request."""
-        return self.command_start[2]
+        return self.command.start[2]
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,16 +89,14 @@
         _check_idempotence(request_class.idempotence, arguments, values)
         if CommandField.DEADLINE_MS not in values:
             raise InvalidCommandError("d missing")
-        deadline_position = list(values).index(
-            CommandField.DEADLINE_MS
-        )  # names are unique, so they have the order of the pairs
-        pairs_before = b"".join([pair + b"," for pair in pairs[:deadline_position]])
-        pairs_after = b"".join([b"," + pair for pair in pairs[deadline_position + 1 :]])
+        # Names are unique, so they have the order of the pairs.
+        deadline_position = list(values).index(CommandField.DEADLINE_MS)
+        pairs_before = b",".join([*pairs[:deadline_position], b""])
+        pairs_after = b",".join([b"", *pairs[deadline_position + 1 :]])
+        start = (arguments[0], arguments[1], arguments[2])
+        body = tuple(arguments[ARGUMENTS_WITHOUT_BODY:])
         return ClientRequest(
-            command_start=(arguments[0], arguments[1], arguments[2]),
-            pairs_before_deadline=pairs_before,
-            pairs_after_deadline=pairs_after,
-            body=tuple(arguments[ARGUMENTS_WITHOUT_BODY:]),
+            command=RequestCommand(start, pairs_before, pairs_after, body),
             class_index=request_class.index,
             plan_index=plan_index,
             customer_id=customer_id,
@@ -149,9 +145,11 @@
 
 def _whole_number(values: dict[bytes, bytes], name: bytes, minimum: int, maximum: int) -> int:
     text = values.get(name, b"")
-    if not (text.isdigit() and len(text) <= MAX_NUMBER_DIGITS and minimum <= int(text) <= maximum):
-        raise InvalidCommandError(f"bad or missing {name.decode()}")
-    return int(text)
+    if text.isdigit() and len(text) <= MAX_NUMBER_DIGITS:
+        number = int(text)
+        if minimum <= number <= maximum:
+            return number
+    raise InvalidCommandError(f"bad or missing {name.decode()}")
 
 
 def _units(values: dict[bytes, bytes], max_units: float) -> float:
--- a/qos_gateway/server/endpoints/attempt.py
+++ b/qos_gateway/server/endpoints/attempt.py
@@ -4,27 +4,19 @@
 
 import asyncio
 from dataclasses import dataclass, field
-from typing import NamedTuple, Protocol
+from typing import Protocol
 
 import hiredis
 
 from ...edge_names import CommandField, ProbeWord
 from ...types import Outcome
 from ...units import MILLISECOND
+from ..networking.request_command import RequestCommand
 from .responses import read_probe_response, read_response
 
 _PAIRS_FORMAT = b"%%b%b=%%d%%b" % CommandField.DEADLINE_MS
 
 
-class AttemptCommand(NamedTuple):
-    """The client's command, divided where the deadline of an attempt is inserted."""
-
-    command_start: tuple[bytes, ...]
-    pairs_before_deadline: bytes
-    pairs_after_deadline: bytes
-    body: tuple[bytes, ...]
-
-
 class AttemptConnection(Protocol):
     """The connection that carries an attempt, as far as the end of the attempt needs it."""
 
@@ -46,7 +38,7 @@
     endpoint: int
     started_at_ns: int
     expires_at_ns: int
-    command: AttemptCommand
+    command: RequestCommand
     send_deadline_ns: int = 0  # the command must not be written at this time or later; 0 for no such limit
     response_started_at_ns: int = field(default=0, init=False)  # when the first bytes of a large value came
     ended: bool = field(default=False, init=False)  # its result is reported
@@ -61,13 +53,13 @@
         command = self.command
         time_left_ms = max(1, -(-(self.expires_at_ns - now_ns) // MILLISECOND))
         pairs = _PAIRS_FORMAT % (command.pairs_before_deadline, time_left_ms, command.pairs_after_deadline)
-        words: tuple[bytes, ...] = (*command.command_start, pairs, *command.body)
+        words: tuple[bytes, ...] = (*command.start, pairs, *command.body)
         packed: bytes = hiredis.pack_command(words)  # type: ignore[arg-type]  # its stub lacks bytes
         return packed
 
 
-_PROBE_COMMAND = AttemptCommand(
-    command_start=(ProbeWord.COMMAND, ProbeWord.SECTION),
+_PROBE_COMMAND = RequestCommand(
+    start=(ProbeWord.COMMAND, ProbeWord.SECTION),
     pairs_before_deadline=b"",
     pairs_after_deadline=b"",
     body=(),
@@ -93,5 +85,5 @@
 
     def payload(self, now_ns: int) -> bytes:  # noqa: ARG002  # a probe carries no deadline
         """Return the probe's command."""
-        packed: bytes = hiredis.pack_command(self.command.command_start)  # type: ignore[arg-type]
+        packed: bytes = hiredis.pack_command(self.command.start)  # type: ignore[arg-type]
         return packed
--- a/qos_gateway/server/requests/request_attempts.py
+++ b/qos_gateway/server/requests/request_attempts.py
@@ -8,7 +8,7 @@
 
 from ...types import AttemptEnded, CancelAttempt, Outcome, Send
 from ...units import SECOND
-from ..endpoints.attempt import Attempt, AttemptCommand
+from ..endpoints.attempt import Attempt
 from .open_request import OpenRequest
 from .repeat_guard import RepeatGuard
 from .request_context import RequestContext
@@ -59,19 +59,13 @@
             self._report_not_sent(action, index, request_finished=is_finished)
             return
         has_own_timeout = 0 < action.timeout < time_left
-        command = request.client_request
         attempt = Attempt(
             request=action.request_id,
             number=index,
             endpoint=action.endpoint,
             started_at_ns=now,
             expires_at_ns=now + (action.timeout if has_own_timeout else time_left),
-            command=AttemptCommand(
-                command.command_start,
-                command.pairs_before_deadline,
-                command.pairs_after_deadline,
-                command.body,
-            ),
+            command=request.client_request.command,
             send_deadline_ns=action.send_deadline,
         )
         request.attempts.append(attempt)
--- a/soak/mutants/attempts.py
+++ b/soak/mutants/attempts.py
@@ -27,7 +27,7 @@
     payload = Attempt.payload
 
     def alter(self: Attempt, now_ns: int) -> bytes:
-        customer = self.command.command_start[1]
+        customer = self.command.start[1]
         return payload(self, now_ns).replace(customer, customer.upper().replace(b"0", b"F"), 1)
 
     patch(Attempt, "payload", alter)
--- a/tests/server/test_guards.py
+++ b/tests/server/test_guards.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from qos_gateway.server.endpoints.attempt import Attempt, AttemptCommand
+from qos_gateway.server.endpoints.attempt import Attempt
+from qos_gateway.server.networking.request_command import RequestCommand
 from qos_gateway.server.observability import invariants
 from qos_gateway.server.observability.invariants import Invariant, InvariantMonitor
 from qos_gateway.server.observability.logs import RateLimitFilter
@@ -25,7 +26,7 @@
 from tests.support.scripted_engine import forward_to, leave_open, only_endpoint, script_engine
 
 IDEMPOTENT, KEYED, NOT_IDEMPOTENT = 0, 1, 2  # classes of the settings of the tests
-COMMAND = AttemptCommand((b"CALL.GET", b"c", b"i"), b"", b"", ())
+COMMAND = RequestCommand((b"CALL.GET", b"c", b"i"), b"", b"", ())
 
 
 @dataclass
--- a/tests/support/endpoint_harness.py
+++ b/tests/support/endpoint_harness.py
@@ -9,10 +9,11 @@
 from contextlib import asynccontextmanager
 from typing import NamedTuple
 
-from qos_gateway.server.endpoints.attempt import Attempt, AttemptCommand
+from qos_gateway.server.endpoints.attempt import Attempt
 from qos_gateway.server.endpoints.connections import EndpointConnections, EndpointLimits
 from qos_gateway.server.endpoints.responses import AttemptResult, LoadReport
 from qos_gateway.server.networking.clock import monotonic_unix_ns
+from qos_gateway.server.networking.request_command import RequestCommand
 from qos_gateway.server.networking.value_stream import FlowControl, ResponseSink
 from qos_gateway.server.observability.metrics import Metrics
 from qos_gateway.types import Outcome
@@ -99,7 +100,7 @@
             endpoint=endpoint,
             started_at_ns=now,
             expires_at_ns=now + 3 * SECOND,
-            command=AttemptCommand((b"CALL.POST", b"c", b"i"), b"c=x,", b",k=y", (body,)),
+            command=RequestCommand((b"CALL.POST", b"c", b"i"), b"c=x,", b",k=y", (body,)),
             send_deadline_ns=send_deadline_ns,
         )
         self.pools.start_attempt(attempt, timeout_s)
