--- a/qos_gateway/decisions/quota/__init__.py
+++ b/qos_gateway/decisions/quota/__init__.py
@@ -3,19 +3,36 @@
 import random
 
 from ...types import Settings
-from .account.bucket_reports import CURRENT_REPORT_NS
-from .counter_quota import CounterQuota
-from .gossip_quota import GossipQuota, message_interval
-from .leased_quota import LeasedQuota
-from .owner_quota import OwnerQuota
 from .quota import Quota
 
 
 def create_quota(settings: Settings, seed: int, now: int, rng: random.Random) -> Quota:
     """Return the best strategy that the settings allow: gossip if fresh enough, owners, or a counter."""
-    kind = Quota
+    return _strategy(settings)(settings, seed, now, rng)
+
+
+def _strategy(settings: Settings) -> type[Quota]:
+    """Return the class of the strategy; only the modules of the one that is used are loaded."""
     if settings.may_message:
-        kind = GossipQuota if message_interval(settings) <= CURRENT_REPORT_NS else OwnerQuota
-    elif settings.has_counter and settings.gateway_count > 1:
-        kind = LeasedQuota if settings.lease_term else CounterQuota
-    return kind(settings, seed, now, rng)
+        return _messaging_strategy(settings)
+    if settings.has_counter and settings.gateway_count > 1:
+        return _counting_strategy(settings)
+    return Quota
+
+
+def _messaging_strategy(settings: Settings) -> type[Quota]:
+    from .account.bucket_reports import CURRENT_REPORT_NS
+    from .gossip_quota import GossipQuota, message_interval
+    from .owner_quota import OwnerQuota
+
+    return GossipQuota if message_interval(settings) <= CURRENT_REPORT_NS else OwnerQuota
+
+
+def _counting_strategy(settings: Settings) -> type[Quota]:
+    from .counter_quota import CounterQuota
+
+    if not settings.lease_term:
+        return CounterQuota
+    from .leased_quota import LeasedQuota
+
+    return LeasedQuota
--- a/qos_gateway/server/action_executor.py
+++ b/qos_gateway/server/action_executor.py
@@ -6,7 +6,7 @@
 import logging
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from ..types import (
     Action,
@@ -24,7 +24,6 @@
     WatchEndpoints,
 )
 from ..units import SECOND
-from .counter.client import CounterClient
 from .endpoints.attempt import ProbeAttempt
 from .endpoints.connections import EndpointConnections
 from .event_dispatcher import EventDispatcher
@@ -32,6 +31,9 @@
 from .requests.final_actions import FinalActions
 from .requests.request_attempts import RequestAttempts
 
+if TYPE_CHECKING:
+    from .counter.client import CounterClient
+
 log = logging.getLogger(__name__)
 
 
--- a/qos_gateway/server/wiring.py
+++ b/qos_gateway/server/wiring.py
@@ -14,11 +14,9 @@
 from ..units import SECOND
 from .action_executor import ActionExecutor, ActionTargets
 from .admin.operations import AdminOperations, AdminTargets
-from .admin.server import AdminServer
 from .clients.close_guard import CloseGuard
 from .clients.connections import ClientConnections
 from .config import Config
-from .counter.client import CounterClient
 from .discovery.client import DiscoveryClient, DiscoveryOptions
 from .discovery.endpoint_directory import EndpointDirectory
 from .discovery.endpoint_feed import EndpointFeed
@@ -41,6 +39,8 @@
 from .requests.send_guard import SendGuard
 
 if TYPE_CHECKING:
+    from .admin.server import AdminServer
+    from .counter.client import CounterClient
     from .handover.channel import HandoverChannel
 
 RESERVED_DESCRIPTORS = 64  # for listeners, peers, discovery, counter, operators and files
@@ -185,6 +185,8 @@
     config = core.config
     if config.counter is None:
         return None
+    from .counter.client import CounterClient  # loaded only where a counter is configured
+
     outcomes = core.observability.activity.counter_outcomes
     handle = core.context.dispatcher.handle
 
@@ -255,10 +257,18 @@
         handover=handover,
         handover_channel=handover_channel,
         operations=operations,
-        admin_server=None if config.admin is None else AdminServer(config.admin, operations),
+        admin_server=_build_admin_server(config, operations),
     )
 
 
+def _build_admin_server(config: Config, operations: AdminOperations) -> AdminServer | None:
+    if config.admin is None:
+        return None
+    from .admin.server import AdminServer  # loaded only where the admin API has an address
+
+    return AdminServer(config.admin, operations)
+
+
 def _build_handover_channel(config: Config, handover: Handover) -> HandoverChannel | None:
     """Build the channel if the listening socket is inherited: else no two processes serve at a time."""
     if config.shared_folder is None or config.inherited_descriptor is None:
