--- a/qos_gateway/decisions/admission/admission_controller.py
+++ b/qos_gateway/decisions/admission/admission_controller.py
@@ -9,13 +9,13 @@
 from ..statistics.time_constants import LONG_MEMORY_NS
 from .commitment import Commitment
 from .commitment_table import CommitmentTable
-from .held_reservations import HeldReservations
 from .load_shedding import LoadShedding
+from .pending_reservations import PendingReservations
 from .priority_demand import PriorityDemand
 
 
 class AdmissionController:
-    """Decides on arrival whether a request is admitted, rejected, or held until its reservation's reply."""
+    """Decides on arrival whether a request is admitted, rejected, or waits for its reservation's reply."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         self.commitments = commitments
         self.priority_demand = PriorityDemand(LONG_MEMORY_NS)
         self.load_shedding = LoadShedding(model, self.requests, self.priority_demand)
-        self.awaiting_reservation = HeldReservations()
+        self.pending_reservations = PendingReservations()
 
     def on_arrival(self, now: int, arrival: Arrival) -> list[Action]:
         """Admit, reject or hold a request."""
@@ -70,7 +70,7 @@
             return decision.actions + self._admit(now, request, decision.report_usage)
         if decision.verdict is Verdict.REJECTED:
             return [*decision.actions, self.dispatcher.reject(request.arrival, RejectReason.QUOTA)]
-        self.awaiting_reservation.hold(now, decision.reservation, request)
+        self.pending_reservations.add(now, decision.reservation, request)
         self.requests.add(request)
         return decision.actions
 
@@ -87,19 +87,19 @@
         return [send, self.quota.report_consumed(now, request.account, request.arrival.units)]
 
     def on_reply(self, now: int, reply: QuotaReply) -> list[Action]:
-        """Admit or reject the request that was held for a reply."""
-        request = self.awaiting_reservation.release(reply.reservation)
+        """Admit or reject the request that waited for a reply."""
+        request = self.pending_reservations.remove(reply.reservation)
         if request is None:
             return reply.actions
         if reply.granted:
             request.acquire_slot()
         actions = list(reply.actions)
         if self.requests.close(request.arrival.request_id) is not None:
-            actions += self._decide_held(now, request, reply.granted)
+            actions += self._decide_pending(now, request, reply.granted)
         return actions + self.dispatcher.release_slot(now, request)
 
-    def _decide_held(self, now: int, request: RequestState, granted: bool | None) -> list[Action]:
-        """Admit or reject a held request; without a reply (None) decide locally."""
+    def _decide_pending(self, now: int, request: RequestState, granted: bool | None) -> list[Action]:
+        """Admit or reject a request that waited; without a reply (None) decide locally."""
         if granted is None:
             granted = self.quota.decide_locally(now, request.account, request.arrival.units)
         if granted:
@@ -108,5 +108,5 @@
 
     def expire_reservations(self, now: int) -> list[Action]:
         """Decide locally on the requests whose reservation expired."""
-        expired = self.awaiting_reservation.expired(now)
+        expired = self.pending_reservations.expired(now)
         return [action for number in expired for action in self.on_reply(now, QuotaReply(number))]
--- a/qos_gateway/decisions/quota/quota_decision.py
+++ b/qos_gateway/decisions/quota/quota_decision.py
@@ -14,7 +14,7 @@
 
     ADMITTED = "admitted"
     REJECTED = "rejected"
-    RESERVED = "reserved"  # held until the reservation is answered or overdue
+    RESERVED = "reserved"  # waits until the reservation is answered or expires
 
 
 @dataclass(slots=True)
@@ -34,7 +34,7 @@
     verdict: Verdict
     actions: list[Action] = field(default_factory=list)  # to be carried out before the request's own
     report_usage: bool = False  # call `report_consumed` once the first attempt is sent
-    reservation: int = 0  # number by which the reply names the held request; 0 unless it is RESERVED
+    reservation: int = 0  # number by which the reply names the request; 0 unless it is RESERVED
 
     @classmethod
     def immediate(
--- a/qos_gateway/server/clients/buffer_budgets.py
+++ b/qos_gateway/server/clients/buffer_budgets.py
@@ -4,19 +4,19 @@
 
 MIN_WRITE_BUFFER_BYTES = 96 << 10  # of a connection; more than a value that is not streamed
 MIN_STREAM_BUFFER_BYTES = 16 << 10  # of a connection that streams a value, however many do
-BUFFER_MEMORY_FRACTION = 0.125  # of the memory: the limit on deferred input, and on held values
+BUFFER_MEMORY_FRACTION = 0.125  # of the memory: the limit on deferred input, and on buffered values
 
 
 class BufferBudget:
     """Bytes that the gateway buffers for clients, over all connections.
 
-    Deferred input and held values each may use the whole limit.
+    Deferred input and buffered values each may use the whole limit.
     """
 
     __slots__ = (
         "_configured_limit_bytes",
+        "buffered_bytes",
         "deferred_bytes",
-        "held_bytes",
         "limit_bytes",
         "write_buffer_bytes",
     )
@@ -28,10 +28,10 @@
             MIN_WRITE_BUFFER_BYTES, self.limit_bytes // max_connections
         )
         self.deferred_bytes = 0  # of commands that were read and not parsed
-        self.held_bytes = 0  # of large values that are not written, or not accepted by the client
+        self.buffered_bytes = 0  # of large values that are not written, or not accepted by the client
 
     def limit(self, fraction: float) -> None:
-        """Limit deferred input and held values to a fraction of the configured limit."""
+        """Limit deferred input and buffered values to a fraction of the configured limit."""
         self.limit_bytes = int(self._configured_limit_bytes * fraction)
 
     def defer(self, added_bytes: int) -> bool:
@@ -43,16 +43,16 @@
         """Count bytes as deferred no longer."""
         self.deferred_bytes -= size_bytes
 
-    def hold(self, size_bytes: int) -> bool:
-        """Count bytes of a large value as held, unless that exceeds the limit; return whether they count."""
-        if self.held_bytes + size_bytes > self.limit_bytes:
+    def buffer(self, size_bytes: int) -> bool:
+        """Count bytes of a large value, unless that exceeds the limit; return whether they are counted."""
+        if self.buffered_bytes + size_bytes > self.limit_bytes:
             return False
-        self.held_bytes += size_bytes
+        self.buffered_bytes += size_bytes
         return True
 
-    def release_held(self, size_bytes: int) -> None:
-        """Count bytes as held no longer."""
-        self.held_bytes -= size_bytes
+    def release_buffered(self, size_bytes: int) -> None:
+        """Count bytes as buffered no longer."""
+        self.buffered_bytes -= size_bytes
 
 
 class StreamBudget:
--- a/qos_gateway/server/clients/pending_replies.py
+++ b/qos_gateway/server/clients/pending_replies.py
@@ -45,49 +45,57 @@
 class PendingReply:
     """The place of one command's reply in the order of its connection."""
 
-    __slots__ = ("client", "held_bytes", "reply", "request_number", "stream")
+    __slots__ = ("buffered_bytes", "client", "reply", "request_number", "stream")
 
     def __init__(self, client: ReplyConnection, request_number: int = -1) -> None:
         self.client = client
         self.request_number = request_number  # of the open request; -1 without one
         self.reply: bytes | None = None  # complete, once it is known
         self.stream: StreamedReply | None = None  # of a large value that is being received
-        self.held_bytes = 0  # of a large value: received, counted in the buffer budget, and not written
+        self.buffered_bytes = 0  # of a large value: received, counted in the buffer budget, and not written
 
 
 class StreamedReply:
     """A large value that is being received from an endpoint.
 
     It is written as it is received once it is the first pending reply and no command waits behind it: a value
-    that fails after that closes the connection. Until then it is held within the buffer budget. The endpoint
+    that fails after that closes the connection. Until then it is kept within the buffer budget. The endpoint
     is paused while the budget is exhausted, or while the client does not accept the value.
     """
 
-    __slots__ = ("_buffered", "_client", "_flow_control", "_header", "_hold", "is_out_of_budget", "started")
+    __slots__ = (
+        "_buffered",
+        "_client",
+        "_count_buffered",
+        "_flow_control",
+        "_header",
+        "is_out_of_budget",
+        "started",
+    )
 
     def __init__(
         self,
         client: ReplyConnection,
         length: int,
         flow_control: FlowControl,
-        hold: Callable[[int], bool],
+        count_buffered: Callable[[int], bool],
     ) -> None:
-        """Take `hold` to count bytes as held; it returns False where that exceeds the limit."""
+        """Take `count_buffered` to count bytes as buffered; it returns False where that exceeds the limit."""
         self._client = client
         self._flow_control = flow_control
-        self._hold = hold
+        self._count_buffered = count_buffered
         self._header = b"$%d\r\n" % length
         self._buffered: list[bytes] = []  # received before the start
         self.is_out_of_budget = False  # the endpoint is paused until the start
         self.started = False
 
     def write(self, data: bytes) -> None:
-        """Write a part of the value, or hold it; pause the endpoint where it cannot be held."""
+        """Write a part of the value, or buffer it; pause the endpoint where the budget is exhausted."""
         if self.started:
             self._client.write(data)
             return
         self._buffered.append(data)
-        if not self._hold(len(data)):
+        if not self._count_buffered(len(data)):
             self.is_out_of_budget = True
             self._flow_control.pause()
             self._client.start_next_stream()
@@ -121,13 +129,13 @@
 class ReplyQueue:
     """The pending replies of one connection, the oldest first."""
 
-    __slots__ = ("_buffers", "_streams", "_transport", "_written_held_bytes", "pending")
+    __slots__ = ("_buffers", "_streams", "_transport", "_written_buffered_bytes", "pending")
 
     def __init__(self, transport: asyncio.Transport, buffers: BufferBudget, streams: StreamBudget) -> None:
         self._transport = transport
         self._buffers = buffers
         self._streams = streams
-        self._written_held_bytes = 0  # of held values that are written, and may not be accepted by the client
+        self._written_buffered_bytes = 0  # of buffered values: written, and perhaps not accepted
         self.pending: deque[PendingReply] = deque()
         transport.set_write_buffer_limits(high=buffers.write_buffer_bytes)
 
@@ -152,22 +160,22 @@
 
     # The memory of large values.
 
-    def _hold(self, pending_reply: PendingReply, size: int) -> bool:
-        """Count bytes of a large value as held; return False where that exceeds the limit."""
-        if not self._buffers.hold(size):
+    def _count_buffered(self, pending_reply: PendingReply, size: int) -> bool:
+        """Count bytes of a large value as buffered; return False where that exceeds the limit."""
+        if not self._buffers.buffer(size):
             return False
-        pending_reply.held_bytes += size
+        pending_reply.buffered_bytes += size
         return True
 
     def _count_written(self, pending_reply: PendingReply) -> None:
-        self._written_held_bytes += pending_reply.held_bytes
-        pending_reply.held_bytes = 0
+        self._written_buffered_bytes += pending_reply.buffered_bytes
+        pending_reply.buffered_bytes = 0
 
     def release_written(self) -> None:
-        """Count held values that were written as held no longer: the client accepts them."""
-        if self._written_held_bytes:
-            self._buffers.release_held(self._written_held_bytes)
-            self._written_held_bytes = 0
+        """Count values that were written as buffered no longer: the client accepts them."""
+        if self._written_buffered_bytes:
+            self._buffers.release_buffered(self._written_buffered_bytes)
+            self._written_buffered_bytes = 0
 
     # Large values.
 
@@ -180,8 +188,10 @@
     def start_stream(
         self, pending_reply: PendingReply, length: int, flow_control: FlowControl
     ) -> StreamedReply:
-        """Begin a reply that is a large value, which is held until it is started."""
-        stream = StreamedReply(pending_reply.client, length, flow_control, partial(self._hold, pending_reply))
+        """Begin a reply that is a large value, which is buffered until it is started."""
+        stream = StreamedReply(
+            pending_reply.client, length, flow_control, partial(self._count_buffered, pending_reply)
+        )
         pending_reply.stream = stream
         return stream
 
--- a/qos_gateway/server/endpoints/connections.py
+++ b/qos_gateway/server/endpoints/connections.py
@@ -92,7 +92,7 @@
                 address, self._connect_timeout_s, self._connection_limit, self.context
             )
 
-    def known_endpoints(self) -> list[int]:
+    def endpoint_ids(self) -> list[int]:
         """Return the ids of all endpoints that have a pool."""
         return list(self._pools)
 
--- a/soak/checks/quota.py
+++ b/soak/checks/quota.py
@@ -17,7 +17,7 @@
     times: dict[tuple[int, int], list[float]] = defaultdict(list)
     for seen in history.record.requests:
         attempts = history.attempts_of(seen.request_id)
-        if attempts and plans[seen.plan].ceiling_rate and not seen.sent_again:
+        if attempts and plans[seen.plan].ceiling_rate and not seen.is_retried:
             times[seen.plan, seen.customer].append(attempts[0].last_byte_at)
     found = []
     for (plan, customer), sent in times.items():
--- a/soak/clients/request_sender.py
+++ b/soak/clients/request_sender.py
@@ -28,11 +28,11 @@
         self._rng = rng
         self._idle: dict[GatewayProcess, list[ClientConnection]] = {}
         self._tasks = BackgroundTasks()
-        self._resends = True
+        self._retries = True
 
-    def stop_resending(self) -> None:
+    def stop_retries(self) -> None:
         """Send no request again from now on."""
-        self._resends = False
+        self._retries = False
 
     # Connections.
 
@@ -94,17 +94,17 @@
 
     def on_unanswered(self, connection: ClientConnection, seen: RequestSeen) -> None:
         """Send a request once more whose connection closed without a reply, as clients do."""
-        if seen.sent_again or not self._resends or seen.connection_end is None:
+        if seen.is_retried or not self._retries or seen.connection_end is None:
             return
         time_left_s = seen.sent_at + seen.wait_s - self._loop.time()
         others = [g for g in self._gateways if g.process is not None and g.process.takes_new_connections]
         if time_left_s <= 0.0 or not others or connection.process.seen.killed_at is not None:
             return
-        seen.sent_again = True
+        seen.is_retried = True
         gateway = self._rng.choice(others)
-        self._tasks.spawn(self._send_again(gateway, seen, time_left_s))
+        self._tasks.spawn(self._retry(gateway, seen, time_left_s))
 
-    async def _send_again(self, gateway: Gateway, first: RequestSeen, time_left_s: float) -> None:
+    async def _retry(self, gateway: Gateway, first: RequestSeen, time_left_s: float) -> None:
         process = gateway.process
         if process is None:
             return
@@ -120,6 +120,6 @@
             process=process.seen.number,
             sent_at=0.0,
             wait_s=time_left_s,
-            sent_again=True,
+            is_retried=True,
         )
         self.send(connection, again)
--- a/soak/clients/traffic.py
+++ b/soak/clients/traffic.py
@@ -52,7 +52,7 @@
     def stop(self) -> None:
         """Send no more regular requests, and no request again."""
         self._stopped = True
-        self._sender.stop_resending()
+        self._sender.stop_retries()
 
     # Regular requests.
 
--- a/soak/gateways/configuration_file.py
+++ b/soak/gateways/configuration_file.py
@@ -11,7 +11,7 @@
 from soak.gateways.settings_keys import Addresses, configuration
 
 AGENTS = 2  # one is named by the configuration, the other by the next one
-MAX_KNOWN_AGE = 8  # versions by which the known list of a new process may be old
+MAX_CACHED_AGE = 8  # versions by which the cached list of a new process may be old
 
 
 class ConfigurationFile:
@@ -43,18 +43,18 @@
         for agent in self.agents:
             await agent.start()
 
-    def write_for_start(self, process: int, admin_address: str, known: bool) -> None:
-        """Write the file for a new process by its number, with a known list or without."""
+    def write_for_start(self, process: int, admin_address: str, has_cached_list: bool) -> None:
+        """Write the file for a new process by its number, with a cached list or without."""
         self._process = process
         self._admin_address = admin_address
-        self.path.write_text(self._text(known))
+        self.path.write_text(self._text(has_cached_list))
 
-    def _text(self, known: bool) -> str:
+    def _text(self, has_cached_list: bool) -> str:
         # The version that the gateway had last. An older one only where the agent sends the newest at once.
         version = self.agent.version
         if not self.agent.is_silent():
-            version = max(1, version - self._rng.randrange(MAX_KNOWN_AGE))
-        known_list = self._setup.source.snapshot(version, self._position) if known else None
+            version = max(1, version - self._rng.randrange(MAX_CACHED_AGE))
+        cached_list = self._setup.source.snapshot(version, self._position) if has_cached_list else None
         addresses = Addresses(
             discovery=self.agent.address,
             counter=self._counters[0].address,
@@ -62,7 +62,7 @@
             peers=self._setup.peers,
         )
         seed = f"{self._setup.seed:08x}{self._position:04x}{self._process:04x}"
-        return json.dumps(configuration(self._setup.deployment, self._position, addresses, known_list, seed))
+        return json.dumps(configuration(self._setup.deployment, self._position, addresses, cached_list, seed))
 
     def swap_targets(self) -> str:
         """Name the other agent and the other address of the counter; return the text, still to be written."""
@@ -70,7 +70,7 @@
         self._counters.reverse()
         self.agent.is_retired = False
         self._counters[0].is_retired = False
-        return self._text(known=False)
+        return self._text(has_cached_list=False)
 
     def write_truncated(self, text: str) -> None:
         """Write only the first half of a text."""
--- a/soak/gateways/gateway.py
+++ b/soak/gateways/gateway.py
@@ -59,11 +59,11 @@
 
     # The life of its processes.
 
-    async def start(self, known: bool = False) -> None:
-        """Start a process, with a known list or without, and wait until it is ready."""
+    async def start(self, has_cached_list: bool = False) -> None:
+        """Start a process, with a cached list or without, and wait until it is ready."""
         self._process_number += 1
         admin_address = free_tcp_address()
-        self._configuration.write_for_start(self._process_number, admin_address, known)
+        self._configuration.write_for_start(self._process_number, admin_address, has_cached_list)
         started = await self._launcher.start(self._process_number, self._configuration.path, admin_address)
         self._tasks.spawn(started.record_exit())
         has_shared_socket = self._launcher.has_shared_socket
@@ -80,12 +80,12 @@
             return
         self._is_replacing_process = True
         if self._launcher.has_shared_socket:
-            await self.start(known=True)
+            await self.start(has_cached_list=True)
             await asyncio.sleep(OVERLAP_S)
             await self.terminate(process)
         else:
             await self.terminate(process)
-            await self.start(known=True)
+            await self.start(has_cached_list=True)
         self._is_replacing_process = False
 
     async def terminate(self, process: GatewayProcess) -> None:
@@ -114,7 +114,7 @@
         process.stop_new_connections()
         process.signal(signal.SIGKILL)
         await process.wait_for_exit()
-        await self.start(known=True)
+        await self.start(has_cached_list=True)
         self._is_replacing_process = False
 
     async def pause(self) -> None:
--- a/soak/gateways/settings_keys.py
+++ b/soak/gateways/settings_keys.py
@@ -26,7 +26,7 @@
 
 
 def configuration(
-    deployment: Deployment, position: int, addresses: Addresses, known: dict[str, Any] | None, seed: str
+    deployment: Deployment, position: int, addresses: Addresses, cached_list: dict[str, Any] | None, seed: str
 ) -> dict[str, Any]:
     """Return the content of one gateway's configuration file."""
     quotas: dict[str, Any] = {"counter": addresses.counter, "peers": []}
@@ -40,7 +40,7 @@
         "discovery": addresses.discovery,
         "seed": seed,
         "limits": {"cores": 1.0, "sockets": deployment.fleet.descriptors, "memory_mb": MEMORY_MB},
-        "known": known,
+        "known": cached_list,
         "settings": _nested_settings(deployment, position),
     }
 
--- a/soak/observations.py
+++ b/soak/observations.py
@@ -62,7 +62,7 @@
     ready_at: float = 0.0  # when the client had read the previous response on the connection
     client_closed_at: float | None = None
     connection_end: ConnectionEnd | None = None
-    sent_again: bool = False  # on the first record and on that of the client's retry
+    is_retried: bool = False  # on the first record and on that of the client's retry
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
--- a/tests/decisions/test_engine.py
+++ b/tests/decisions/test_engine.py
@@ -67,7 +67,7 @@
 
     def feed(self, now: int, event: Event) -> None:
         super().feed(now, event)
-        for held in list(self.gateway.admission.awaiting_reservation):
+        for held in list(self.gateway.admission.pending_reservations):
             answer = self.log and held % 3
             if answer:
                 word = encode_reservation(
--- a/tests/decisions/test_quota_by_owner.py
+++ b/tests/decisions/test_quota_by_owner.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from qos_gateway.decisions.admission.held_reservations import RESERVATION_TIMEOUT_NS
+from qos_gateway.decisions.admission.pending_reservations import RESERVATION_TIMEOUT_NS
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
 from qos_gateway.decisions.quota.peers.peer_messages import (
     Reservation,
@@ -71,11 +71,11 @@
     g = DecisionEngine(settings(gateway_count=MANY, messages_per_s=40.0), 7, 0)
     g.handle(0, full_list(listed_endpoint(1)))
     actions = [a for i in range(5) for a in g.handle(MS, arrival(i, MS, customer_id=i, gateway_spread=MANY))]
-    held = len(g.admission.awaiting_reservation)
+    held = len(g.admission.pending_reservations)
     assert held == sum(isinstance(a, SendPeerMessage) for a in actions) > 0
     after = g.handle(MS + RESERVATION_TIMEOUT_NS, TimerFired(TICK_TIMER))
     assert sum(isinstance(a, Send | Reject) for a in after) == held
-    assert not g.admission.awaiting_reservation
+    assert not g.admission.pending_reservations
 
 
 def malformed_messages() -> Iterator[bytes]:
--- a/tests/server/test_client_disconnects.py
+++ b/tests/server/test_client_disconnects.py
@@ -94,7 +94,7 @@
             disconnecting_client.abort()
             await wait_until(lambda: harness.gateway.clients.connection_count() == 1)
             call.answer(b"ok 1")
-            await wait_until(lambda: not harness.gateway.dispatcher.engine.admission.awaiting_reservation)
+            await wait_until(lambda: not harness.gateway.dispatcher.engine.admission.pending_reservations)
             assert harness.gateway.dispatcher.engine.request_table.in_flight == 0
             assert not harness.open_requests
             await assert_only_this_request_is_forwarded(harness, other_client, number=2)
--- a/tests/server/test_held_values.py
+++ b/tests/server/test_held_values.py
@@ -36,7 +36,7 @@
             else:
                 assert await client.next_message() is None  # its first bytes were streamed already
             await wait_until(lambda: not harness.open_requests)
-            assert harness.buffers.held_bytes == 0
+            assert harness.buffers.buffered_bytes == 0
 
     run_on_loop(test)
 
@@ -69,7 +69,7 @@
                 replies.reverse()
             assert isinstance(replies[0], hiredis.ReplyError)
             assert replies[1] == b"small"
-            assert harness.buffers.held_bytes == 0
+            assert harness.buffers.buffered_bytes == 0
 
     run_on_loop(test)
 
@@ -106,6 +106,6 @@
             connections[2].send(success_reply(b"v"))
             assert await client.next_message() == value(1 << 20)
             assert await client.next_message() == b"v"
-            assert harness.buffers.held_bytes == 0
+            assert harness.buffers.buffered_bytes == 0
 
     run_on_loop(test)
--- a/tests/server/test_large_values.py
+++ b/tests/server/test_large_values.py
@@ -117,7 +117,7 @@
             client.send(call_command(number=1) + call_command(number=2))
             connections = await harness.endpoint.next_requests(2)
             connections[2].send(success_reply(value(1 << 20)))
-            await wait_until(lambda: harness.buffers.held_bytes > 0)
+            await wait_until(lambda: harness.buffers.buffered_bytes > 0)
             connections[1].send(success_reply(b"first"))
             assert await client.next_message() == b"first"
             assert await client.next_message() == value(1 << 20)
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -5,7 +5,7 @@
 import random
 from typing import Any
 
-from qos_gateway.decisions.admission.held_reservations import RESERVATION_TIMEOUT_NS
+from qos_gateway.decisions.admission.pending_reservations import RESERVATION_TIMEOUT_NS
 from qos_gateway.decisions.engine import TICK_TIMER, DecisionEngine
 from qos_gateway.types import (
     Action,
--- a/tests/support/scripted_engine.py
+++ b/tests/support/scripted_engine.py
@@ -79,4 +79,4 @@
 
 
 def only_endpoint(harness: GatewayHarness) -> int:
-    return harness.gateway.endpoint_connections.known_endpoints()[0]
+    return harness.gateway.endpoint_connections.endpoint_ids()[0]
