--- a/qos_gateway/server/action_executor.py
+++ b/qos_gateway/server/action_executor.py
@@ -37,7 +37,7 @@
 log = logging.getLogger(__name__)
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
+@dataclass(frozen=True, slots=True, kw_only=True, eq=False, repr=False)
 class ActionTargets:
     """The parts of the process that actions operate on."""
 
--- a/qos_gateway/server/admin/operations.py
+++ b/qos_gateway/server/admin/operations.py
@@ -22,7 +22,7 @@
         """Send an operator's call to it, if it runs; wait briefly for its acknowledgement."""
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
+@dataclass(frozen=True, slots=True, kw_only=True, eq=False, repr=False)
 class AdminTargets:
     """The parts that the operations read and change."""
 
--- a/qos_gateway/server/clients/connection_input.py
+++ b/qos_gateway/server/clients/connection_input.py
@@ -20,7 +20,7 @@
 MAX_DISCARDED_BYTES = 1 << 20  # read after the input was closed; more is left unread
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
+@dataclass(frozen=True, slots=True, kw_only=True, eq=False, repr=False)
 class ConnectionContext:
     """What all connections of clients share."""
 
--- a/qos_gateway/server/discovery/client.py
+++ b/qos_gateway/server/discovery/client.py
@@ -20,7 +20,7 @@
 CONNECT_TIMEOUT_S = 1.0  # the agent is on this machine
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
+@dataclass(frozen=True, slots=True, kw_only=True, eq=False, repr=False)
 class DiscoveryOptions:
     """Where discovery's agent is, and how its lists are read."""
 
--- a/qos_gateway/server/endpoints/connections.py
+++ b/qos_gateway/server/endpoints/connections.py
@@ -23,7 +23,7 @@
 SWEEP_INTERVAL_S = 1.0  # the period by which the keep-alive estimate decays
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
+@dataclass(frozen=True, slots=True, kw_only=True, eq=False, repr=False)
 class EndpointLimits:
     """Limits on the connections to endpoints, from the configuration."""
 
--- a/qos_gateway/server/handover/handover.py
+++ b/qos_gateway/server/handover/handover.py
@@ -5,6 +5,7 @@
 import logging
 from collections.abc import Callable
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from ...decisions.engine import INCOMING_FRACTION, OUTGOING_FRACTION
 from ...decisions.handover import HandoverFractions, capture, complete, restore
@@ -15,7 +16,9 @@
 from ..discovery.endpoint_list import EndpointUpdate
 from ..endpoints.connections import EndpointConnections
 from ..event_dispatcher import EventDispatcher
-from .messages import HandoverState, ReceivedState
+
+if TYPE_CHECKING:
+    from .messages import HandoverState, ReceivedState
 
 log = logging.getLogger(__name__)
 
@@ -25,7 +28,7 @@
 WHOLE_MEMORY = 1.0  # the fraction of a process that shares with no other
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
+@dataclass(frozen=True, slots=True, kw_only=True, eq=False, repr=False)
 class SharedParts:
     """The parts of the process whose state or limits two processes share."""
 
@@ -58,6 +61,8 @@
 
     def capture_state(self) -> HandoverState:
         """Return the state for the next process, and limit this one to the connections that it reports."""
+        from .messages import HandoverState  # loaded by upgrades alone
+
         client_connections = self._clients.connection_count() + EXTRA_CLIENT_CONNECTIONS
         max_endpoint_connections = self._endpoint_connections.open_connections + EXTRA_ENDPOINT_CONNECTIONS
         self._clients.limit(client_connections, FRACTIONS.outgoing)
--- a/qos_gateway/server/requests/request_context.py
+++ b/qos_gateway/server/requests/request_context.py
@@ -11,7 +11,7 @@
 from .open_requests import OpenRequests
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
+@dataclass(frozen=True, slots=True, kw_only=True, eq=False, repr=False)
 class RequestContext:
     """The table of open requests, and what changes to it are decided by and reported to."""
 
--- a/qos_gateway/server/wiring.py
+++ b/qos_gateway/server/wiring.py
@@ -48,7 +48,7 @@
 ENDPOINT_CONNECTION_FRACTION = 0.5  # a request needs at most one connection on either side
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
+@dataclass(frozen=True, slots=True, kw_only=True, eq=False, repr=False)
 class Observability:
     """What the parts report to."""
 
@@ -57,7 +57,7 @@
     activity: ActivityLog
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
+@dataclass(frozen=True, slots=True, kw_only=True, eq=False, repr=False)
 class Services:
     """The parts for operators and for the other process of an upgrade."""
 
@@ -67,7 +67,7 @@
     admin_server: AdminServer | None
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
+@dataclass(frozen=True, slots=True, kw_only=True, eq=False, repr=False)
 class GatewayParts:
     """The parts of one gateway, connected to each other; nothing is opened yet."""
 
@@ -87,7 +87,7 @@
     services: Services
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
+@dataclass(frozen=True, slots=True, kw_only=True, eq=False, repr=False)
 class _Core:
     """The parts that need no connections; most other parts take some of them."""
 
