--- a/qos_gateway/decisions/admission/admission_controller.py
+++ b/qos_gateway/decisions/admission/admission_controller.py
@@ -39,7 +39,7 @@
     def on_arrival(self, now: int, arrival: Arrival) -> list[Action]:
         """Admit, reject or hold a request."""
         account = self.quota.account_for(now, arrival)
-        account.observe(now, arrival.units)
+        account.record_request(now, arrival.units)
         commitment = self.commitments.by_customer.get(account.customer_id) or self.commitments.add(account)
         priority = self._observe(now, commitment, arrival)
         if not commitment.in_flight_cap:
--- a/qos_gateway/decisions/quota/__init__.py
+++ b/qos_gateway/decisions/quota/__init__.py
@@ -21,11 +21,11 @@
 
 
 def _messaging_strategy(settings: Settings) -> type[Quota]:
-    from .account.bucket_reports import CURRENT_REPORT_NS
+    from .account.bucket_reports import REPORT_CURRENT_FOR_NS
     from .gossip_quota import GossipQuota, message_interval
     from .owner_quota import OwnerQuota
 
-    return GossipQuota if message_interval(settings) <= CURRENT_REPORT_NS else OwnerQuota
+    return GossipQuota if message_interval(settings) <= REPORT_CURRENT_FOR_NS else OwnerQuota
 
 
 def _counting_strategy(settings: Settings) -> type[Quota]:
--- a/qos_gateway/decisions/quota/account/bucket_reports.py
+++ b/qos_gateway/decisions/quota/account/bucket_reports.py
@@ -12,7 +12,7 @@
 NEVER = -(1 << 62)  # ns; before all other times
 REPORT_FRESH_FOR_NS = 1 * SECOND  # age up to which a report of usage elsewhere counts in full
 REPORT_EXPIRES_AFTER_NS = 3 * SECOND  # age from which a report does not count
-CURRENT_REPORT_NS = REPORT_FRESH_FOR_NS // 4  # age up to which a decision relies on a report alone
+REPORT_CURRENT_FOR_NS = REPORT_FRESH_FOR_NS // 4  # age up to which a decision relies on a report alone
 
 
 @dataclass(slots=True)
@@ -31,9 +31,9 @@
         self.reported_at = now
         self.grant_ratio.add(now, float(granted))
 
-    def record_grant(self, now: int, grant: float) -> None:
+    def record_grant(self, now: int, probability: float) -> None:
         """Record how likely a grant is, 0 to 1, by a report of usage."""
-        self.grant_ratio.add(now, grant)
+        self.grant_ratio.add(now, probability)
 
     def record_in_flight(self, now: int, elsewhere: int) -> None:
         """Record the requests in flight at other gateways."""
@@ -46,7 +46,7 @@
         self.grant_ratio = grant_ratio
 
 
-def fresh_share(now: int, slices: int, reported_at: list[int]) -> float:
+def share_by_report_age(now: int, slices: int, reported_at: list[int]) -> float:
     """Return the even slice of a quota, and the part of the others for which these reports are fresh."""
     span = REPORT_EXPIRES_AFTER_NS - REPORT_FRESH_FOR_NS
     freshness = [min(1.0, max(0.0, (REPORT_EXPIRES_AFTER_NS - now + at) / span)) for at in reported_at]
--- a/qos_gateway/decisions/quota/account/counter_calls.py
+++ b/qos_gateway/decisions/quota/account/counter_calls.py
@@ -31,20 +31,20 @@
     unconfirmed_correction: float = 0.0  # a correction without a reply, which may have been made twice
     unreported_units: float = 0.0  # units spent from the slice that no call has reported
 
-    def take_unsent(self, amount: float, reservation: int, is_correction: bool) -> CounterCall:
+    def create_call(self, amount: float, reservation: int, is_correction: bool) -> CounterCall:
         """Return a call that also reports what is unreported."""
         call = CounterCall(reservation, amount, is_correction, self.pending_release, self.unreported_units)
         self.pending_release = 0.0
         self.unreported_units = 0.0
         return call
 
-    def restore_unsent(self, call: CounterCall) -> None:
+    def record_not_added(self, call: CounterCall) -> None:
         """Account for a call that was not added to the counter."""
         self.unreported_units += call.unreported
         is_release = not call.reservation and not call.is_correction
         self.pending_release += call.released + call.amount * is_release
 
-    def record_unknown(self, call: CounterCall, in_flight_slot: float) -> None:
+    def record_unconfirmed(self, call: CounterCall, in_flight_slot: float) -> None:
         """Account for a call without a reply, which may have been added; no request holds its slot."""
         self.pending_release -= in_flight_slot * (call.reservation > 0)
         self.unconfirmed_correction += call.amount * call.is_correction
@@ -64,6 +64,6 @@
         """Record units that were spent without a call."""
         self.unreported_units += units
 
-    def forget_refilled(self, units: float) -> None:
+    def subtract_refilled(self, units: float) -> None:
         """Forget unreported units that the bucket has refilled."""
         self.unreported_units = max(0.0, self.unreported_units - units)
--- a/qos_gateway/decisions/quota/account/customer_account.py
+++ b/qos_gateway/decisions/quota/account/customer_account.py
@@ -17,8 +17,8 @@
 from .peer_totals import PeerTotals
 
 RETENTION_NS = 120 * SECOND  # without requests, until an account is removed
-RARE_RETENTION_NS = 20 * SECOND  # the same, if the customer spent little: most of them never come again
-RARE_QUARTER_UNITS = 8  # spent at most by a customer that counts as rare
+MIN_RETENTION_NS = 20 * SECOND  # the same, if the customer spent little: most of them never come again
+LOW_SPEND_QUARTER_UNITS = 8  # spent at most by a customer that counts as rare
 IN_FLIGHT_REPORT_VALID_NS = SECOND  # age up to which a handover includes the requests in flight elsewhere
 
 
@@ -52,12 +52,12 @@
             buckets=CustomerBuckets(plan, tokens=plan.burst, refilled_at=refilled_at),
         )
 
-    def observe(self, now: int, units: float) -> None:
+    def record_request(self, now: int, units: float) -> None:
         """Count a request that arrives here."""
         self.last_request_at = now
         self.demand.add(now, units)
 
-    def requested_by_peer(self, now: int) -> None:
+    def record_peer_request(self, now: int) -> None:
         """Record that another gateway requested units, so that the account is kept."""
         self.last_request_at = now
 
@@ -68,18 +68,18 @@
 
     def retention(self) -> int:
         """Return the ns without requests for which the account is kept: its buckets are full by then."""
-        if self.peer_totals.spent_quarter_units > RARE_QUARTER_UNITS or self.peer_totals.totals:
+        if self.peer_totals.spent_quarter_units > LOW_SPEND_QUARTER_UNITS or self.peer_totals.totals:
             return RETENTION_NS
         bucket_full_s = 2 * self.plan.burst / max(self.plan.rate, 1e-9)
         ceiling_full_s = self.plan.ceiling_burst / max(self.plan.ceiling_rate, 1e-9)
-        return min(RETENTION_NS, max(RARE_RETENTION_NS, int(SECOND * max(bucket_full_s, ceiling_full_s))))
+        return min(RETENTION_NS, max(MIN_RETENTION_NS, int(SECOND * max(bucket_full_s, ceiling_full_s))))
 
     def take(self, units: float, may_exceed: bool) -> bool:
         """Take units from bucket and ceiling, from the ceiling alone if allowed; return whether it did."""
-        within = self.plan.rate and self.buckets.tokens >= units
+        within_quota = self.plan.rate and self.buckets.tokens >= units
         if not self.buckets.take(units, may_exceed):
             return False
-        if within:
+        if within_quota:
             self.peer_totals.announce_spent(units)
         return True
 
@@ -104,14 +104,14 @@
         """Record the requests in flight at all gateways."""
         self.reports.record_in_flight(now, max(0, int(everywhere) - self.in_flight))
 
-    def apply_peer_total(self, peer: int, total: int, continues: bool, is_past: bool) -> None:
+    def apply_peer_total(self, peer: int, total: int, continues: bool, predates_restart: bool) -> None:
         """Take off what a peer spent since its last total.
 
-        A total that cannot be compared counts as a whole, up to one burst; not at all if `is_past`.
+        A total that cannot be compared counts as a whole, up to one burst; not at all if `predates_restart`.
         """
-        spent = self.peer_totals.spent_by(peer, total, continues)
+        spent = self.peer_totals.record_peer_total(peer, total, continues)
         if spent is None:
-            spent = 0.0 if is_past else min(total / 4, self.plan.burst)
+            spent = 0.0 if predates_restart else min(total / 4, self.plan.burst)
         self.buckets.spend_elsewhere(spent)
 
     def usage_estimate(self, now: int, prior: float, prior_units: float) -> float:
@@ -121,7 +121,7 @@
         the estimate. Requests at this gateway are compared with its slice of the quota.
         """
         metered = self.usage.mean.mean_with_prior(now, prior, prior_units)
-        requested = max(0.0, self.demand.requested_rate(now) * LONG_MEMORY_NS / SECOND - prior_units)
+        requested = max(0.0, self.demand.unit_rate(now) * LONG_MEMORY_NS / SECOND - prior_units)
         slice_units = self.plan.rate * LONG_MEMORY_NS / SECOND / self.buckets.slices
         return max(metered, (prior * prior_units + requested) / (prior_units + slice_units))
 
@@ -130,9 +130,9 @@
 
         The request being decided, of `units`, does not count towards the rate.
         """
-        one = units * SECOND / LONG_MEMORY_NS
+        one_request_rate = units * SECOND / LONG_MEMORY_NS
         slice_rate = self.plan.rate / self.buckets.slices
-        return min(1.0, (slice_rate + 2 * one) / (self.demand.requested_rate(now) + one))
+        return min(1.0, (slice_rate + 2 * one_request_rate) / (self.demand.unit_rate(now) + one_request_rate))
 
     def capture(
         self, now: int, incoming_fraction: float, outgoing_fraction: float, scales_bucket: bool
--- a/qos_gateway/decisions/quota/account/customer_buckets.py
+++ b/qos_gateway/decisions/quota/account/customer_buckets.py
@@ -40,9 +40,9 @@
         """Set the tokens of the quota's bucket."""
         self.tokens = tokens
 
-    def limit_tokens(self, most: float) -> None:
-        """Reduce the tokens of the quota's bucket to `most`."""
-        self.tokens = min(self.tokens, most)
+    def limit_tokens(self, maximum: float) -> None:
+        """Reduce the tokens of the quota's bucket to `maximum`."""
+        self.tokens = min(self.tokens, maximum)
 
     def set_ceiling_tokens(self, tokens: float) -> None:
         """Set the tokens of the ceiling's slice."""
@@ -64,21 +64,21 @@
     def take(self, units: float, may_exceed: bool) -> bool:
         """Take units from bucket and ceiling, from the ceiling alone if allowed; return whether it did."""
         rate = self.plan.rate
-        within = not rate or self.tokens >= units
-        if not ((within or may_exceed) and self.below_ceiling(units)):
+        within_quota = not rate or self.tokens >= units
+        if not ((within_quota or may_exceed) and self.below_ceiling(units)):
             return False
         self.ceiling_tokens -= units
-        if within and rate:
+        if within_quota and rate:
             self.tokens -= units
         return True
 
     def take_from_slice(self, units: float, has_slot: bool, may_exceed: bool) -> bool:
         """Take units from the local slices, from the ceiling's alone if allowed; return whether it did."""
-        within = has_slot and self.local_tokens >= units
-        if not ((within or may_exceed) and self.below_ceiling(units)):
+        within_quota = has_slot and self.local_tokens >= units
+        if not ((within_quota or may_exceed) and self.below_ceiling(units)):
             return False
         self.ceiling_tokens -= units
-        self.local_tokens -= units * within
+        self.local_tokens -= units * within_quota
         return True
 
     def spend_locally(self, units: float, from_slice: bool) -> None:
--- a/qos_gateway/decisions/quota/account/customer_demand.py
+++ b/qos_gateway/decisions/quota/account/customer_demand.py
@@ -20,16 +20,16 @@
         self.short_term.add(now, units)
         self.long_term.add(now, units)
 
-    def rate(self, now: int) -> float:
+    def request_rate(self, now: int) -> float:
         """Return the requests per second, over the short time."""
         return self.short_term.rate(now)
 
     @property
-    def value(self) -> float:
+    def units_per_request(self) -> float:
         """Return the mean units per request, over the short time; 0 without requests."""
         return self.short_term.value
 
-    def requested_rate(self, now: int) -> float:
+    def unit_rate(self, now: int) -> float:
         """Return the units per second, over the long time."""
         return self.long_term.rate(now) * self.long_term.value
 
--- a/qos_gateway/decisions/quota/account/customer_lease.py
+++ b/qos_gateway/decisions/quota/account/customer_lease.py
@@ -15,7 +15,7 @@
 
     def add(self, current_term: int, term: int, fraction: float) -> None:
         """Add a leased fraction of the quota for a term, and forget the leases of past terms."""
-        current = {number: held for number, held in self.fractions.items() if number >= current_term}
+        current = {number: leased for number, leased in self.fractions.items() if number >= current_term}
         self.fractions = current | {term: current.get(term, 0.0) + fraction}
 
     def back_off(self, until: int) -> None:
@@ -26,7 +26,7 @@
         """Claim no lease before `until`, nor before the time that is set already."""
         self.next_claim_at = max(self.next_claim_at, until)
 
-    def claim_unanswered(self, term: int) -> None:
+    def record_unanswered_claim(self, term: int) -> None:
         """Record that a claim for a term has no reply."""
         self.unanswered_claim_term = term
 
--- a/qos_gateway/decisions/quota/account/peer_totals.py
+++ b/qos_gateway/decisions/quota/account/peer_totals.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 GOSSIP_REPEATS = 3  # messages that repeat a changed total, as any message may be lost
-RESTARTED_GROWTH_QUARTER_UNITS = 0x8000  # growth of a 16-bit total from which on it has decreased instead
+RESTART_THRESHOLD_QUARTER_UNITS = 0x8000  # growth of a 16-bit total from which on it has decreased instead
 
 
 def spent_since(total: int, previous: int | None) -> float | None:
@@ -16,7 +16,7 @@
     if previous is None:
         return None
     growth = (total - previous) & 0xFFFF
-    return None if growth >= RESTARTED_GROWTH_QUARTER_UNITS else growth / 4
+    return None if growth >= RESTART_THRESHOLD_QUARTER_UNITS else growth / 4
 
 
 @dataclass(slots=True)
@@ -45,7 +45,7 @@
         """Count a message with the running total."""
         self.pending_messages -= 1
 
-    def spent_by(self, peer: int, total: int, continues: bool) -> float | None:
+    def record_peer_total(self, peer: int, total: int, continues: bool) -> float | None:
         """Record a peer's total; return the units since its last one, None if there is none to compare."""
         spent = spent_since(total, self.totals.get(peer) if continues else None)
         self.totals[peer] = total
--- a/qos_gateway/decisions/quota/account/token_bucket.py
+++ b/qos_gateway/decisions/quota/account/token_bucket.py
@@ -28,19 +28,28 @@
     return TokenBucket(max(0.0, plan.ceiling_rate - plan.rate), max(0.0, plan.ceiling_burst - plan.burst))
 
 
-def whole_slice(
-    bucket: TokenBucket, *, even: float, total: float, largest: float, rank: int, slices: int
+def slice_for_rank(
+    bucket: TokenBucket,
+    *,
+    even_fraction: float,
+    total_fraction: float,
+    largest_request: float,
+    rank: int,
+    slice_count: int,
 ) -> TokenBucket:
-    """Return the slice of the gateway of that rank among `slices` gateways.
+    """Return the slice of the gateway of that rank among `slice_count` gateways.
 
-    It is the fraction `even` of the bucket if each slice can hold the largest request. Otherwise the first
-    gateways share the fraction `total` in slices that can, and the others have none.
+    It is the fraction `even_fraction` of the bucket if each slice can hold the largest request. Otherwise the
+    first gateways share the fraction `total_fraction` in slices that can, and the others have none.
     """
-    whole = int(bucket.capacity / largest)
-    return bucket.scaled(even if whole >= slices else total * (rank < whole) / max(1, whole))
+    usable_count = int(bucket.capacity / largest_request)
+    if usable_count >= slice_count:
+        return bucket.scaled(even_fraction)
+    return bucket.scaled(total_fraction * (rank < usable_count) / max(1, usable_count))
 
 
-def leased_ceiling(plan: Plan, share: float, even: float) -> TokenBucket:
-    """Return a slice of the ceiling: `share` of the quota, and `even` of what exceeds the quota."""
-    rate = plan.rate * share + (plan.ceiling_rate - plan.rate) * even
-    return TokenBucket(rate, plan.burst * share + (plan.ceiling_burst - plan.burst) * even)
+def ceiling_slice(plan: Plan, quota_fraction: float, excess_fraction: float) -> TokenBucket:
+    """Return a slice of the ceiling: fractions of the quota, and of what exceeds the quota."""
+    rate = plan.rate * quota_fraction + (plan.ceiling_rate - plan.rate) * excess_fraction
+    burst = plan.burst * quota_fraction + (plan.ceiling_burst - plan.burst) * excess_fraction
+    return TokenBucket(rate, burst)
--- a/qos_gateway/decisions/quota/counter/counter_client.py
+++ b/qos_gateway/decisions/quota/counter/counter_client.py
@@ -16,14 +16,14 @@
 class CounterClient:
     """Calls to the counter; a quota without a counter makes none."""
 
-    def __init__(self, is_used: bool) -> None:
-        self.is_used = is_used
+    def __init__(self, enabled: bool) -> None:
+        self.enabled = enabled
         self.call_rate = 1.0  # fraction of the calls that are made, 0 to 1
         self.pending_calls: PendingCalls[CounterCall] = PendingCalls()
 
     def in_flight_slot(self, plan: Plan) -> float:
         """Return what a request in flight adds to the shared count; 0 where none is kept."""
-        return IN_FLIGHT_UNIT * (self.is_used and plan.max_in_flight > 0)
+        return IN_FLIGHT_UNIT * (self.enabled and plan.max_in_flight > 0)
 
     def call(
         self,
@@ -35,16 +35,16 @@
     ) -> Action:
         """Return a call that adds an amount, and what is unreported, to the customer's counter."""
         key = counter_key(account.customer_id, now // COUNTER_KEY_LIFETIME_NS)
-        call = account.counter_calls.take_unsent(amount, reservation, is_correction)
+        call = account.counter_calls.create_call(amount, reservation, is_correction)
         self.pending_calls.push(key, call)
         return AddToCounter(key, COUNTER_KEY_LIFETIME_NS, call.total)
 
-    def call_failed(self, account: CustomerAccount, call: CounterCall, outcome: Outcome) -> None:
+    def record_failed_call(self, account: CustomerAccount, call: CounterCall, outcome: Outcome) -> None:
         """Account for a call that failed."""
         if outcome in (Outcome.TIMEOUT, Outcome.RESET):
-            account.counter_calls.record_unknown(call, self.in_flight_slot(account.plan))
+            account.counter_calls.record_unconfirmed(call, self.in_flight_slot(account.plan))
         else:
-            account.counter_calls.restore_unsent(call)
+            account.counter_calls.record_not_added(call)
 
     def adapt_call_rate(self, outcome: Outcome) -> None:
         """Reduce the call rate when a call fails, and raise it with each reply.
--- a/qos_gateway/decisions/quota/counter_quota.py
+++ b/qos_gateway/decisions/quota/counter_quota.py
@@ -7,9 +7,9 @@
 
 from ...types import Action, CounterReplied, Outcome, Settings
 from ...units import SECOND
-from .account.bucket_reports import CURRENT_REPORT_NS, REPORT_EXPIRES_AFTER_NS, REPORT_FRESH_FOR_NS
+from .account.bucket_reports import REPORT_CURRENT_FOR_NS, REPORT_EXPIRES_AFTER_NS, REPORT_FRESH_FOR_NS
 from .account.customer_account import CustomerAccount
-from .account.token_bucket import TokenBucket, ceiling_beyond_quota, whole_slice
+from .account.token_bucket import TokenBucket, ceiling_beyond_quota, slice_for_rank
 from .counter.counter_reading import CounterReading, read_counter
 from .counter.counter_total import IN_FLIGHT_UNIT, customer_of
 from .quota import Quota
@@ -32,20 +32,20 @@
 
     def _refill_unreported(self, now: int, account: CustomerAccount, elapsed_s: float) -> None:
         if self._probably_has_tokens(now, account):
-            account.counter_calls.forget_refilled(account.plan.rate * elapsed_s)
+            account.counter_calls.subtract_refilled(account.plan.rate * elapsed_s)
 
     def _ceiling_bucket(self, now: int, account: CustomerAccount, even: float) -> TokenBucket:
         """Return a slice of the part of the ceiling that exceeds the quota: the counter grants the quota."""
         buckets = account.buckets
         if buckets.slice_count <= 1:
             return super()._ceiling_bucket(now, account, even)
-        return whole_slice(
+        return slice_for_rank(
             self._ceilings_beyond_quota[account.plan_index],
-            even=even,
-            total=self.handover_fraction,
-            largest=self.settings.largest_request_units,
+            even_fraction=even,
+            total_fraction=self.handover_fraction,
+            largest_request=self.settings.largest_request_units,
             rank=buckets.rank,
-            slices=buckets.slice_count,
+            slice_count=buckets.slice_count,
         )
 
     def _decide(self, now: int, charge: Charge) -> QuotaDecision:
@@ -59,7 +59,7 @@
                 # Refilled since the last report, the bucket holds at most these tokens.
                 return QuotaDecision.immediate(False)
         # A current report decides at once, unless only this gateway's slice of the ceiling is too small.
-        is_current = now - account.reports.reported_at < CURRENT_REPORT_NS
+        is_current = now - account.reports.reported_at < REPORT_CURRENT_FOR_NS
         is_current = is_current and (buckets.tokens < charge.units or buckets.below_ceiling(charge.units))
         if is_current or self._is_owner(account):
             return QuotaDecision.immediate(self._take_from_bucket(now, charge), reports=is_current)
@@ -84,7 +84,7 @@
         reported = now - account.usage.reported_at < REPORT_EXPIRES_AFTER_NS
         light = reported and account.usage.fraction < LIGHT_USAGE
         slice_rate = LIGHT_USAGE * account.plan.rate / account.buckets.slices
-        light = light and account.demand.requested_rate(now) < slice_rate
+        light = light and account.demand.unit_rate(now) < slice_rate
         if not (few and light and self._permits(now, account, units)):
             return False
         account.spend_unreported(units)
@@ -141,7 +141,7 @@
             self.refill(now, account)
             slot = self.counter.in_flight_slot(account.plan)
             return self._on_reading(now, read_counter(now, account, call, event, slot))
-        self.counter.call_failed(account, call, event.outcome)
+        self.counter.record_failed_call(account, call, event.outcome)
         return QuotaReply(call.reservation)
 
     def _on_reading(self, now: int, reading: CounterReading) -> QuotaReply:
--- a/qos_gateway/decisions/quota/gossip_quota.py
+++ b/qos_gateway/decisions/quota/gossip_quota.py
@@ -7,7 +7,7 @@
 from ...types import Action, PeerMessage, Settings
 from ...units import SECOND
 from ..statistics.time_constants import TICK_INTERVAL_NS
-from .account.bucket_reports import REPORT_FRESH_FOR_NS, fresh_share
+from .account.bucket_reports import REPORT_FRESH_FOR_NS, share_by_report_age
 from .account.customer_account import CustomerAccount
 from .account.token_bucket import TokenBucket
 from .peers.gossip import Gossip
@@ -47,7 +47,7 @@
         never = self.age.started_at - REPORT_FRESH_FOR_NS
         peers = self.peer_gossip.peers
         reports = [peers[p].received_at if p in peers else never for p in account.peer_totals.peers]
-        return fresh_share(now, account.buckets.slices, reports or [account.reports.reported_at])
+        return share_by_report_age(now, account.buckets.slices, reports or [account.reports.reported_at])
 
     def _bucket(self, now: int, account: CustomerAccount) -> TokenBucket:
         share = self.quota_share(now, account) * self.handover_fraction
--- a/qos_gateway/decisions/quota/leased_quota.py
+++ b/qos_gateway/decisions/quota/leased_quota.py
@@ -7,11 +7,11 @@
 
 from ...types import CounterReplied, Settings
 from .account.customer_account import CustomerAccount
-from .account.token_bucket import TokenBucket, leased_ceiling
+from .account.token_bucket import TokenBucket, ceiling_slice
 from .counter.counter_total import customer_of
 from .counter_quota import CounterQuota
 from .leases.lease_terms import LeaseTerms
-from .leases.leases import EVEN_FRACTION, MAX_SAVED_FRACTION, Leases
+from .leases.leases import EVEN_FRACTION, SAVED_BURST_FACTOR, Leases
 from .quota_decision import Charge, QuotaDecision, QuotaReply
 
 
@@ -29,7 +29,7 @@
         plan, slices = account.plan, account.buckets.slice_count
         if slices < 2 or not plan.rate:
             return False
-        floor = leased_ceiling(plan, EVEN_FRACTION / slices, 1.0 / slices)
+        floor = ceiling_slice(plan, EVEN_FRACTION / slices, 1.0 / slices)
         return not plan.ceiling_rate or floor.capacity >= self.settings.largest_request_units
 
     def _share(self, now: int, account: CustomerAccount) -> float:
@@ -39,13 +39,13 @@
         if not self.is_leased(account):
             return super()._local_bucket(now, account, even)
         plan, share = account.plan, self._share(now, account)
-        saved = plan.burst * min(1.0, MAX_SAVED_FRACTION * share)
+        saved = plan.burst * min(1.0, SAVED_BURST_FACTOR * share)
         return TokenBucket(plan.rate * share, max(saved, self.settings.largest_request_units))
 
     def _ceiling_bucket(self, now: int, account: CustomerAccount, even: float) -> TokenBucket:
         if not self.is_leased(account):
             return super()._ceiling_bucket(now, account, even)
-        return leased_ceiling(account.plan, self._share(now, account), even)
+        return ceiling_slice(account.plan, self._share(now, account), even)
 
     def _decide(self, now: int, charge: Charge) -> QuotaDecision:
         """Decide by the local slice alone, so that no request waits for a reply."""
--- a/qos_gateway/decisions/quota/leases/lease_terms.py
+++ b/qos_gateway/decisions/quota/leases/lease_terms.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-TERM_SCATTER = 0x9E3779B1  # a multiplier that scatters neighbouring numbers evenly
+HASH_MULTIPLIER = 0x9E3779B1  # a multiplier that scatters neighbouring numbers evenly
 
 
 @dataclass(slots=True)
@@ -24,10 +24,10 @@
 
     def at(self, now: int, customer_id: int) -> LeaseTerm:
         """Return the customer's term at `now`."""
-        position = now + customer_id * TERM_SCATTER % self.length
+        position = now + customer_id * HASH_MULTIPLIER % self.length
         return LeaseTerm(position // self.length, self.length - position % self.length)
 
-    def scattered_lead(self, customer_id: int, fraction: float) -> float:
+    def staggered_lead(self, customer_id: int, fraction: float) -> float:
         """Return a time (ns) of up to `fraction` of a term, different for each customer and gateway."""
-        thousandths = (customer_id * 31 + self.seed) * TERM_SCATTER % 1000
+        thousandths = (customer_id * 31 + self.seed) * HASH_MULTIPLIER % 1000
         return fraction * self.length * thousandths / 1000
--- a/qos_gateway/decisions/quota/leases/leases.py
+++ b/qos_gateway/decisions/quota/leases/leases.py
@@ -15,10 +15,10 @@
 LEASED_FRACTION = 0.6  # of each quota that is leased: a tenth too much in all, as few use all of their leases
 CLAIM_MARGIN = 1.5  # factor on the local demand, for requests that arrive unevenly
 SHORT_DEMAND_WEIGHT = 0.5  # of the short-term demand, which is all that is known of a new customer
-MAX_SAVED_FRACTION = 4.0  # factor on its part of the burst that a gateway may save, as customers move
-LOW_TOKENS_REQUESTS = 2.0  # largest requests in the bucket, below which a lease is claimed
-RENEWAL_LEAD = 0.2  # of a term, within which each gateway claims the next one at a different time
-CLAIM_BACKOFF = 0.05  # of a term, before the next claim for the same customer
+SAVED_BURST_FACTOR = 4.0  # factor on its part of the burst that a gateway may save, as customers move
+LOW_TOKENS_LARGEST_REQUESTS = 2.0  # largest requests in the bucket, below which a lease is claimed
+RENEWAL_LEAD_TERMS = 0.2  # of a term, within which each gateway claims the next one at a different time
+CLAIM_BACKOFF_TERMS = 0.05  # of a term, before the next claim for the same customer
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,17 +56,19 @@
             return []
         term = self.terms.at(now, account.customer_id)
         leased = lease.fractions
-        lead = self.terms.scattered_lead(account.customer_id, RENEWAL_LEAD)
-        ahead = term.remaining < lead and leased.get(term.number, 0.0) > 0.0 and term.number + 1 not in leased
-        if not ahead and account.buckets.local_tokens >= LOW_TOKENS_REQUESTS * largest:
+        lead = self.terms.staggered_lead(account.customer_id, RENEWAL_LEAD_TERMS)
+        is_renewal = (
+            term.remaining < lead and leased.get(term.number, 0.0) > 0.0 and term.number + 1 not in leased
+        )
+        if not is_renewal and account.buckets.local_tokens >= LOW_TOKENS_LARGEST_REQUESTS * largest:
             return []
-        target = term.number + ahead
-        lease.back_off(now + int(CLAIM_BACKOFF * self.terms.length * self.rng.uniform(1.0, 2.0)))
+        target = term.number + is_renewal
+        lease.back_off(now + int(CLAIM_BACKOFF_TERMS * self.terms.length * self.rng.uniform(1.0, 2.0)))
         fraction = self._wanted_fraction(now, account) - leased.get(target, 0.0)
         if fraction <= 0.0:
             return []
         if self.rng.random() >= call_rate:  # some claims are skipped while the counter is overloaded
-            lease.claim_unanswered(target)
+            lease.record_unanswered_claim(target)
             return []
         return [self._claim_call(account, target, fraction)]
 
@@ -77,8 +79,8 @@
 
     def _wanted_fraction(self, now: int, account: CustomerAccount) -> float:
         demand = account.demand
-        recent = SHORT_DEMAND_WEIGHT * demand.rate(now) * demand.value
-        covered = CLAIM_MARGIN * max(demand.requested_rate(now), recent) / account.plan.rate
+        recent = SHORT_DEMAND_WEIGHT * demand.request_rate(now) * demand.units_per_request
+        covered = CLAIM_MARGIN * max(demand.unit_rate(now), recent) / account.plan.rate
         return min(LEASED_FRACTION, covered - EVEN_FRACTION / account.buckets.slice_count)
 
     def on_counter_reply(self, now: int, event: CounterReplied, account: CustomerAccount | None) -> None:
@@ -89,7 +91,7 @@
         if event.outcome is Outcome.OK:
             self._on_claimed(now, account, claim, event.total)
         else:
-            account.lease.claim_unanswered(claim.term)
+            account.lease.record_unanswered_claim(claim.term)
 
     def _on_claimed(self, now: int, account: CustomerAccount, claim: LeaseClaim, total: float) -> None:
         """Add what earlier claims left of the quota; a claim that counts late or twice adds nothing twice."""
@@ -99,4 +101,4 @@
         lease.add(term.number, claim.term, min(claim.fraction, unclaimed))
         if total >= LEASED_FRACTION:  # nothing is left to claim before the term after it
             end = now + term.remaining + (claim.term - term.number) * self.terms.length
-            lease.extend_back_off(end - int(RENEWAL_LEAD * self.terms.length))
+            lease.extend_back_off(end - int(RENEWAL_LEAD_TERMS * self.terms.length))
--- a/qos_gateway/decisions/quota/quota.py
+++ b/qos_gateway/decisions/quota/quota.py
@@ -12,7 +12,7 @@
 from ..statistics.decaying_mean import DecayingMean
 from ..statistics.time_constants import LONG_MEMORY_NS, TICK_INTERVAL_NS
 from .account.account_table import AccountTable
-from .account.bucket_reports import CURRENT_REPORT_NS, fresh_share
+from .account.bucket_reports import REPORT_CURRENT_FOR_NS, share_by_report_age
 from .account.customer_account import CustomerAccount
 from .account.token_bucket import TokenBucket
 from .counter.counter_client import CounterClient
@@ -105,7 +105,7 @@
         return (
             1.0
             if self._is_owner(account)
-            else fresh_share(now, account.buckets.slices, [account.reports.reported_at])
+            else share_by_report_age(now, account.buckets.slices, [account.reports.reported_at])
         )
 
     def refill(self, now: int, account: CustomerAccount) -> None:
@@ -168,7 +168,7 @@
         """Return whether ceiling and in-flight limit permit a request; without a report, its even slice."""
         limit = account.plan.max_in_flight
         reports = account.reports
-        fresh = now - reports.in_flight_elsewhere_at < CURRENT_REPORT_NS
+        fresh = now - reports.in_flight_elsewhere_at < REPORT_CURRENT_FOR_NS
         most = ceil(limit / (1 if fresh else account.buckets.slices))
         has_slot = not limit or account.in_flight + fresh * reports.in_flight_elsewhere < most
         return has_slot and account.buckets.below_ceiling(units)
@@ -247,7 +247,7 @@
         if not self._is_owner(account):
             return QuotaReply()
         self.refill(now, account)
-        account.requested_by_peer(now)
+        account.record_peer_request(now)
         granted = account.take(request.units, account.excess_pays)
         if request.kind == ReservationKind.CONSUME:
             return QuotaReply()
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -14,8 +14,8 @@
 from qos_gateway.decisions.quota.leases.leases import (
     EVEN_FRACTION,
     LEASED_FRACTION,
-    MAX_SAVED_FRACTION,
-    RENEWAL_LEAD,
+    RENEWAL_LEAD_TERMS,
+    SAVED_BURST_FACTOR,
 )
 from qos_gateway.server.config import MAX_LEASE_S
 from qos_gateway.types import AddToCounter
@@ -113,7 +113,7 @@
     for a in actions:
         assert isinstance(a, AddToCounter)
         assert a.time_to_live == 60 * SECOND
-    assert MAX_LEASE_S * (1 + RENEWAL_LEAD) <= 60
+    assert MAX_LEASE_S * (1 + RENEWAL_LEAD_TERMS) <= 60
 
 
 def test_restarted_gateway_claims_what_is_left_and_has_its_floor() -> None:
@@ -152,7 +152,7 @@
     assert sum(customer.shares(70 * SECOND)) <= 1.0 + 1e-6
     calls = customer.calls
     forwarded = customer.press(3550.0, 60.0, 30, rng)
-    assert 0.85 * 600 <= forwarded <= 600 + MAX_SAVED_FRACTION * LEASED_PLAN.burst
+    assert 0.85 * 600 <= forwarded <= 600 + SAVED_BURST_FACTOR * LEASED_PLAN.burst
     assert customer.calls - calls <= 2 * GATEWAY_COUNT * 60 / 2.5
     customer.replies = []
     customer.press(3610.0, 60.0, 30, rng)
--- a/tests/state/test_quota_arithmetic.py
+++ b/tests/state/test_quota_arithmetic.py
@@ -9,8 +9,8 @@
 from qos_gateway.decisions.quota.account.token_bucket import (
     TokenBucket,
     ceiling_beyond_quota,
-    leased_ceiling,
-    whole_slice,
+    ceiling_slice,
+    slice_for_rank,
 )
 from qos_gateway.decisions.quota.counter.counter_total import (
     IN_FLIGHT_UNIT,
@@ -33,15 +33,19 @@
 def test_slices_of_a_ceiling_add_up_to_it() -> None:
     ceiled = plan(rate=10.0, burst=20.0, ceiling_rate=30.0, ceiling_burst=50.0)
     assert ceiling_beyond_quota(ceiled) == TokenBucket(20.0, 30.0)
-    assert leased_ceiling(ceiled, 1.0, 1.0) == TokenBucket(30.0, 50.0)
-    assert leased_ceiling(ceiled, 0.5, 0.1) == TokenBucket(7.0, 13.0)
+    assert ceiling_slice(ceiled, 1.0, 1.0) == TokenBucket(30.0, 50.0)
+    assert ceiling_slice(ceiled, 0.5, 0.1) == TokenBucket(7.0, 13.0)
 
 
 def test_slices_too_small_for_a_request_become_fewer_whole_ones() -> None:
     bucket = TokenBucket(4.0, 8.0)
-    assert whole_slice(bucket, even=0.25, total=1.0, largest=2.0, rank=3, slices=4) == TokenBucket(1.0, 2.0)
+    assert slice_for_rank(
+        bucket, even_fraction=0.25, total_fraction=1.0, largest_request=2.0, rank=3, slice_count=4
+    ) == TokenBucket(1.0, 2.0)
     of_eight = [
-        whole_slice(bucket, even=0.125, total=1.0, largest=2.0, rank=rank, slices=8).capacity
+        slice_for_rank(
+            bucket, even_fraction=0.125, total_fraction=1.0, largest_request=2.0, rank=rank, slice_count=8
+        ).capacity
         for rank in range(8)
     ]
     assert of_eight == [2.0] * 4 + [0.0] * 4
