--- a/qos_gateway/decisions/quota/account/__init__.py
+++ b/qos_gateway/decisions/quota/account/__init__.py
@@ -1,1 +1,1 @@
-"""A customer's account: its token buckets and slices, its demand, and what is reported of them."""
+"""Customer accounts: token buckets and their slices, demand, leases and reported usage."""
--- a/qos_gateway/decisions/quota/account/account_table.py
+++ b/qos_gateway/decisions/quota/account/account_table.py
@@ -1,4 +1,4 @@
-"""The accounts of all customers that this gateway knows."""
+"""The accounts of the customers with recent requests."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
     """Accounts by customer id, in the order of their creation."""
 
     def prune(self, now: int) -> list[int]:
-        """Remove the accounts of inactive customers, and return the ids of these customers."""
+        """Remove the accounts of inactive customers and return their customer ids."""
         kept = {
             customer: account
             for customer, account in self.items()
@@ -21,7 +21,10 @@
         return removed
 
     def capture_leases(self) -> dict[int, dict[int, float]]:
-        """Return the leased fractions by customer and term; at a handover both processes hold them."""
+        """Return the leased fractions by customer and term, for the next process at a handover.
+
+        Both processes keep them, each for its fraction of the buckets.
+        """
         return {
             customer: dict(account.lease.fractions)
             for customer, account in self.items()
@@ -29,7 +32,7 @@
         }
 
     def restore_leases(self, fractions: dict[int, dict[int, float]]) -> None:
-        """Continue with the leases of the process before, for the customers that have an account."""
+        """Restore leases of the previous process, for the customers that have an account."""
         for customer, lease_fractions in fractions.items():
             if customer in self:
                 self[customer].lease.restore(lease_fractions)
--- a/qos_gateway/decisions/quota/account/counter_calls.py
+++ b/qos_gateway/decisions/quota/account/counter_calls.py
@@ -1,4 +1,4 @@
-"""What a customer's calls to the counter have reported, and what they have still to report."""
+"""A customer's calls to the shared counter, and the amounts that they have not reported yet."""
 
 from __future__ import annotations
 
@@ -7,63 +7,63 @@
 
 @dataclass(slots=True)
 class CounterCall:
-    """One addition to the counter of a customer's usage."""
+    """One call that adds to the counter of a customer's usage. Amounts are in units."""
 
-    reservation: int  # number of the reservation that waits for the reply; 0 where none does
-    amount: float  # units, with the in-flight slot if one is taken or released
-    is_correction: bool  # whether it subtracts units that the bucket has refilled
-    released: float  # in-flight slots of earlier requests that the same call releases; 0 or less
-    unreported: float  # units spent without a call before, which the same call reports
+    reservation: int  # number of the reservation that waits for the reply; 0 if none does
+    amount: float  # includes the in-flight slot if one is taken or released
+    is_correction: bool  # whether it counts refill that a full bucket lost as spent
+    released: float  # in-flight slots of earlier requests, released by this call; 0 or less
+    unreported: float  # units spent earlier without a call, reported by this one
 
     @property
     def total(self) -> float:
-        """What the call adds to the counter."""
+        """The amount that the call adds to the counter."""
         return self.amount + self.released + self.unreported
 
 
 @dataclass(slots=True)
 class CounterCalls:
-    """One customer's state at the counter, in units."""
+    """State of one customer's counter calls. Amounts are in units."""
 
-    key: int = 0  # of the counter that last reported the bucket's state
-    initial_deficit: float = 0.0  # units that the bucket lacked when the lifetime of the key began
-    pending_release: float = 0.0  # in-flight slots to release with the next call; 0 or less
-    unconfirmed_correction: float = 0.0  # a correction without a reply, which may have been made twice
-    unreported_units: float = 0.0  # units spent from the slice that no call has reported
+    key: int = 0  # counter key of the last reply that reported the bucket's state
+    initial_deficit: float = 0.0  # units missing from a full bucket when the key's lifetime began
+    pending_release: float = 0.0  # in-flight slots that the next call releases; 0 or less
+    unconfirmed_correction: float = 0.0  # correction without a reply, which may be in the total twice
+    unreported_units: float = 0.0  # units spent from the slice and not reported by a call
 
     def create_call(self, amount: float, reservation: int, is_correction: bool) -> CounterCall:
-        """Return a call that also reports what is unreported."""
+        """Return a call that also reports the pending releases and the unreported units, and clear both."""
         call = CounterCall(reservation, amount, is_correction, self.pending_release, self.unreported_units)
         self.pending_release = 0.0
         self.unreported_units = 0.0
         return call
 
     def record_not_added(self, call: CounterCall) -> None:
-        """Account for a call that was not added to the counter."""
+        """Handle a call that the counter has not added: the next one reports its releases and units."""
         self.unreported_units += call.unreported
         is_release = not call.reservation and not call.is_correction
         self.pending_release += call.released + call.amount * is_release
 
     def record_unconfirmed(self, call: CounterCall, in_flight_slot: float) -> None:
-        """Account for a call without a reply, which may have been added; no request holds its slot."""
+        """Handle a call without a reply, which the counter may have added; no request holds its slot."""
         self.pending_release -= in_flight_slot * (call.reservation > 0)
         self.unconfirmed_correction += call.amount * call.is_correction
 
     def take_unconfirmed_correction(self) -> float:
-        """Return the unconfirmed correction, and forget it."""
+        """Return the unconfirmed correction and clear it."""
         unconfirmed = self.unconfirmed_correction
         self.unconfirmed_correction = 0.0
         return unconfirmed
 
     def begin_key(self, key: int, deficit: float) -> None:
-        """Change to the counter of another key, in whose lifetime the bucket began with a deficit."""
+        """Switch to a new counter key; `deficit` is what the bucket lacks when the key's lifetime begins."""
         self.key = key
         self.initial_deficit = deficit
 
     def add_unreported(self, units: float) -> None:
-        """Record units that were spent without a call."""
+        """Add units that were spent without a call."""
         self.unreported_units += units
 
     def subtract_refilled(self, units: float) -> None:
-        """Forget unreported units that the bucket has refilled."""
+        """Deduct units that the bucket has refilled from the unreported ones."""
         self.unreported_units = max(0.0, self.unreported_units - units)
--- a/qos_gateway/decisions/quota/account/customer_account.py
+++ b/qos_gateway/decisions/quota/account/customer_account.py
@@ -1,4 +1,4 @@
-"""What this gateway knows of one customer."""
+"""One customer's state at this gateway."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from .metered_usage import MeteredUsage
 from .peer_totals import PeerTotals
 
-RETENTION_NS = 120 * SECOND  # without requests, until an account is removed
-MIN_RETENTION_NS = 20 * SECOND  # the same, if the customer spent little: most of them never come again
-LOW_SPEND_QUARTER_UNITS = 8  # spent at most by a customer that counts as rare
-IN_FLIGHT_REPORT_VALID_NS = SECOND  # age up to which a handover includes the requests in flight elsewhere
+RETENTION_NS = 120 * SECOND  # time without requests after which an account is removed
+MIN_RETENTION_NS = 20 * SECOND  # minimum for a customer that spent little, as most do not return
+LOW_SPEND_QUARTER_UNITS = 8  # upper bound for a customer that spent little
+IN_FLIGHT_REPORT_VALID_NS = SECOND  # age up to which a handover includes `in_flight_elsewhere`
 
 
 @dataclass(slots=True)
 class CustomerAccount:
-    """One customer, with its parts by concern. Times are in ns, amounts in units."""
+    """One customer's plan, buckets, demand and reports. Times are in ns, amounts in units."""
 
     customer_id: int
     plan: Plan
@@ -43,7 +43,7 @@
     def create(
         cls, customer_id: int, plan: Plan, plan_index: int, now: int, refilled_at: int
     ) -> CustomerAccount:
-        """Return the account of a new customer, with a full bucket as of `refilled_at`."""
+        """Return the account of a new customer, whose bucket was full at `refilled_at`."""
         return cls(
             customer_id=customer_id,
             plan=plan,
@@ -53,21 +53,24 @@
         )
 
     def record_request(self, now: int, units: float) -> None:
-        """Count a request that arrives here."""
+        """Record a request that arrives at this gateway."""
         self.last_request_at = now
         self.demand.add(now, units)
 
     def record_peer_request(self, now: int) -> None:
-        """Record that another gateway requested units, so that the account is kept."""
+        """Record that another gateway requested units, which extends the account's retention."""
         self.last_request_at = now
 
     @property
     def excess_pays(self) -> bool:
-        """Whether a request beyond the quota earns more than it costs, by the plan."""
+        """Whether the plan values a request beyond the quota above its cost."""
         return self.plan.excess_weight > self.plan.excess_cost
 
     def retention(self) -> int:
-        """Return the ns without requests for which the account is kept: its buckets are full by then."""
+        """Return the time (ns) without requests after which the account is removed.
+
+        The account's buckets are full by then.
+        """
         if self.peer_totals.spent_quarter_units > LOW_SPEND_QUARTER_UNITS or self.peer_totals.totals:
             return RETENTION_NS
         bucket_full_s = 2 * self.plan.burst / max(self.plan.rate, 1e-9)
@@ -75,7 +78,10 @@
         return min(RETENTION_NS, max(MIN_RETENTION_NS, int(SECOND * max(bucket_full_s, ceiling_full_s))))
 
     def take(self, units: float, may_exceed: bool) -> bool:
-        """Take units from bucket and ceiling, from the ceiling alone if allowed; return whether it did."""
+        """Take units from the bucket and the ceiling, or from the ceiling alone if `may_exceed`.
+
+        Return whether the units were taken.
+        """
         within_quota = self.plan.rate and self.buckets.tokens >= units
         if not self.buckets.take(units, may_exceed):
             return False
@@ -84,30 +90,34 @@
         return True
 
     def take_from_slice(self, units: float, has_slot: bool, may_exceed: bool) -> bool:
-        """Take units from the local slices, from the ceiling's alone if allowed; return whether it did."""
+        """Take units from the slices of quota and ceiling, or from the ceiling's alone if `may_exceed`.
+
+        Return whether the units were taken.
+        """
         if not self.buckets.take_from_slice(units, has_slot, may_exceed):
             return False
         self.peer_totals.record_spent(units)
         return True
 
     def spend_unreported(self, units: float) -> None:
-        """Spend units of bucket and slices that the next call to the counter reports."""
+        """Spend units of the bucket and the slices; the next call to the counter reports them."""
         self.buckets.spend_unreported(units)
         self.counter_calls.add_unreported(units)
 
     def record_report(self, now: int, tokens: float, granted: bool) -> None:
-        """Set the bucket's tokens to what its owner or the counter reported."""
+        """Set the bucket's tokens to those that its owner or the counter reported."""
         self.buckets.set_tokens(tokens)
         self.reports.record(now, tokens, granted)
 
     def record_in_flight(self, now: int, everywhere: float) -> None:
-        """Record the requests in flight at all gateways."""
+        """Record the number of requests in flight at all gateways, this one included."""
         self.reports.record_in_flight(now, max(0, int(everywhere) - self.in_flight))
 
     def apply_peer_total(self, peer: int, total: int, continues: bool, predates_restart: bool) -> None:
-        """Take off what a peer spent since its last total.
+        """Deduct the units that a peer spent since its last running total.
 
-        A total that cannot be compared counts as a whole, up to one burst; not at all if `predates_restart`.
+        A total without a comparable predecessor is deducted as a whole, up to one burst; if it
+        `predates_restart`, nothing is deducted.
         """
         spent = self.peer_totals.record_peer_total(peer, total, continues)
         if spent is None:
@@ -115,10 +125,10 @@
         self.buckets.spend_elsewhere(spent)
 
     def usage_estimate(self, now: int, prior: float, prior_units: float) -> float:
-        """Return the fraction of the quota in use: the metered or the requested one, the larger of both.
+        """Return the fraction of the quota in use: the larger of the metered and the requested fraction.
 
-        `prior` is the fraction assumed, with the weight of `prior_units`. One such request does not raise
-        the estimate. Requests at this gateway are compared with its slice of the quota.
+        `prior` is the assumed fraction, weighted with `prior_units`; a single request of that size does not
+        raise the estimate. The requests at this gateway are compared with its slice of the quota.
         """
         metered = self.usage.mean.mean_with_prior(now, prior, prior_units)
         requested = max(0.0, self.demand.unit_rate(now) * LONG_MEMORY_NS / SECOND - prior_units)
@@ -126,9 +136,9 @@
         return max(metered, (prior * prior_units + requested) / (prior_units + slice_units))
 
     def fraction_within_slice(self, now: int, units: float) -> float:
-        """Return the fraction of the requests at this gateway that its slice can serve, 0 to 1.
+        """Return the fraction (0 to 1) of the requests at this gateway that its slice of the quota can serve.
 
-        The request being decided, of `units`, does not count towards the rate.
+        The rate does not include the request of `units` that is being decided.
         """
         one_request_rate = units * SECOND / LONG_MEMORY_NS
         slice_rate = self.plan.rate / self.buckets.slices
@@ -137,7 +147,7 @@
     def capture(
         self, now: int, incoming_fraction: float, outgoing_fraction: float, scales_bucket: bool
     ) -> AccountSnapshot:
-        """Return the state for the next process; keep the outgoing fraction of the tokens here.
+        """Return the state for the next process, and keep the outgoing fraction of the tokens here.
 
         The quota's bucket is divided only if `scales_bucket`.
         """
@@ -162,7 +172,7 @@
         return snapshot
 
     def restore(self, now: int, captured: AccountSnapshot) -> None:
-        """Continue with the state that the process before captured."""
+        """Restore the state that the previous process captured."""
         self.buckets.restore(
             captured.slice_count, captured.tokens, captured.local_tokens, captured.ceiling_tokens
         )
--- a/qos_gateway/decisions/quota/account/customer_buckets.py
+++ b/qos_gateway/decisions/quota/account/customer_buckets.py
@@ -1,4 +1,4 @@
-"""The tokens that this gateway keeps of a customer's quota and ceiling."""
+"""Tokens of a customer's quota and ceiling, as held at this gateway."""
 
 from __future__ import annotations
 
@@ -11,23 +11,26 @@
 
 @dataclass(slots=True)
 class CustomerBuckets:
-    """Tokens of the quota's bucket, of its local slice and of the ceiling's slice, all in units."""
+    """Tokens of the quota's bucket, of its local slice and of the ceiling's slice, in units."""
 
     plan: Plan
-    tokens: float  # of the quota's bucket, as known here; negative if too much was spent
+    tokens: float  # of the quota's bucket, as known to this gateway; negative if overspent
     refilled_at: int  # in ns
     ceiling_tokens: float = 0.0  # of the local slice of the ceiling
     local_tokens: float = 0.0  # of the local slice of the quota
-    rank: int = 0  # of this gateway among those that serve the customer
-    slice_count: int = 0  # gateways that share the quota; 0 until a request of the customer arrives
+    rank: int = 0  # of this gateway among those that serve the customer, from 0
+    slice_count: int = 0  # gateways that share the quota; 0 before the customer's first request here
 
     @property
     def slices(self) -> int:
-        """Gateways among which the quota is sliced, one at least."""
+        """The number of gateways that share the quota, at least 1."""
         return max(1, self.slice_count)
 
     def set_slice(self, rank: int, gateway_count: int) -> None:
-        """Set this gateway's rank among the gateways that serve the customer, and their number."""
+        """Set this gateway's rank among the gateways that serve the customer, and their number.
+
+        A gateway outside them, which the customer's requests still reach, adds a slice of its own.
+        """
         self.rank = rank
         self.slice_count = gateway_count + (rank >= gateway_count)
 
@@ -49,7 +52,7 @@
         self.ceiling_tokens = tokens
 
     def refill(self, now: int, bucket: TokenBucket | None, local: TokenBucket, ceiling: TokenBucket) -> None:
-        """Refill all tokens up to `now`; without `bucket` those of the quota's bucket stay."""
+        """Refill all tokens up to `now`; without `bucket`, the tokens of the quota's bucket do not change."""
         elapsed_s = (now - self.refilled_at) / SECOND
         self.refilled_at = now
         if bucket is not None:
@@ -58,11 +61,14 @@
         self.ceiling_tokens = ceiling.refilled(self.ceiling_tokens, elapsed_s)
 
     def below_ceiling(self, units: float) -> bool:
-        """Return whether the ceiling's slice holds the units; it does where the plan has no ceiling."""
+        """Return whether the ceiling's slice holds the units; always true for a plan without a ceiling."""
         return not self.plan.ceiling_rate or self.ceiling_tokens >= units
 
     def take(self, units: float, may_exceed: bool) -> bool:
-        """Take units from bucket and ceiling, from the ceiling alone if allowed; return whether it did."""
+        """Take units from the bucket and the ceiling, or from the ceiling alone if `may_exceed`.
+
+        Return whether the units were taken.
+        """
         rate = self.plan.rate
         within_quota = not rate or self.tokens >= units
         if not ((within_quota or may_exceed) and self.below_ceiling(units)):
@@ -73,7 +79,10 @@
         return True
 
     def take_from_slice(self, units: float, has_slot: bool, may_exceed: bool) -> bool:
-        """Take units from the local slices, from the ceiling's alone if allowed; return whether it did."""
+        """Take units from the slices of quota and ceiling, or from the ceiling's alone if `may_exceed`.
+
+        Return whether the units were taken.
+        """
         within_quota = has_slot and self.local_tokens >= units
         if not ((within_quota or may_exceed) and self.below_ceiling(units)):
             return False
@@ -82,7 +91,7 @@
         return True
 
     def spend_locally(self, units: float, from_slice: bool) -> None:
-        """Spend units of the ceiling's slice, and of the quota's slice if they come from it."""
+        """Spend units of the ceiling's slice, and of the quota's slice if `from_slice`."""
         self.local_tokens -= units * from_slice
         self.ceiling_tokens -= units
 
@@ -93,15 +102,15 @@
         self.tokens -= units
 
     def spend_elsewhere(self, units: float) -> None:
-        """Take off units that another gateway spent.
+        """Deduct units that another gateway spent.
 
-        The tokens become negative, or two gateways would both spend the same refill; the limit is minus one
-        burst.
+        The tokens may fall to minus one burst: at a limit of 0, two gateways could both spend the same
+        refill.
         """
         self.tokens = min(self.tokens, max(-self.plan.burst, self.tokens - units))
 
     def settle(self, units: float) -> None:
-        """Take off the units by which a request's actual cost exceeds its estimate; may be negative."""
+        """Deduct the difference between a request's actual and estimated cost; it may be negative."""
         self.tokens -= units
 
     def scale(self, fraction: float, scales_bucket: bool) -> None:
@@ -112,7 +121,7 @@
         self.ceiling_tokens *= fraction
 
     def restore(self, slice_count: int, tokens: float, local_tokens: float, ceiling_tokens: float) -> None:
-        """Continue with the tokens of the process before."""
+        """Restore the tokens that the previous process handed over."""
         self.slice_count = slice_count
         self.tokens = tokens
         self.local_tokens = local_tokens
--- a/qos_gateway/decisions/quota/account/customer_demand.py
+++ b/qos_gateway/decisions/quota/account/customer_demand.py
@@ -1,4 +1,4 @@
-"""The units that a customer requests at this gateway."""
+"""A customer's demand at this gateway: request rate and units per request."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 
 @dataclass(slots=True)
 class CustomerDemand:
-    """Decaying means of the units per request, over a short and a long time."""
+    """Decaying means of the units per request, over a short and a long window."""
 
     short_term: DecayingMean = field(default_factory=lambda: DecayingMean(SHORT_MEMORY_NS))
     long_term: DecayingMean = field(default_factory=lambda: DecayingMean(LONG_MEMORY_NS))
 
     def add(self, now: int, units: float) -> None:
-        """Count a request that arrives at this gateway."""
+        """Record a request of `units` that arrives at this gateway."""
         self.short_term.add(now, units)
         self.long_term.add(now, units)
 
     def request_rate(self, now: int) -> float:
-        """Return the requests per second, over the short time."""
+        """Return the requests per second over the short window."""
         return self.short_term.rate(now)
 
     @property
     def units_per_request(self) -> float:
-        """Return the mean units per request, over the short time; 0 without requests."""
+        """The mean units per request over the short window; 0 without requests."""
         return self.short_term.value
 
     def unit_rate(self, now: int) -> float:
-        """Return the units per second, over the long time."""
+        """Return the requested units per second over the long window."""
         return self.long_term.rate(now) * self.long_term.value
 
     def restore(self, long_term: DecayingMean) -> None:
-        """Continue with the long-term mean of the process before."""
+        """Restore the long-term mean that the previous process handed over."""
         self.long_term = long_term
--- a/qos_gateway/decisions/quota/account/metered_usage.py
+++ b/qos_gateway/decisions/quota/account/metered_usage.py
@@ -1,4 +1,4 @@
-"""A customer's use of its quota, as the endpoints meter and report it."""
+"""A customer's quota usage, as metered and reported by the endpoints."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @dataclass(slots=True)
 class MeteredUsage:
-    """Reported use of the quota, as fractions of it. Times are in ns."""
+    """Reported usage as fractions of the quota. Times are in ns."""
 
     mean: DecayingMean = field(default_factory=lambda: DecayingMean(RARE_REPORT_MEMORY_NS))
-    reported_at: int = NEVER  # when a response last reported the use
-    fraction: float = 0.0  # the use that was last reported
+    reported_at: int = NEVER  # time of the last report in a response
+    fraction: float = 0.0  # usage in the last report
 
     def record(self, now: int, fraction: float, period_units: float) -> None:
-        """Record a report; its weight is the quota of its period, in units."""
+        """Record a report, weighted with the quota of its period (units)."""
         self.reported_at = now
         self.fraction = fraction
         self.mean.add(now, fraction, period_units)
--- a/qos_gateway/decisions/quota/account/token_bucket.py
+++ b/qos_gateway/decisions/quota/account/token_bucket.py
@@ -1,4 +1,4 @@
-"""Arithmetic of token buckets and of their slices."""
+"""Arithmetic of token buckets and their slices."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Refill rate and capacity of a bucket or of a slice of one; `CustomerBuckets` keeps the tokens."""
+    """Refill rate and capacity of a bucket or a slice of one; `CustomerBuckets` holds the tokens."""
 
     rate: float  # units per second
     capacity: float  # units
@@ -19,12 +19,12 @@
         return TokenBucket(self.rate * fraction, self.capacity * fraction)
 
     def refilled(self, tokens: float, elapsed_s: float) -> float:
-        """Return the tokens after `elapsed_s` seconds without a request, at most the capacity."""
+        """Return the tokens after a refill for `elapsed_s` seconds, limited to the capacity."""
         return min(self.capacity, tokens + self.rate * elapsed_s)
 
 
 def ceiling_beyond_quota(plan: Plan) -> TokenBucket:
-    """Return the part of a plan's ceiling that exceeds its quota."""
+    """Return the part of a plan's ceiling that lies above its quota."""
     return TokenBucket(max(0.0, plan.ceiling_rate - plan.rate), max(0.0, plan.ceiling_burst - plan.burst))
 
 
@@ -39,8 +39,8 @@
 ) -> TokenBucket:
     """Return the slice of the gateway of that rank among `slice_count` gateways.
 
-    It is the fraction `even_fraction` of the bucket if each slice can hold the largest request. Otherwise the
-    first gateways share the fraction `total_fraction` in slices that can, and the others have none.
+    If even slices can hold the largest request, it is `even_fraction` of the bucket. Otherwise the first
+    gateways divide `total_fraction` of the bucket into slices that can, and the others get nothing.
     """
     usable_count = int(bucket.capacity / largest_request)
     if usable_count >= slice_count:
@@ -49,7 +49,7 @@
 
 
 def ceiling_slice(plan: Plan, quota_fraction: float, excess_fraction: float) -> TokenBucket:
-    """Return a slice of the ceiling: fractions of the quota, and of what exceeds the quota."""
+    """Return a slice of the ceiling: fractions of the quota and of the part above the quota."""
     rate = plan.rate * quota_fraction + (plan.ceiling_rate - plan.rate) * excess_fraction
     burst = plan.burst * quota_fraction + (plan.ceiling_burst - plan.burst) * excess_fraction
     return TokenBucket(rate, burst)
--- a/qos_gateway/decisions/quota/counter/__init__.py
+++ b/qos_gateway/decisions/quota/counter/__init__.py
@@ -1,1 +1,1 @@
-"""The protocol of the shared counter: keys, totals, calls and readings."""
+"""Shared counter: keys, encoding of totals, pending calls and readings."""
--- a/qos_gateway/decisions/quota/counter/counter_reading.py
+++ b/qos_gateway/decisions/quota/counter/counter_reading.py
@@ -1,4 +1,4 @@
-"""What a counter's total says of a customer's bucket."""
+"""Derives the state of a customer's bucket from a counter's total."""
 
 from __future__ import annotations
 
@@ -13,20 +13,23 @@
 
 @dataclass(slots=True, kw_only=True)
 class CounterReading:
-    """A customer's bucket just before a call was added to its counter."""
+    """State of a customer's bucket just before the counter added a call."""
 
     account: CustomerAccount
     call: CounterCall
-    surplus: float  # units refilled beyond those spent; above zero the bucket was full for a while
+    surplus: float  # units refilled minus units spent; positive if the bucket was full for a time
     tokens: float
-    units: float  # requested by the call, without the in-flight slot
-    in_flight: float  # requests in flight over all gateways; 0 where they are not counted
+    units: float  # requested by the call, excluding the in-flight slot
+    in_flight: float  # requests in flight at all gateways; 0 if they are not counted
 
 
 def read_counter(
     now: int, account: CustomerAccount, call: CounterCall, event: CounterReplied, in_flight_slot: float
 ) -> CounterReading:
-    """Decode a reply; a new key continues with what was reported of the bucket a short while ago."""
+    """Decode a reply.
+
+    Under a new key the bucket starts with the tokens of the last report, or full if that report is old.
+    """
     burst = account.plan.burst
     before = decode_total(event.total - call.amount - call.unreported, in_flight_slot > 0)
     calls, reports = account.counter_calls, account.reports
--- a/qos_gateway/decisions/quota/leases/__init__.py
+++ b/qos_gateway/decisions/quota/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases of parts of a quota: their terms, and the claims at the counter."""
+"""Leases of parts of a quota: lease terms, and claims at the shared counter."""
--- a/qos_gateway/decisions/quota/leases/leases.py
+++ b/qos_gateway/decisions/quota/leases/leases.py
@@ -1,4 +1,4 @@
-"""Leases of a part of a customer's quota for a term: docs/quota-leases.md has the design."""
+"""Leases of a part of a customer's quota for a term; docs/quota-leases.md describes the design."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 from ..counter.pending_calls import PendingCalls
 from .lease_terms import LeaseTerms
 
-EVEN_FRACTION = 0.5  # of each quota that stays in even slices: most customers use less, and need no call
-LEASED_FRACTION = 0.6  # of each quota that is leased: a tenth too much in all, as few use all of their leases
-CLAIM_MARGIN = 1.5  # factor on the local demand, for requests that arrive unevenly
-SHORT_DEMAND_WEIGHT = 0.5  # of the short-term demand, which is all that is known of a new customer
-SAVED_BURST_FACTOR = 4.0  # factor on its part of the burst that a gateway may save, as customers move
-LOW_TOKENS_LARGEST_REQUESTS = 2.0  # largest requests in the bucket, below which a lease is claimed
-RENEWAL_LEAD_TERMS = 0.2  # of a term, within which each gateway claims the next one at a different time
-CLAIM_BACKOFF_TERMS = 0.05  # of a term, before the next claim for the same customer
+EVEN_FRACTION = 0.5  # of each quota, held in even slices; most customers use less and need no call
+LEASED_FRACTION = 0.6  # of each quota, leased; the sum exceeds 1 by a tenth, as few leases are used in full
+CLAIM_MARGIN = 1.5  # factor on the local demand, as requests arrive unevenly
+SHORT_DEMAND_WEIGHT = 0.5  # of the short-term demand, the only one known for a new customer
+SAVED_BURST_FACTOR = 4.0  # a gateway may save this many times its share of the burst, as customers move
+LOW_TOKENS_LARGEST_REQUESTS = 2.0  # a slice with fewer tokens than these need claims a lease
+RENEWAL_LEAD_TERMS = 0.2  # maximum lead of a renewal, staggered by gateway
+CLAIM_BACKOFF_TERMS = 0.05  # least time between two claims for a customer
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseClaim:
-    """A claim without a reply."""
+    """A claim that has no reply yet."""
 
     term: int
     fraction: float  # of the quota
 
 
 class Leases:
-    """The claims of this gateway; the counter of a term adds up those of all gateways."""
+    """The claims of this gateway; the counter of each term adds up the claims of all gateways."""
 
     def __init__(self, terms: LeaseTerms, rng: random.Random) -> None:
         self.terms = terms
@@ -38,10 +38,10 @@
         self.pending_claims: PendingCalls[LeaseClaim] = PendingCalls()
 
     def quota_share(self, now: int, account: CustomerAccount) -> float:
-        """Return the fraction of the quota that is this gateway's: its even slice and its lease.
+        """Return this gateway's fraction of the quota: its even slice and its lease.
 
-        While a claim has no reply it is an even slice of the whole quota, so that at most the slices are
-        granted twice.
+        After a claim without a reply it is an even slice of the whole quota, so that at most even slices
+        are granted twice.
         """
         lease = account.lease
         term = self.terms.at(now, account.customer_id).number
@@ -50,7 +50,7 @@
         return EVEN_FRACTION / account.buckets.slice_count + lease.fractions.get(term, 0.0)
 
     def claim(self, now: int, account: CustomerAccount, largest: float, call_rate: float) -> list[Action]:
-        """Claim a lease if tokens are low, or for the next term if the lease of this one is in use."""
+        """Claim a lease for this term if tokens are low, or renew a lease for the next term."""
         lease = account.lease
         if now < lease.next_claim_at:
             return []
@@ -67,7 +67,7 @@
         fraction = self._wanted_fraction(now, account) - leased.get(target, 0.0)
         if fraction <= 0.0:
             return []
-        if self.rng.random() >= call_rate:  # some claims are skipped while the counter is overloaded
+        if self.rng.random() >= call_rate:  # skips some claims while the counter is overloaded
             lease.record_unanswered_claim(target)
             return []
         return [self._claim_call(account, target, fraction)]
@@ -94,11 +94,14 @@
             account.lease.record_unanswered_claim(claim.term)
 
     def _on_claimed(self, now: int, account: CustomerAccount, claim: LeaseClaim, total: float) -> None:
-        """Add what earlier claims left of the quota; a claim that counts late or twice adds nothing twice."""
+        """Add the claimed fraction as far as earlier claims left it free.
+
+        A claim that the counter adds late or twice leaves less to later claims, and is not granted twice.
+        """
         lease = account.lease
         term = self.terms.at(now, account.customer_id)
         unclaimed = max(0.0, LEASED_FRACTION - (total - claim.fraction))
         lease.add(term.number, claim.term, min(claim.fraction, unclaimed))
-        if total >= LEASED_FRACTION:  # nothing is left to claim before the term after it
+        if total >= LEASED_FRACTION:  # nothing is left until the term after the claimed one
             end = now + term.remaining + (claim.term - term.number) * self.terms.length
             lease.extend_back_off(end - int(RENEWAL_LEAD_TERMS * self.terms.length))
