--- a/tests/state/test_quota_arithmetic.py
+++ b/tests/state/test_quota_arithmetic.py
@@ -1,4 +1,4 @@
-"""Arithmetic on which quota decisions rest: buckets, counters' totals, pending calls, peers' totals."""
+"""Arithmetic of quota decisions: token buckets, counter totals, pending calls and peer totals."""
 
 from __future__ import annotations
 
@@ -37,34 +37,34 @@
     assert ceiling_slice(ceiled, 0.5, 0.1) == TokenBucket(7.0, 13.0)
 
 
-def test_slices_too_small_for_a_request_become_fewer_whole_ones() -> None:
+def test_fewer_larger_slices_replace_slices_too_small_for_a_request() -> None:
     bucket = TokenBucket(4.0, 8.0)
     assert slice_for_rank(
         bucket, even_fraction=0.25, total_fraction=1.0, largest_request=2.0, rank=3, slice_count=4
     ) == TokenBucket(1.0, 2.0)
-    of_eight = [
+    capacities = [
         slice_for_rank(
             bucket, even_fraction=0.125, total_fraction=1.0, largest_request=2.0, rank=rank, slice_count=8
         ).capacity
         for rank in range(8)
     ]
-    assert of_eight == [2.0] * 4 + [0.0] * 4
+    assert capacities == [2.0] * 4 + [0.0] * 4
 
 
 @pytest.mark.parametrize(("in_flight", "units"), [(0, 0.0), (3, 12.5), (3, -7.0), (1, 4999.0)])
-def test_counters_total_is_taken_apart(in_flight: int, units: float) -> None:
-    counted = decode_total(in_flight * IN_FLIGHT_UNIT + units, True)
-    assert counted.in_flight == in_flight
-    assert counted.spent_units == units
+def test_counter_total_decodes_into_in_flight_and_units(in_flight: int, units: float) -> None:
+    decoded = decode_total(in_flight * IN_FLIGHT_UNIT + units, True)
+    assert decoded.in_flight == in_flight
+    assert decoded.spent_units == units
 
 
-def test_total_without_requests_in_flight_is_units_alone() -> None:
-    counted = decode_total(25_000.0, False)
-    assert counted.in_flight == 0.0
-    assert counted.spent_units == 25_000.0
+def test_total_of_plan_without_in_flight_limit_is_units_only() -> None:
+    decoded = decode_total(25_000.0, False)
+    assert decoded.in_flight == 0.0
+    assert decoded.spent_units == 25_000.0
 
 
-def test_counter_key_names_its_customer_and_the_refill_begins_anew_with_each_key() -> None:
+def test_counter_key_contains_customer_id_and_refill_restarts_with_each_key() -> None:
     assert customer_of(counter_key(123_456_789, 70_000)) == 123_456_789
     assert refilled_units(2.0, 130 * SECOND) == 20.0
 
@@ -80,13 +80,11 @@
         (0x7FFF, 0, 0x7FFF / 4),
     ],
 )
-def test_peers_running_total_grows_over_its_wrap_around(
-    total: int, previous: int | None, spent: float | None
-) -> None:
+def test_growth_of_peer_total_wraps_at_16_bits(total: int, previous: int | None, spent: float | None) -> None:
     assert spent_since(total, previous) == spent
 
 
-def test_replies_belong_to_the_calls_of_their_key_in_order() -> None:
+def test_replies_match_the_calls_of_their_key_in_order() -> None:
     first, second = (CounterCall(number, 1.0, False, -2.0, 0.5) for number in (1, 2))
     calls: PendingCalls[CounterCall] = PendingCalls()
     calls.push(7, first)
