--- a/qos_gateway/decisions/load_balancing/endpoint_registry.py
+++ b/qos_gateway/decisions/load_balancing/endpoint_registry.py
@@ -23,7 +23,7 @@
         self.admin_disabled: dict[int, int] = {}  # by operators, since when; independent of the endpoint list
         self.ring: list[int] = []  # sorted ids of all usable endpoints: the same order at every gateway
         self.unlisted: set[int] = set()  # ids known but not on the endpoint list
-        self._listed_at: int | None = None  # time of the last list that this process received
+        self._list_received_at: int | None = None  # time of the last list that this process received
 
     def _new_state(self, now: int, endpoint: Endpoint) -> EndpointState:
         # A random part of a token: many gateways that start with a whole one would send at the same time.
@@ -36,7 +36,9 @@
         No endpoint starts in the future, and one that started long before the last list was on that.
         """
         is_future = reported > now
-        is_too_old = self._listed_at is not None and reported < self._listed_at - MAX_LISTING_DELAY_NS
+        is_too_old = (
+            self._list_received_at is not None and reported < self._list_received_at - MAX_LISTING_DELAY_NS
+        )
         return now if reported and (is_future or is_too_old) else 0
 
     def update_list(self, now: int, event: Topology) -> set[int]:
@@ -49,7 +51,7 @@
         for entry in event.entries:
             self._update_entry(now, entry)
         if event.kind in (ListKind.FULL, ListKind.DELTA):
-            self._listed_at = now
+            self._list_received_at = now
         if is_full:  # sorted once: insertion one by one takes quadratic time
             self.ring = sorted(endpoint_id for endpoint_id in changed if self.is_usable(endpoint_id))
         for endpoint_id in changed:
@@ -95,13 +97,13 @@
     def _reindex(self, endpoint_id: int) -> None:
         """Update the ring after a change of one endpoint, without a scan of the other endpoints."""
         if endpoint_id in self.endpoints:
-            self._place_on_ring(endpoint_id, self.is_usable(endpoint_id))
+            self._update_ring(endpoint_id, self.is_usable(endpoint_id))
 
     def is_usable(self, endpoint_id: int) -> bool:
         """Return whether a known endpoint is in service and not disabled; it may be ejected."""
         return self.endpoints[endpoint_id].in_service and endpoint_id not in self.admin_disabled
 
-    def _place_on_ring(self, endpoint_id: int, is_usable: bool) -> None:
+    def _update_ring(self, endpoint_id: int, is_usable: bool) -> None:
         index = bisect_left(self.ring, endpoint_id)
         is_on_ring = self.ring[index : index + 1] == [endpoint_id]
         if is_usable and not is_on_ring:
@@ -117,7 +119,7 @@
             for endpoint_id, state in self.endpoints.items()
         )
 
-    def forget_unlisted(self) -> None:
+    def remove_unlisted(self) -> None:
         """Drop unlisted endpoints without attempts in flight, which bounds memory."""
         unused = [i for i in self.unlisted if not self.endpoints[i].in_flight]
         for endpoint_id in unused:
@@ -139,7 +141,7 @@
         for snapshot in snapshots:
             captured.add(snapshot.endpoint)
             state = self.endpoints.get(snapshot.endpoint)
-            if state is not None and state.is_same_start(snapshot):
+            if state is not None and state.can_restore(snapshot):
                 state.restore(now, snapshot)
         self.admin_disabled.update(admin_disabled)
         changed = self.admin_disabled.keys() | captured
--- a/qos_gateway/decisions/load_balancing/endpoint_state.py
+++ b/qos_gateway/decisions/load_balancing/endpoint_state.py
@@ -54,14 +54,14 @@
     slow_start_bucket: SlowStartBucket
     corrected_start: int = 0  # where the reported start cannot be true by this gateway's clock
     # Latency relative to the mean of the request's class.
-    slowness: DecayingMean = field(default_factory=lambda: DecayingMean(SHORT_MEMORY_NS))
+    relative_latency: DecayingMean = field(default_factory=lambda: DecayingMean(SHORT_MEMORY_NS))
     ejection_time: int = BASE_EJECTION_TIME_NS  # length of the next ejection
     in_service: bool = True  # reported as ready
     in_flight: int = 0  # attempts of this gateway
     consecutive_failures: int = 0
     ejected_until: int = 0
     last_response_at: int = 0  # end of the last successful attempt
-    latest_answered_send: int = 0  # start of the most recently started attempt among the successful ones
+    latest_successful_send: int = 0  # start of the most recently started attempt among the successful ones
     overloaded_until: dict[ClassAndPlan, int] = field(default_factory=dict)  # assumed so after a rejection
     last_result_by_class: dict[int, ClassResult] = field(default_factory=dict)
     disabled_at: int = 0  # start of the last administrative disabling that has ended
@@ -126,16 +126,16 @@
         """Count a failed attempt."""
         self.consecutive_failures += 1
 
-    def record_success(self, now: int, sent_at: int, slowness: float) -> None:
-        """Record a successful attempt; `slowness` is its latency relative to the mean of its class.
+    def record_success(self, now: int, sent_at: int, relative_latency: float) -> None:
+        """Record a successful attempt; `relative_latency` is its latency relative to the mean of its class.
 
         The count of failures starts again, and the next ejection lasts `BASE_EJECTION_TIME_NS`.
         """
         self.consecutive_failures = 0
         self.ejection_time = BASE_EJECTION_TIME_NS
         self.last_response_at = now
-        self.latest_answered_send = max(self.latest_answered_send, sent_at)
-        self.slowness.add(now, slowness)
+        self.latest_successful_send = max(self.latest_successful_send, sent_at)
+        self.relative_latency.add(now, relative_latency)
 
     def record_class_result(self, now: int, class_index: int, unanswered: float) -> None:
         """Record whether an attempt of a request class was answered (0.0) or timed out (1.0)."""
@@ -156,10 +156,10 @@
             slow_start_tokens=self.slow_start_bucket.tokens,
             disabled_at=self.disabled_at,
             assumed_start=max(self.assumed_start, self.corrected_start),
-            slowness=MeanSnapshot.of(self.slowness),
+            slowness=MeanSnapshot.of(self.relative_latency),
         )
 
-    def is_same_start(self, snapshot: EndpointSnapshot) -> bool:
+    def can_restore(self, snapshot: EndpointSnapshot) -> bool:
         """Return whether the endpoint is not removed and was not restarted since the snapshot."""
         listed = self.endpoint
         return listed.started_at == snapshot.started_at and listed.health is not Health.REMOVED
@@ -174,4 +174,4 @@
         self.assumed_start = snapshot.assumed_start
         if self.corrected_start and snapshot.assumed_start:
             self.corrected_start = snapshot.assumed_start
-        self.slowness = snapshot.slowness.to_mean()
+        self.relative_latency = snapshot.slowness.to_mean()
--- a/qos_gateway/decisions/load_balancing/load_balancer.py
+++ b/qos_gateway/decisions/load_balancing/load_balancer.py
@@ -22,11 +22,11 @@
 FAILURE_COST_FACTOR = 3.0  # added cost where similar attempts were recently rejected or timed out
 FAILURE_MEMORY_NS = 3 * LONG_MEMORY_NS  # age from which a class's last result at an endpoint is ignored
 JITTER = 0.1  # random part of the cost: equal endpoints are used equally
-PEER_IN_FLIGHT_PRIOR = 2.0  # own attempts that count as much as the mean over endpoints
-MIN_SLOWNESS = 0.5  # latency relative to the mean of the class: the number in flight counts as well
-MAX_SLOWNESS = 4.0  # slow endpoints are tried again
-MAX_SLOWNESS_SAMPLE = 8.0  # one very late response must not outweigh all others
-SLOWNESS_PRIOR_WEIGHT = 3.0  # samples of mean latency: slow endpoints are tried again
+PEER_IN_FLIGHT_PRIOR_WEIGHT = 2.0  # own attempts that count as much as the mean over endpoints
+MIN_RELATIVE_LATENCY = 0.5  # latency relative to the mean of the class: the number in flight counts as well
+MAX_RELATIVE_LATENCY = 4.0  # slow endpoints are tried again
+MAX_RELATIVE_LATENCY_SAMPLE = 8.0  # one very late response must not outweigh all others
+RELATIVE_LATENCY_PRIOR_WEIGHT = 3.0  # samples of mean latency: slow endpoints are tried again
 CLASS_SAMPLES = (Outcome.OK, Outcome.TIMEOUT)  # show whether an endpoint answers a class
 
 
@@ -39,7 +39,7 @@
         self.registry = EndpointRegistry(rng)
         self.outlier_ejection = OutlierEjection()
         self.slow_start = SlowStart(settings)
-        self.responses = ResponseStatistics(len(settings.classes))
+        self.response_statistics = ResponseStatistics(len(settings.classes))
         self.mean_in_flight = 0.0  # own attempts at each endpoint of the subset
         self.peer_in_flight = 0.0  # estimate of other gateways' attempts there
 
@@ -58,12 +58,12 @@
         for endpoint_id in changed:
             state = self.registry.endpoints.get(endpoint_id)
             if state is not None:
-                self.slow_start.track(state, self.registry.is_usable(endpoint_id))
+                self.slow_start.update_warming_up(state, self.registry.is_usable(endpoint_id))
 
     def refresh(self, now: int) -> None:
         """Update what depends on time and on all endpoints: at each tick and change of the list."""
-        self.registry.forget_unlisted()
-        self.slow_start.drop_warmed_up(now, self.registry.endpoints)
+        self.registry.remove_unlisted()
+        self.slow_start.remove_warmed_up(now, self.registry.endpoints)
         subset = self.subset(now)
         # Warm endpoints of all gateways: this subset may have none, and rates come from others' subsets.
         size = len(self.registry.ring)
@@ -71,12 +71,12 @@
             warm = size - len(self.slow_start.warming_up)
             capacity = warm * len(subset) / size
             if not warm:
-                capacity = sum(self.slow_start.fraction(now, state) for state in subset)
-            sharers = len(subset) * self.settings.gateway_count / size
-            self.slow_start.record_capacity(now, capacity, not warm, sharers)
+                capacity = sum(self.slow_start.capacity_fraction(now, state) for state in subset)
+            gateways_per_endpoint = len(subset) * self.settings.gateway_count / size
+            self.slow_start.record_capacity(now, capacity, not warm, gateways_per_endpoint)
         self.mean_in_flight = sum(state.in_flight for state in subset) / max(1, len(subset))
-        peers = min(GATEWAYS_PER_ENDPOINT, self.settings.gateway_count) - 1
-        self.peer_in_flight = self.mean_in_flight * peers
+        peer_count = min(GATEWAYS_PER_ENDPOINT, self.settings.gateway_count) - 1
+        self.peer_in_flight = self.mean_in_flight * peer_count
 
     def excluded_count(self, now: int) -> int:
         """Count the listed endpoints that are disabled by operators or ejected."""
@@ -110,24 +110,25 @@
         slow_start = self.slow_start
         if endpoint_id not in slow_start.warming_up:
             return True
-        fraction = slow_start.fraction(now, state)
-        return fraction >= 1.0 or slow_start.has_token(now, state, fraction)
+        fraction = slow_start.capacity_fraction(now, state)
+        return fraction >= 1.0 or slow_start.refill_and_check_token(now, state, fraction)
 
-    def expected_wait(self, now: int, state: EndpointState) -> float:
+    def latency_cost(self, now: int, state: EndpointState) -> float:
         """Estimate the time of an attempt at an endpoint, in mean latencies of its request class.
 
         Peers' attempts there are estimated by the own ones in flight, whose weight grows with their number.
         """
         zone_cost = self.settings.cross_zone_cost * (state.endpoint.zone != self.settings.zone)
-        mean_slowness = state.slowness.mean_with_prior(now, 1.0, SLOWNESS_PRIOR_WEIGHT)
-        slowness = min(MAX_SLOWNESS, max(MIN_SLOWNESS, mean_slowness))
-        own_share = (PEER_IN_FLIGHT_PRIOR + state.in_flight) / (PEER_IN_FLIGHT_PRIOR + self.mean_in_flight)
-        peers = own_share * self.peer_in_flight
-        wait = (1.0 + state.in_flight + peers) * slowness
+        mean = state.relative_latency.mean_with_prior(now, 1.0, RELATIVE_LATENCY_PRIOR_WEIGHT)
+        relative_latency = min(MAX_RELATIVE_LATENCY, max(MIN_RELATIVE_LATENCY, mean))
+        prior = PEER_IN_FLIGHT_PRIOR_WEIGHT
+        load_ratio = (prior + state.in_flight) / (prior + self.mean_in_flight)
+        peer_in_flight = load_ratio * self.peer_in_flight
+        cost = (1.0 + state.in_flight + peer_in_flight) * relative_latency
         slow_start = self.slow_start
-        if state.endpoint.id in slow_start.warming_up and slow_start.fraction(now, state) < 1.0:
-            wait *= SLOW_START_COST_FACTOR
-        return wait + zone_cost
+        if state.endpoint.id in slow_start.warming_up and slow_start.capacity_fraction(now, state) < 1.0:
+            cost *= SLOW_START_COST_FACTOR
+        return cost + zone_cost
 
     def pick(
         self, now: int, class_and_plan: ClassAndPlan, avoid: set[int], allowed: EndpointFilter
@@ -138,16 +139,19 @@
         requests there count. While a class times out, endpoints that answered it are preferred.
         """
         class_index = class_and_plan[0]
-        unknown = self.responses.expected_unanswered(now, class_index)
+        default_failure_rate = self.response_statistics.expected_unanswered(now, class_index)
         jitter = self.rng.random
 
         def cost(state: EndpointState) -> float:
             result = state.last_result_by_class.get(class_index)
-            failure = unknown if result is None or now - result.at >= FAILURE_MEMORY_NS else result.unanswered
+            if result is None or now - result.at >= FAILURE_MEMORY_NS:
+                failure_rate = default_failure_rate
+            else:
+                failure_rate = result.unanswered
             if now < state.overloaded_until.get(class_and_plan, 0):
-                failure = 1.0
-            wait = self.expected_wait(now, state)
-            return wait * (1.0 + FAILURE_COST_FACTOR * failure) * (1.0 + JITTER * jitter())
+                failure_rate = 1.0
+            latency_cost = self.latency_cost(now, state)
+            return latency_cost * (1.0 + FAILURE_COST_FACTOR * failure_rate) * (1.0 + JITTER * jitter())
 
         return min(self._candidates(now, avoid, allowed), key=cost, default=None)
 
@@ -167,7 +171,7 @@
             state
             for endpoint_id, state in self.registry.endpoints.items()
             if endpoint_id not in avoid
-            and self.slow_start.fraction(now, state) >= 1.0
+            and self.slow_start.capacity_fraction(now, state) >= 1.0
             and (allowed is None or allowed(state.endpoint))
             and self.can_accept(now, state)
         ]
@@ -192,19 +196,19 @@
             class_index = class_and_plan[0]
             unanswered = float(outcome is Outcome.TIMEOUT)
             state.record_class_result(now, class_index, unanswered)
-            self.responses.record_class_result(now, class_index, unanswered)
+            self.response_statistics.record_class_result(now, class_index, unanswered)
         elif outcome is Outcome.OVERLOADED:
             state.record_overload(now, class_and_plan)
         self.slow_start.attempt_ended(now, state, outcome)
         if outcome is Outcome.OK:
-            state.record_success(now, now - event.elapsed, min(MAX_SLOWNESS_SAMPLE, relative_latency))
-            self.responses.record_answered_send(state.latest_answered_send)
+            state.record_success(now, now - event.elapsed, min(MAX_RELATIVE_LATENCY_SAMPLE, relative_latency))
+            self.response_statistics.record_successful_send(state.latest_successful_send)
         self.outlier_ejection.record_outcome(now, state, outcome)
 
-    def answered_since(self, endpoint_id: int, since: int) -> bool:
+    def has_successful_send_since(self, endpoint_id: int, since: int) -> bool:
         """Return whether an endpoint answered an attempt that was sent at `since` or later."""
         state = self.registry.endpoints.get(endpoint_id)
-        return state is not None and state.latest_answered_send >= since
+        return state is not None and state.latest_successful_send >= since
 
     def responded_since(self, endpoint_id: int, since: int) -> bool:
         """Return whether an endpoint completed a successful attempt at `since` or later."""
--- a/qos_gateway/decisions/load_balancing/outlier_ejection.py
+++ b/qos_gateway/decisions/load_balancing/outlier_ejection.py
@@ -17,9 +17,9 @@
 RESET_PRIOR_WEIGHT = 3.0  # attempts without a reset that the ratio starts from
 UNRESPONSIVE_AFTER_LATENCIES = 2.0  # mean latencies after which a response is overdue
 UNRESPONSIVE_MIN_ENDPOINTS = 3  # with overdue responses, for their zone to count as unresponsive
-RESPONSES = (Outcome.OK, Outcome.ERROR, Outcome.OVERLOADED)  # sent by an endpoint of the zone
+RESPONSE_OUTCOMES = (Outcome.OK, Outcome.ERROR, Outcome.OVERLOADED)  # sent by an endpoint of the zone
 RESET_SAMPLES = (Outcome.OK, Outcome.ERROR, Outcome.RESET)  # attempts that were executed or failed
-NOT_FAILED = (Outcome.OK, Outcome.OVERLOADED, Outcome.CANCELLED, Outcome.NOT_SENT)
+NON_FAILURE_OUTCOMES = (Outcome.OK, Outcome.OVERLOADED, Outcome.CANCELLED, Outcome.NOT_SENT)
 
 
 class OutlierEjection:
@@ -31,11 +31,11 @@
 
     def record_outcome(self, now: int, state: EndpointState, outcome: Outcome) -> None:
         """Record how an attempt ended; eject its endpoint after too many consecutive failures."""
-        if outcome in RESPONSES:
+        if outcome in RESPONSE_OUTCOMES:
             self.zones.record_response(now, state.endpoint.zone)
         if outcome in RESET_SAMPLES:
             self.reset_ratio.add(now, float(outcome is not Outcome.OK))
-        if outcome not in NOT_FAILED:
+        if outcome not in NON_FAILURE_OUTCOMES:
             state.record_failure()
             if state.consecutive_failures >= self._failures_to_eject(now, outcome):
                 state.eject(now)
@@ -56,7 +56,7 @@
 
     def was_lost_with_zone(self, zone: int, sent_at: int) -> bool:
         """Return whether an attempt was in flight to a zone when that was found unresponsive."""
-        return self.zones.was_unresponsive_after(zone, sent_at)
+        return self.zones.was_found_unresponsive_since(zone, sent_at)
 
     def detect_unresponsive_zones(
         self, now: int, endpoints: Mapping[int, EndpointState], requests: Iterable[RequestT]
--- a/qos_gateway/decisions/load_balancing/response_statistics.py
+++ b/qos_gateway/decisions/load_balancing/response_statistics.py
@@ -14,15 +14,15 @@
     def __init__(self, class_count: int) -> None:
         # Time-outs among all attempts that were answered or timed out, by class.
         self.unanswered_ratio = [DecayingMean(LONG_MEMORY_NS) for _ in range(class_count)]
-        self.latest_answered_send = 0  # ns; start of the most recently started attempt that succeeded
+        self.latest_successful_send = 0  # ns; start of the most recently started attempt that succeeded
 
     def record_class_result(self, now: int, class_index: int, unanswered: float) -> None:
         """Record whether an attempt of a request class was answered (0.0) or timed out (1.0)."""
         self.unanswered_ratio[class_index].add(now, unanswered)
 
-    def record_answered_send(self, sent_at: int) -> None:
+    def record_successful_send(self, sent_at: int) -> None:
         """Record when an attempt was sent that succeeded."""
-        self.latest_answered_send = max(self.latest_answered_send, sent_at)
+        self.latest_successful_send = max(self.latest_successful_send, sent_at)
 
     def expected_unanswered(self, now: int, class_index: int) -> float:
         """Return the ratio of a class's attempts that time out, 0 without samples."""
--- a/qos_gateway/decisions/load_balancing/zones.py
+++ b/qos_gateway/decisions/load_balancing/zones.py
@@ -35,7 +35,7 @@
     """Responses from one zone; times are in ns."""
 
     last_response_at: int = 0
-    unresponsive_since: int = -1  # when it was last found unresponsive: -1 is before any attempt
+    last_found_unresponsive_at: int = -1  # when it was last found unresponsive: -1 is before any attempt
 
 
 @dataclass(slots=True)
@@ -59,11 +59,11 @@
 
     def record_unresponsive(self, now: int, zone: int) -> None:
         """Record that a zone was found unresponsive."""
-        self._zones[zone].unresponsive_since = now
+        self._zones[zone].last_found_unresponsive_at = now
 
-    def was_unresponsive_after(self, zone: int, sent_at: int) -> bool:
+    def was_found_unresponsive_since(self, zone: int, sent_at: int) -> bool:
         """Return whether a zone was found unresponsive at `sent_at` or later."""
-        return sent_at <= self._zones[zone].unresponsive_since
+        return sent_at <= self._zones[zone].last_found_unresponsive_at
 
     def only_others_responded(self, zone: int, since: int) -> bool:
         """Return whether another zone responded after `since`, and this one did not.
@@ -71,6 +71,6 @@
         A zone that was found unresponsive at `since` or later does not count again.
         """
         own = self._zones[zone]
-        if since <= max(own.last_response_at, own.unresponsive_since):
+        if since <= max(own.last_response_at, own.last_found_unresponsive_at):
             return False
         return any(since < other.last_response_at for other in self._zones.values() if other is not own)
--- a/qos_gateway/decisions/requests/attempt_timeouts.py
+++ b/qos_gateway/decisions/requests/attempt_timeouts.py
@@ -35,7 +35,7 @@
         if not may_retry or self._model.congested:
             return 0
         class_index = request.arrival.class_index
-        unanswered = self._load_balancer.responses.unanswered_ratio[class_index]
+        unanswered = self._load_balancer.response_statistics.unanswered_ratio[class_index]
         if unanswered.mean_with_prior(now, 0.0, UNANSWERED_PRIOR_SAMPLES) < MIN_UNANSWERED_RATIO:
             return 0
         latency = self._model.class_latency[class_index].mean.value
--- a/qos_gateway/decisions/requests/hedging.py
+++ b/qos_gateway/decisions/requests/hedging.py
@@ -36,7 +36,7 @@
     def _may_hedge(self, request: RequestState) -> bool:
         """Return whether the request is repeatable and its endpoint has answered a newer attempt."""
         sent_since = request.last_attempt_at + request.expected_latency
-        answered = self._load_balancer.answered_since(request.last_endpoint, sent_since)
+        answered = self._load_balancer.has_successful_send_since(request.last_endpoint, sent_since)
         return answered and request.request_class.is_repeatable
 
     def _send_hedge(self, now: int, request: RequestState) -> Send | None:
--- a/qos_gateway/decisions/requests/stalled_requests.py
+++ b/qos_gateway/decisions/requests/stalled_requests.py
@@ -21,7 +21,7 @@
 
     def outstanding_attempts(self, now: int) -> list[OutstandingAttempt]:
         """Return the last attempt of each open request, but for those whose response was probably lost."""
-        latest_answered_send = self._load_balancer.responses.latest_answered_send
+        latest_answered_send = self._load_balancer.response_statistics.latest_successful_send
         lost_after = [LOST_AFTER_LATENCIES * latency.mean.value for latency in self._model.class_latency]
 
         def is_lost(request: RequestState) -> bool:
--- a/soak/mutants/endpoints.py
+++ b/soak/mutants/endpoints.py
@@ -27,7 +27,7 @@
 
 def skip_slow_start() -> None:
     """Prefer endpoints that are warming up, without a limit."""
-    patch(SlowStart, "has_token", always_true)
+    patch(SlowStart, "refill_and_check_token", always_true)
     patch(load_balancer_module, "SLOW_START_COST_FACTOR", 0.001)
 
 
@@ -36,7 +36,7 @@
     record_capacity = SlowStart.record_capacity
 
     def record_warm_only(self: SlowStart, now: int, endpoints: float, *_: Any) -> None:
-        record_capacity(self, now, endpoints, all_warming_up=False, sharers=1.0)
+        record_capacity(self, now, endpoints, all_warming_up=False, gateways_per_endpoint=1.0)
 
     patch(SlowStart, "record_capacity", record_warm_only)
 
--- a/tests/decisions/test_disabled_endpoints.py
+++ b/tests/decisions/test_disabled_endpoints.py
@@ -89,23 +89,26 @@
     engine.handle(START + 10 * SECOND, SetEndpointEnabled(1, True))
     now = START + 11 * SECOND
     load_balancer = engine.load_balancer
-    assumed = load_balancer.slow_start.fraction(now, load_balancer.registry.endpoints[1])
+    assumed = load_balancer.slow_start.capacity_fraction(now, load_balancer.registry.endpoints[1])
     assert 0.2 <= assumed < 0.3
     engine.handle(
         now, full_list(listed_endpoint(1, started_at=START - 30 * SECOND), listed_endpoint(2))
     )  # a start before it was disabled
-    assert load_balancer.slow_start.fraction(now, load_balancer.registry.endpoints[1]) == assumed
+    assert load_balancer.slow_start.capacity_fraction(now, load_balancer.registry.endpoints[1]) == assumed
     engine.handle(
         now, full_list(listed_endpoint(1, started_at=START + SECOND), listed_endpoint(2))
     )  # reported late, but while it was disabled
-    fraction = load_balancer.slow_start.fraction(now, load_balancer.registry.endpoints[1])
+    fraction = load_balancer.slow_start.capacity_fraction(now, load_balancer.registry.endpoints[1])
     assert fraction == pytest.approx(0.6)
 
 
 def test_enabling_an_endpoint_that_was_not_disabled_changes_nothing() -> None:
     engine = engine_with(1, 2)
     engine.handle(START, SetEndpointEnabled(1, True))
-    assert engine.load_balancer.slow_start.fraction(START, engine.load_balancer.registry.endpoints[1]) == 1.0
+    assert (
+        engine.load_balancer.slow_start.capacity_fraction(START, engine.load_balancer.registry.endpoints[1])
+        == 1.0
+    )
     engine.handle(START, SetEndpointEnabled(9, False))  # not in the list so far
     engine.handle(START, SetEndpointEnabled(9, True))
     assert engine.load_balancer.excluded_count(START) == 0
--- a/tests/decisions/test_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -61,7 +61,7 @@
     assert not sends(
         engine.handle(800 * MS, TimerFired(TICK_TIMER))
     )  # an endpoint that answers nothing may be slow
-    engine.load_balancer.registry.endpoints[first.endpoint].latest_answered_send = 350 * MS
+    engine.load_balancer.registry.endpoints[first.endpoint].latest_successful_send = 350 * MS
     (second,) = sends(engine.handle(800 * MS, TimerFired(TICK_TIMER)))
     assert second.request_id == 1
     assert second.endpoint != first.endpoint
@@ -83,8 +83,8 @@
     engine.handle(200 * MS, arrival(2001, 200 * MS, SAFE))
     engine.dispatcher.retry_budget.tokens = 1.0
     for endpoint in engine.load_balancer.registry.endpoints.values():
-        endpoint.latest_answered_send = 350 * MS
-    engine.load_balancer.responses.latest_answered_send = 750 * MS
+        endpoint.latest_successful_send = 350 * MS
+    engine.load_balancer.response_statistics.latest_successful_send = 750 * MS
     assert [send.request_id for send in sends(engine.handle(850 * MS, TimerFired(TICK_TIMER)))] == [2000]
     assert engine.dispatcher.retry_budget.tokens == 0.0
 
--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -47,7 +47,7 @@
         )
         assert registry.ring == usable
         assert slow_start.warming_up == {
-            i for i in usable if slow_start.fraction(now, registry.endpoints[i]) < 1.0
+            i for i in usable if slow_start.capacity_fraction(now, registry.endpoints[i]) < 1.0
         }
         assert set(registry.endpoints) == {i for i, b in listed.items() if b.health is not Health.REMOVED}
         assert registry.unlisted == set()  # without attempts in flight they are forgotten at once
--- a/tests/decisions/test_load_balancer.py
+++ b/tests/decisions/test_load_balancer.py
@@ -135,5 +135,5 @@
     bucket.tokens, bucket.refilled_at = 0.0, 0
     engine.load_balancer.can_accept(SECOND, starting)
     assert bucket.tokens == pytest.approx(
-        part * 3.0 * engine.load_balancer.slow_start.fraction(SECOND, starting)
+        part * 3.0 * engine.load_balancer.slow_start.capacity_fraction(SECOND, starting)
     )
--- a/tests/decisions/test_many_gateways.py
+++ b/tests/decisions/test_many_gateways.py
@@ -76,7 +76,7 @@
     bucket.tokens, bucket.refilled_at = 0.0, 0
     slow_start.warm_completions.add(10 * SECOND, 200.0, 200.0)
     g.load_balancer.can_accept(10 * SECOND, starting)
-    one = slow_start.fraction(10 * SECOND, starting) * slow_start.warm_completions.rate(10 * SECOND)
+    one = slow_start.capacity_fraction(10 * SECOND, starting) * slow_start.warm_completions.rate(10 * SECOND)
     assert bucket.tokens <= min(2.0, one)
 
 
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -81,7 +81,7 @@
 
     def attempt_started(load_balancer: LoadBalancer, now: int, state: EndpointState) -> None:
         original(load_balancer, now, state)
-        if load_balancer.slow_start.fraction(now, state) >= 1.0:
+        if load_balancer.slow_start.capacity_fraction(now, state) >= 1.0:
             load_balancer.slow_start.warm_completions.add(now, 1.0)
 
     monkeypatch.setattr(LoadBalancer, "attempt_started", attempt_started)
--- a/tests/decisions/test_slow_start_of_all.py
+++ b/tests/decisions/test_slow_start_of_all.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from qos_gateway.decisions.load_balancing.slow_start import REMEMBERED_SHARE, SlowStart
+from qos_gateway.decisions.load_balancing.slow_start import LAST_WARM_RATE_FRACTION, SlowStart
 from tests.support.builders import SECOND, settings
 from tests.support.slow_start_scenario import LEAD_NS, START_NS, FleetSize, Scenario
 from tests.support.slow_start_simulation import Simulation
@@ -74,16 +74,18 @@
 def test_estimate_continues_where_the_last_warm_endpoint_leaves_and_where_the_first_is_warm_again() -> None:
     slow_start = SlowStart(settings())
     now = 100 * SECOND
-    slow_start.record_capacity(now, 6.0, all_warming_up=False, sharers=3.0)
+    slow_start.record_capacity(now, 6.0, all_warming_up=False, gateways_per_endpoint=3.0)
     for _ in range(60):
         slow_start.warm_completions.add(now, 1.0)
     rate = slow_start._completions_per_warm_endpoint(now)
-    slow_start.record_capacity(now, 1.5, all_warming_up=True, sharers=3.0)
+    slow_start.record_capacity(now, 1.5, all_warming_up=True, gateways_per_endpoint=3.0)
     assert slow_start._completions_per_warm_endpoint(now) == pytest.approx(rate)
     much_later = now + 60 * SECOND
-    assert slow_start._completions_per_warm_endpoint(much_later) == pytest.approx(REMEMBERED_SHARE * rate)
+    assert slow_start._completions_per_warm_endpoint(much_later) == pytest.approx(
+        LAST_WARM_RATE_FRACTION * rate
+    )
     for _ in range(30):
         slow_start.warm_completions.add(much_later, 1.0)
     rate = slow_start._completions_per_warm_endpoint(much_later)
-    slow_start.record_capacity(much_later, 3.0, all_warming_up=False, sharers=3.0)
+    slow_start.record_capacity(much_later, 3.0, all_warming_up=False, gateways_per_endpoint=3.0)
     assert slow_start._completions_per_warm_endpoint(much_later) == pytest.approx(rate)
--- a/tests/server/test_endpoint_list.py
+++ b/tests/server/test_endpoint_list.py
@@ -53,7 +53,7 @@
             await wait_until(lambda: endpoint_id("new") in servers)
             assert servers[endpoint_id("old")].endpoint.started_at == 0
             start = harness.process.config.settings.initial_capacity_fraction
-            fraction = harness.gateway.dispatcher.engine.load_balancer.slow_start.fraction(
+            fraction = harness.gateway.dispatcher.engine.load_balancer.slow_start.capacity_fraction(
                 harness.gateway.clock(), servers[endpoint_id("new")]
             )
             assert start <= fraction < 1.0
--- a/tests/state/test_endpoint.py
+++ b/tests/state/test_endpoint.py
@@ -24,14 +24,14 @@
     state.consecutive_failures = 4
     state.record_success(5 * SECOND, 4 * SECOND, 1.0)
     assert (state.consecutive_failures, state.ejection_time) == (0, SECOND // 2)
-    assert (state.last_response_at, state.latest_answered_send) == (5 * SECOND, 4 * SECOND)
+    assert (state.last_response_at, state.latest_successful_send) == (5 * SECOND, 4 * SECOND)
 
 
 def test_a_late_success_of_an_early_attempt_does_not_move_the_latest_answered_send_back() -> None:
     state = endpoint_state()
     state.record_success(5 * SECOND, 4 * SECOND, 1.0)
     state.record_success(6 * SECOND, 2 * SECOND, 4.0)
-    assert (state.last_response_at, state.latest_answered_send) == (6 * SECOND, 4 * SECOND)
+    assert (state.last_response_at, state.latest_successful_send) == (6 * SECOND, 4 * SECOND)
 
 
 def test_slow_start_tokens_are_refilled_up_to_the_capacity() -> None:
--- a/tests/state/test_zone.py
+++ b/tests/state/test_zone.py
@@ -31,7 +31,7 @@
 
 def test_attempts_sent_up_to_the_detection_were_lost_with_the_zone() -> None:
     zones = ZoneTable()
-    assert not zones.was_unresponsive_after(1, 0)
+    assert not zones.was_found_unresponsive_since(1, 0)
     zones.record_unresponsive(6, 1)
-    assert [zones.was_unresponsive_after(1, at) for at in (5, 6, 7)] == [True, True, False]
-    assert not zones.was_unresponsive_after(2, 5)
+    assert [zones.was_found_unresponsive_since(1, at) for at in (5, 6, 7)] == [True, True, False]
+    assert not zones.was_found_unresponsive_since(2, 5)
