--- a/qos_gateway/decisions/load_balancing/__init__.py
+++ b/qos_gateway/decisions/load_balancing/__init__.py
@@ -1,1 +1,1 @@
-"""Load balancing: the endpoint list, outlier ejection, slow start, and the endpoint for each attempt."""
+"""Load balancing: endpoint list, outlier ejection, slow start, and endpoint selection."""
--- a/qos_gateway/decisions/load_balancing/endpoint_registry.py
+++ b/qos_gateway/decisions/load_balancing/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""All endpoints by id, with indexes that are maintained entry by entry as the endpoint list changes."""
+"""Registry of all endpoints, with indexes that are updated incrementally as the endpoint list changes."""
 
 from __future__ import annotations
 
@@ -11,29 +11,31 @@
 from ..snapshot import EndpointSnapshot
 from .endpoint_state import EndpointState, SlowStartBucket
 
-MAX_LISTING_DELAY_NS = 10 * SECOND  # between the start of an endpoint and its entry in the list
+MAX_LISTING_DELAY_NS = 10 * SECOND  # from the start of an endpoint to its entry in the list
 
 
 class EndpointRegistry:
-    """Endpoints by id, and which of them are usable, unlisted or disabled."""
+    """Tracks all endpoints by id, and which of them are usable, unlisted or disabled."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self.endpoints: dict[int, EndpointState] = {}
-        self.admin_disabled: dict[int, int] = {}  # by operators, since when; independent of the endpoint list
-        self.ring: list[int] = []  # sorted ids of all usable endpoints: the same order at every gateway
-        self.unlisted: set[int] = set()  # ids known but not on the endpoint list
-        self._list_received_at: int | None = None  # time of the last list that this process received
+        # When operators disabled endpoints, by id; list updates do not change it.
+        self.admin_disabled: dict[int, int] = {}
+        self.ring: list[int] = []  # ids of the usable endpoints, sorted: every gateway has the same order
+        self.unlisted: set[int] = set()  # ids of known endpoints that are not in the endpoint list
+        self._list_received_at: int | None = None  # last full or delta list from the discovery agent
 
     def _new_state(self, now: int, endpoint: Endpoint) -> EndpointState:
-        # A random part of a token: many gateways that start with a whole one would send at the same time.
+        # Starts with a random fraction of a token: with a full one, all gateways would send at the same time.
         bucket = SlowStartBucket(self._rng.random(), now)
         return EndpointState(endpoint, bucket, self._corrected_start(now, endpoint.started_at))
 
     def _corrected_start(self, now: int, reported: int) -> int:
-        """Return `now` where a reported start cannot be true by this process's clock, else 0.
+        """Return `now` if a reported start time is implausible by this process's clock, else 0.
 
-        No endpoint starts in the future, and one that started long before the last list was on that.
+        A start time in the future is implausible, and so is one long before the last list, which would
+        have contained the endpoint.
         """
         is_future = reported > now
         is_too_old = (
@@ -42,7 +44,7 @@
         return now if reported and (is_future or is_too_old) else 0
 
     def update_list(self, now: int, event: Topology) -> set[int]:
-        """Apply a full list or the changes to it; return the ids of endpoints that may have changed."""
+        """Apply a full or delta list; return the ids of endpoints that may have changed."""
         changed = {entry.id for entry in event.entries}
         is_full = event.kind in (ListKind.FULL, ListKind.CACHED)
         if is_full:
@@ -52,7 +54,7 @@
             self._update_entry(now, entry)
         if event.kind in (ListKind.FULL, ListKind.DELTA):
             self._list_received_at = now
-        if is_full:  # sorted once: insertion one by one takes quadratic time
+        if is_full:  # one sort: inserting the endpoints one by one takes quadratic time
             self.ring = sorted(endpoint_id for endpoint_id in changed if self.is_usable(endpoint_id))
         for endpoint_id in changed:
             self._reindex(endpoint_id)
@@ -79,7 +81,7 @@
             self.unlisted.discard(entry.id)
 
     def set_enabled(self, now: int, endpoint_id: int, enabled: bool) -> None:
-        """Disable an endpoint whatever the list reports, or enable it with a new state."""
+        """Disable an endpoint regardless of its listed health, or enable it with a new state."""
         if enabled:
             self._enable(now, endpoint_id)
         else:
@@ -95,12 +97,12 @@
             self.endpoints[endpoint_id] = state
 
     def _reindex(self, endpoint_id: int) -> None:
-        """Update the ring after a change of one endpoint, without a scan of the other endpoints."""
+        """Update the ring after a change to one endpoint, without scanning the others."""
         if endpoint_id in self.endpoints:
             self._update_ring(endpoint_id, self.is_usable(endpoint_id))
 
     def is_usable(self, endpoint_id: int) -> bool:
-        """Return whether a known endpoint is in service and not disabled; it may be ejected."""
+        """Return whether a known endpoint is in service and not disabled, even if it is ejected."""
         return self.endpoints[endpoint_id].in_service and endpoint_id not in self.admin_disabled
 
     def _update_ring(self, endpoint_id: int, is_usable: bool) -> None:
@@ -120,14 +122,14 @@
         )
 
     def remove_unlisted(self) -> None:
-        """Drop unlisted endpoints without attempts in flight, which bounds memory."""
+        """Remove unlisted endpoints that have no attempts in flight, to bound memory."""
         unused = [i for i in self.unlisted if not self.endpoints[i].in_flight]
         for endpoint_id in unused:
             self.unlisted.discard(endpoint_id)
             del self.endpoints[endpoint_id]
 
     def capture(self) -> tuple[EndpointSnapshot, ...]:
-        """Return the state of all endpoints, whose slow start tokens move to the next process."""
+        """Return the state of all endpoints; their slow start tokens move to the next process."""
         snapshots = tuple(state.capture() for state in self.endpoints.values())
         for state in self.endpoints.values():
             state.slow_start_bucket.empty()
@@ -136,7 +138,7 @@
     def restore(
         self, now: int, snapshots: Iterable[EndpointSnapshot], admin_disabled: Mapping[int, int]
     ) -> set[int]:
-        """Restore endpoints that were not restarted since; return ids of endpoints that may have changed."""
+        """Restore endpoints that have not restarted since; return the ids of those that may have changed."""
         captured = set()
         for snapshot in snapshots:
             captured.add(snapshot.endpoint)
--- a/qos_gateway/decisions/load_balancing/endpoint_state.py
+++ b/qos_gateway/decisions/load_balancing/endpoint_state.py
@@ -1,4 +1,4 @@
-"""State of one endpoint as this gateway observes it, with the transitions of that state."""
+"""State of one endpoint as observed by this gateway, and its transitions."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 from ..statistics.decaying_mean import DecayingMean
 from ..statistics.time_constants import LONG_MEMORY_NS, SHORT_MEMORY_NS
 
-BASE_EJECTION_TIME_NS = SECOND // 2  # of the first ejection, doubled by each further one without a success
+BASE_EJECTION_TIME_NS = SECOND // 2  # doubles with each ejection until an attempt succeeds
 MAX_EJECTION_TIME_NS = 8 * SECOND
-OVERLOAD_MEMORY_NS = LONG_MEMORY_NS  # time for which an endpoint counts as overloaded after a rejection
+OVERLOAD_MEMORY_NS = LONG_MEMORY_NS  # an endpoint counts as overloaded for this long after a rejection
 
-ClassAndPlan = tuple[int, int]  # indexes of a request class and of a customer's plan in the settings
+ClassAndPlan = tuple[int, int]  # indexes into the settings: request class, customer's plan
 
 
 @dataclass(slots=True)
 class ClassResult:
-    """The latest attempt of a request class at an endpoint that was answered or timed out."""
+    """Result of the latest attempt of a request class that an endpoint answered or that timed out."""
 
-    at: int
+    at: int  # ns
     unanswered: float  # 1.0 if the attempt timed out, 0.0 if it was answered
 
 
 @dataclass(slots=True)
 class SlowStartBucket:
-    """The attempts that one endpoint may be sent during slow start."""
+    """Token bucket that limits the attempts sent to one endpoint during slow start."""
 
     tokens: float
     refilled_at: int  # ns
@@ -38,7 +38,7 @@
         self.refilled_at = now
 
     def take(self) -> None:
-        """Remove one token; the number may become negative."""
+        """Remove one token; the balance may become negative."""
         self.tokens -= 1.0
 
     def empty(self) -> None:
@@ -48,59 +48,59 @@
 
 @dataclass(slots=True)
 class EndpointState:
-    """One endpoint as this gateway observes it; times are in ns, 0 for never."""
+    """State of one endpoint; times are in ns, 0 means never."""
 
     endpoint: Endpoint
     slow_start_bucket: SlowStartBucket
-    corrected_start: int = 0  # where the reported start cannot be true by this gateway's clock
-    # Latency relative to the mean of the request's class.
+    corrected_start: int = 0  # replaces a reported start that is implausible by this gateway's clock
+    # Latency divided by the mean latency of the request class.
     relative_latency: DecayingMean = field(default_factory=lambda: DecayingMean(SHORT_MEMORY_NS))
     ejection_time: int = BASE_EJECTION_TIME_NS  # length of the next ejection
     in_service: bool = True  # reported as ready
-    in_flight: int = 0  # attempts of this gateway
+    in_flight: int = 0  # attempts sent by this gateway
     consecutive_failures: int = 0
     ejected_until: int = 0
-    last_response_at: int = 0  # end of the last successful attempt
-    latest_successful_send: int = 0  # start of the most recently started attempt among the successful ones
-    overloaded_until: dict[ClassAndPlan, int] = field(default_factory=dict)  # assumed so after a rejection
+    last_response_at: int = 0  # when the last successful attempt ended
+    latest_successful_send: int = 0  # latest send time of any successful attempt
+    overloaded_until: dict[ClassAndPlan, int] = field(default_factory=dict)  # set by rejections
     last_result_by_class: dict[int, ClassResult] = field(default_factory=dict)
-    disabled_at: int = 0  # start of the last administrative disabling that has ended
-    assumed_start: int = 0  # start of slow start while the list reports no start, or no credible one
+    disabled_at: int = 0  # when an operator last disabled the endpoint; set once it is enabled again
+    assumed_start: int = 0  # start of slow start if the list reports no plausible start
 
     @property
     def started_at(self) -> int:
-        """Start by this gateway's clock, 0 for long ago."""
+        """Start time by this gateway's clock, 0 if it is long ago."""
         return self.corrected_start or self.endpoint.started_at
 
     @property
     def slow_start_at(self) -> int:
-        """Start of the slow start window, 0 for an endpoint without one."""
+        """Start of the slow start window, 0 if the endpoint has none."""
         started = self.corrected_start or self.endpoint.started_at
         assumed = self.assumed_start
-        # No call of max(): this is read several times for each endpoint of the subset at each request.
+        # Hot path, read several times per subset endpoint and request: calls neither started_at nor max().
         return started if started > assumed else assumed
 
     def update(self, endpoint: Endpoint) -> None:
-        """Apply a new entry of the endpoint list."""
+        """Apply a new entry from the endpoint list."""
         self.endpoint = endpoint
         self.in_service = endpoint.health is Health.READY
 
     def mark_out_of_service(self) -> None:
-        """Mark the endpoint as not ready until the next update."""
+        """Mark the endpoint as not in service until the next update."""
         self.in_service = False
 
     def continue_after_restart(self, previous: EndpointState) -> None:
-        """Copy from the state before a restart of the endpoint what is still valid."""
+        """Copy what remains valid from the state before the endpoint restarted."""
         self.in_flight = previous.in_flight
         self.disabled_at = previous.disabled_at
         if self.started_at < previous.disabled_at:
             self.assumed_start = previous.assumed_start
 
     def continue_after_disabling(self, previous: EndpointState, now: int, disabled_at: int) -> None:
-        """Copy from the state before a disabling since `disabled_at` what is still valid.
+        """Copy what remains valid from the state before the endpoint was disabled at `disabled_at`.
 
-        The endpoint may have been restarted since and the list may be late, so slow start is assumed to
-        begin now unless a start since `disabled_at` is known.
+        The endpoint may have restarted in the meantime without the list reporting it yet, so slow start
+        begins now unless a start since `disabled_at` is known.
         """
         self.corrected_start = previous.corrected_start
         self.in_service = previous.in_service
@@ -118,7 +118,7 @@
         self.in_flight = max(0, self.in_flight - 1)
 
     def eject(self, now: int) -> None:
-        """Eject the endpoint, and double the time of its next ejection up to `MAX_EJECTION_TIME_NS`."""
+        """Eject the endpoint, and double its next ejection time up to `MAX_EJECTION_TIME_NS`."""
         self.ejected_until = now + self.ejection_time
         self.ejection_time = min(MAX_EJECTION_TIME_NS, 2 * self.ejection_time)
 
@@ -127,9 +127,9 @@
         self.consecutive_failures += 1
 
     def record_success(self, now: int, sent_at: int, relative_latency: float) -> None:
-        """Record a successful attempt; `relative_latency` is its latency relative to the mean of its class.
+        """Record a successful attempt; `relative_latency` is 1 for the mean latency of its class.
 
-        The count of failures starts again, and the next ejection lasts `BASE_EJECTION_TIME_NS`.
+        Resets the count of consecutive failures and the next ejection time.
         """
         self.consecutive_failures = 0
         self.ejection_time = BASE_EJECTION_TIME_NS
@@ -142,11 +142,11 @@
         self.last_result_by_class[class_index] = ClassResult(now, unanswered)
 
     def record_overload(self, now: int, class_and_plan: ClassAndPlan) -> None:
-        """Record that the endpoint rejected an attempt of a class and plan."""
+        """Record that the endpoint rejected an attempt of a class and plan as overloaded."""
         self.overloaded_until[class_and_plan] = now + OVERLOAD_MEMORY_NS
 
     def capture(self) -> EndpointSnapshot:
-        """Return what the next process needs of this state."""
+        """Return the part of the state that the next process needs."""
         return EndpointSnapshot(
             endpoint=self.endpoint.id,
             started_at=self.endpoint.started_at,
@@ -160,12 +160,12 @@
         )
 
     def can_restore(self, snapshot: EndpointSnapshot) -> bool:
-        """Return whether the endpoint is not removed and was not restarted since the snapshot."""
+        """Return whether the endpoint was not removed and has not restarted since the snapshot."""
         listed = self.endpoint
         return listed.started_at == snapshot.started_at and listed.health is not Health.REMOVED
 
     def restore(self, now: int, snapshot: EndpointSnapshot) -> None:
-        """Continue the state that the previous process captured."""
+        """Restore the state that the previous process captured."""
         self.ejected_until = snapshot.ejected_until
         self.ejection_time = snapshot.ejection_time
         self.consecutive_failures = snapshot.consecutive_failures
--- a/qos_gateway/decisions/load_balancing/load_balancer.py
+++ b/qos_gateway/decisions/load_balancing/load_balancer.py
@@ -1,4 +1,4 @@
-"""Load balancing: the subset of the endpoints that this gateway uses, and the endpoint for an attempt."""
+"""Load balancer: selects this gateway's subset of the endpoints and an endpoint for each attempt."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 from .slow_start import SlowStart
 from .zones import RequestT, UnresponsiveZone
 
-EndpointFilter = Callable[[Endpoint], bool] | None  # None: any endpoint
+EndpointFilter = Callable[[Endpoint], bool] | None  # None accepts every endpoint
 
-GATEWAYS_PER_ENDPOINT = 10  # with it in their subset: each observes it often, and it has few connections
-SLOW_START_COST_FACTOR = 0.7  # wait at an endpoint in slow start with a token, relative to a warm one's
-FAILURE_COST_FACTOR = 3.0  # added cost where similar attempts were recently rejected or timed out
-FAILURE_MEMORY_NS = 3 * LONG_MEMORY_NS  # age from which a class's last result at an endpoint is ignored
-JITTER = 0.1  # random part of the cost: equal endpoints are used equally
-PEER_IN_FLIGHT_PRIOR_WEIGHT = 2.0  # own attempts that count as much as the mean over endpoints
-MIN_RELATIVE_LATENCY = 0.5  # latency relative to the mean of the class: the number in flight counts as well
-MAX_RELATIVE_LATENCY = 4.0  # slow endpoints are tried again
-MAX_RELATIVE_LATENCY_SAMPLE = 8.0  # one very late response must not outweigh all others
-RELATIVE_LATENCY_PRIOR_WEIGHT = 3.0  # samples of mean latency: slow endpoints are tried again
-CLASS_SAMPLES = (Outcome.OK, Outcome.TIMEOUT)  # show whether an endpoint answers a class
+GATEWAYS_PER_ENDPOINT = 10  # with it in their subset; each samples it often, and it has few connections
+SLOW_START_COST_FACTOR = 0.7  # cost of an endpoint in slow start that has a token, relative to a warm one
+FAILURE_COST_FACTOR = 3.0  # relative increase of the cost if similar attempts were rejected or timed out
+FAILURE_MEMORY_NS = 3 * LONG_MEMORY_NS  # older results of a class at an endpoint are ignored
+JITTER = 0.1  # maximum random increase of the cost, spreads load over equal endpoints
+PEER_IN_FLIGHT_PRIOR_WEIGHT = 2.0  # attempts added to the own ones in flight and to their mean
+MIN_RELATIVE_LATENCY = 0.5  # keeps the number in flight relevant at fast endpoints
+MAX_RELATIVE_LATENCY = 4.0  # limits the cost of slow endpoints, so that they are retried
+MAX_RELATIVE_LATENCY_SAMPLE = 8.0  # one very late response must not dominate the mean
+RELATIVE_LATENCY_PRIOR_WEIGHT = 3.0  # assumed samples of mean latency, so that slow endpoints are retried
+CLASS_SAMPLES = (Outcome.OK, Outcome.TIMEOUT)  # outcomes that show whether an endpoint answers a class
 
 
 class LoadBalancer:
-    """Selects endpoints from the list by what this gateway observes of them."""
+    """Selects endpoints based on what this gateway observes of them."""
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         self.settings = settings
@@ -40,16 +40,16 @@
         self.outlier_ejection = OutlierEjection()
         self.slow_start = SlowStart(settings)
         self.response_statistics = ResponseStatistics(len(settings.classes))
-        self.mean_in_flight = 0.0  # own attempts at each endpoint of the subset
-        self.peer_in_flight = 0.0  # estimate of other gateways' attempts there
+        self.mean_in_flight = 0.0  # own attempts per endpoint of the subset
+        self.peer_in_flight = 0.0  # estimated attempts of other gateways per endpoint of the subset
 
     def update_list(self, now: int, event: Topology) -> None:
-        """Apply a full endpoint list or the changes to it."""
+        """Apply a full or delta endpoint list."""
         self._track_slow_start(self.registry.update_list(now, event))
         self.refresh(now)
 
     def set_enabled(self, now: int, endpoint_id: int, enabled: bool) -> None:
-        """Disable or enable an endpoint for an operator; when enabled again, it begins with slow start."""
+        """Disable or enable an endpoint for an operator; an endpoint enabled again begins slow start."""
         self.registry.set_enabled(now, endpoint_id, enabled)
         self._track_slow_start((endpoint_id,))
         self.refresh(now)
@@ -61,11 +61,12 @@
                 self.slow_start.update_warming_up(state, self.registry.is_usable(endpoint_id))
 
     def refresh(self, now: int) -> None:
-        """Update what depends on time and on all endpoints: at each tick and change of the list."""
+        """Recompute the aggregates over all endpoints; called at each tick and list change."""
         self.registry.remove_unlisted()
         self.slow_start.remove_warmed_up(now, self.registry.endpoints)
         subset = self.subset(now)
-        # Warm endpoints of all gateways: this subset may have none, and rates come from others' subsets.
+        # Counts the warm endpoints of the whole ring: this subset may have none, and completions then
+        # come from warm endpoints in the subsets of other gateways.
         size = len(self.registry.ring)
         if size:
             warm = size - len(self.slow_start.warming_up)
@@ -85,7 +86,8 @@
     def subset(self, now: int) -> list[EndpointState]:
         """Return this gateway's subset: consecutive endpoints on the ring from the gateway's position.
 
-        Each endpoint is in the subsets of the same few gateways; the next ones replace those ejected.
+        Each endpoint is always in the subsets of the same few gateways. Ejected endpoints are replaced by
+        the next ones on the ring.
         """
         endpoints = self.registry.endpoints
         ring = self.registry.ring
@@ -103,7 +105,7 @@
         return subset
 
     def can_accept(self, now: int, state: EndpointState) -> bool:
-        """Return whether an attempt may be sent to an endpoint now; refills its slow start tokens."""
+        """Return whether an attempt may be sent to an endpoint now; refills its slow start bucket."""
         endpoint_id = state.endpoint.id
         if not state.in_service or now < state.ejected_until or endpoint_id in self.registry.admin_disabled:
             return False
@@ -114,9 +116,11 @@
         return fraction >= 1.0 or slow_start.refill_and_check_token(now, state, fraction)
 
     def latency_cost(self, now: int, state: EndpointState) -> float:
-        """Estimate the time of an attempt at an endpoint, in mean latencies of its request class.
+        """Return the cost of the expected latency at an endpoint, in mean latencies of the request class.
 
-        Peers' attempts there are estimated by the own ones in flight, whose weight grows with their number.
+        Includes the cost factor of slow start and the cost of another zone. Other gateways' attempts at the
+        endpoint are estimated from this gateway's attempts in flight there, relative to their mean over the
+        subset; these weigh more, the more there are.
         """
         zone_cost = self.settings.cross_zone_cost * (state.endpoint.zone != self.settings.zone)
         mean = state.relative_latency.mean_with_prior(now, 1.0, RELATIVE_LATENCY_PRIOR_WEIGHT)
@@ -133,10 +137,10 @@
     def pick(
         self, now: int, class_and_plan: ClassAndPlan, avoid: set[int], allowed: EndpointFilter
     ) -> EndpointState | None:
-        """Return the endpoint of least cost for an attempt, None if there is none that may be used.
+        """Return the endpoint with the lowest cost for an attempt, None if no endpoint may be used.
 
-        An endpoint may reject one plan or time out on one class and serve the rest, so the results of similar
-        requests there count. While a class times out, endpoints that answered it are preferred.
+        An endpoint may reject one plan or time out on one class and serve the rest, so only results of
+        similar requests count. While a class times out, endpoints that answered it are preferred.
         """
         class_index = class_and_plan[0]
         default_failure_rate = self.response_statistics.expected_unanswered(now, class_index)
@@ -156,9 +160,10 @@
         return min(self._candidates(now, avoid, allowed), key=cost, default=None)
 
     def _candidates(self, now: int, avoid: set[int], allowed: EndpointFilter) -> list[EndpointState]:
-        """Return the usable endpoints of the subset or, if there are none, all warm ones.
+        """Return the endpoints of the subset that accept attempts or, if there are none, all warm ones.
 
-        Only gateways with an endpoint in their subset may use slow start tokens for it.
+        Endpoints in slow start outside the subset are excluded: their tokens are for the gateways that have
+        them in their subset.
         """
         candidates = [
             state
@@ -177,14 +182,14 @@
         ]
 
     def attempt_started(self, now: int, state: EndpointState) -> None:
-        """Record that an attempt is sent to an endpoint."""
+        """Record that an attempt was sent to an endpoint."""
         state.attempt_started()
         self.slow_start.attempt_started(now, state)
 
     def attempt_ended(
         self, now: int, event: AttemptEnded, class_and_plan: ClassAndPlan, relative_latency: float
     ) -> None:
-        """Record how an attempt ended; `relative_latency` is 1 for the mean of its class."""
+        """Record the outcome of an attempt; `relative_latency` is 1 for the mean latency of its class."""
         state = self.registry.endpoints.get(event.endpoint)
         if state is None:
             return
@@ -206,17 +211,17 @@
         self.outlier_ejection.record_outcome(now, state, outcome)
 
     def has_successful_send_since(self, endpoint_id: int, since: int) -> bool:
-        """Return whether an endpoint answered an attempt that was sent at `since` or later."""
+        """Return whether an attempt sent to an endpoint at `since` or later succeeded."""
         state = self.registry.endpoints.get(endpoint_id)
         return state is not None and state.latest_successful_send >= since
 
     def responded_since(self, endpoint_id: int, since: int) -> bool:
-        """Return whether an endpoint completed a successful attempt at `since` or later."""
+        """Return whether an attempt at an endpoint succeeded at `since` or later, whenever it was sent."""
         state = self.registry.endpoints.get(endpoint_id)
         return state is not None and state.last_response_at >= since
 
     def was_lost_with_zone(self, endpoint_id: int, sent_at: int) -> bool:
-        """Return whether an attempt was in flight to a zone when that was found unresponsive."""
+        """Return whether an attempt's zone was found unresponsive after the attempt was sent."""
         state = self.registry.endpoints.get(endpoint_id)
         return state is not None and self.outlier_ejection.was_lost_with_zone(state.endpoint.zone, sent_at)
 
@@ -227,7 +232,7 @@
         return self.outlier_ejection.detect_unresponsive_zones(now, self.registry.endpoints, requests)
 
     def capture(self, outgoing_fraction: float) -> LoadBalancerSnapshot:
-        """Return what the next process needs; this one keeps a fraction of the slow start token rate."""
+        """Return the state for the next process; this one keeps a fraction of the slow start token rate."""
         return LoadBalancerSnapshot(
             endpoints=self.registry.capture(),
             admin_disabled=dict(self.registry.admin_disabled),
@@ -235,12 +240,12 @@
         )
 
     def restore(self, now: int, snapshot: LoadBalancerSnapshot, incoming_fraction: float) -> None:
-        """Continue the previous process's state, with a fraction of the slow start token rate."""
+        """Restore the previous process's state, with a fraction of the slow start token rate."""
         self.slow_start.restore(snapshot.warm_completions, incoming_fraction)
         changed = self.registry.restore(now, snapshot.endpoints, snapshot.admin_disabled)
         self._track_slow_start(changed)
         self.refresh(now)
 
     def complete_handover(self) -> None:
-        """Use the whole slow start token rate again after the other process has ended."""
+        """Use the full slow start token rate after the other process has ended."""
         self.slow_start.complete_handover()
--- a/qos_gateway/decisions/load_balancing/outlier_ejection.py
+++ b/qos_gateway/decisions/load_balancing/outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: endpoints that fail several times in a row, and zones that stop responding."""
+"""Outlier ejection of endpoints with consecutive failures and of unresponsive zones."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 from .endpoint_state import EndpointState
 from .zones import RequestT, UnresponsiveZone, ZoneTable
 
-FAILURES_TO_EJECT = 2  # consecutive: a single one may be a coincidence
-SIGNIFICANCE_LEVEL = 0.005  # resets in a row less likely than this are no coincidence
-MAX_RESET_RATIO = 0.5  # of all attempts: bounds the number of consecutive resets that eject
-RESET_PRIOR_WEIGHT = 3.0  # attempts without a reset that the ratio starts from
-UNRESPONSIVE_AFTER_LATENCIES = 2.0  # mean latencies after which a response is overdue
-UNRESPONSIVE_MIN_ENDPOINTS = 3  # with overdue responses, for their zone to count as unresponsive
-RESPONSE_OUTCOMES = (Outcome.OK, Outcome.ERROR, Outcome.OVERLOADED)  # sent by an endpoint of the zone
-RESET_SAMPLES = (Outcome.OK, Outcome.ERROR, Outcome.RESET)  # attempts that were executed or failed
+FAILURES_TO_EJECT = 2  # consecutive; a single failure may be a coincidence
+SIGNIFICANCE_LEVEL = 0.005  # consecutive resets with a lower probability are not a coincidence
+MAX_RESET_RATIO = 0.5  # of all attempts; bounds the number of consecutive resets before ejection
+RESET_PRIOR_WEIGHT = 3.0  # assumed prior attempts without a reset
+UNRESPONSIVE_AFTER_LATENCIES = 2.0  # a response is overdue after this many mean latencies
+UNRESPONSIVE_MIN_ENDPOINTS = 3  # with overdue responses, before their zone counts as unresponsive
+RESPONSE_OUTCOMES = (Outcome.OK, Outcome.ERROR, Outcome.OVERLOADED)  # show that a zone responds
+RESET_SAMPLES = (Outcome.OK, Outcome.ERROR, Outcome.RESET)  # outcomes in the reset ratio
 NON_FAILURE_OUTCOMES = (Outcome.OK, Outcome.OVERLOADED, Outcome.CANCELLED, Outcome.NOT_SENT)
 
 
 class OutlierEjection:
-    """Ejects endpoints and whole zones by the outcomes of this gateway's attempts."""
+    """Ejects endpoints and whole zones based on the outcomes of this gateway's attempts."""
 
     def __init__(self) -> None:
         self.zones = ZoneTable()
-        self.reset_ratio = DecayingMean(LONG_MEMORY_NS)  # resets and errors among these and successes
+        self.reset_ratio = DecayingMean(LONG_MEMORY_NS)  # (resets + errors) / (resets + errors + successes)
 
     def record_outcome(self, now: int, state: EndpointState, outcome: Outcome) -> None:
-        """Record how an attempt ended; eject its endpoint after too many consecutive failures."""
+        """Record the outcome of an attempt; eject its endpoint after too many consecutive failures."""
         if outcome in RESPONSE_OUTCOMES:
             self.zones.record_response(now, state.endpoint.zone)
         if outcome in RESET_SAMPLES:
@@ -41,10 +41,10 @@
                 state.eject(now)
 
     def _failures_to_eject(self, now: int, outcome: Outcome) -> int:
-        """Return the number of consecutive failures that eject an endpoint.
+        """Return the number of consecutive failures after which an endpoint is ejected.
 
-        Where attempts at all endpoints are reset, several in a row may be a coincidence, and ejecting those
-        endpoints would overload the others.
+        If attempts are reset at all endpoints, several consecutive resets may be a coincidence, and ejecting
+        those endpoints would overload the others.
         """
         if outcome is Outcome.CONNECT_FAILED:
             return 1
@@ -55,7 +55,7 @@
         return max(FAILURES_TO_EJECT, ceil(log(SIGNIFICANCE_LEVEL) / log(ratio)))
 
     def was_lost_with_zone(self, zone: int, sent_at: int) -> bool:
-        """Return whether an attempt was in flight to a zone when that was found unresponsive."""
+        """Return whether an attempt's zone was found unresponsive after the attempt was sent."""
         return self.zones.was_found_unresponsive_since(zone, sent_at)
 
     def detect_unresponsive_zones(
@@ -63,8 +63,8 @@
     ) -> list[UnresponsiveZone[RequestT]]:
         """Find zones that have stopped responding while others respond, and eject their endpoints.
 
-        An unreachable zone still accepts writes on open connections: to detect its endpoints one by one
-        would cost a request for each such connection.
+        Writes on open connections to an unreachable zone still succeed, so detecting its endpoints one by
+        one would cost a request for each connection.
         """
         overdue: dict[int, list[RequestT]] = {}
         for request in requests:
@@ -81,7 +81,7 @@
         ]
 
     def _eject_zone(self, now: int, endpoints: Mapping[int, EndpointState], zone: int) -> list[int]:
-        """Eject all endpoints of a zone that are in service; return their ids."""
+        """Eject all in-service endpoints of a zone; return their ids."""
         self.zones.record_unresponsive(now, zone)
         in_zone = [s for s in endpoints.values() if s.endpoint.zone == zone and s.in_service]
         for state in in_zone:
--- a/qos_gateway/decisions/load_balancing/slow_start.py
+++ b/qos_gateway/decisions/load_balancing/slow_start.py
@@ -1,7 +1,8 @@
-"""Slow start: a token bucket limits the attempts at each endpoint that was started recently.
+"""Slow start: a token bucket limits the attempts at each recently started endpoint.
 
-Token rates follow what warm endpoints complete. Where every endpoint is in slow start, they follow what these
-complete, relative to the fraction of their capacity, so that the rates grow as in TCP's slow start.
+Token rates are proportional to the completion rate of warm endpoints. While every endpoint is in slow start,
+they are proportional to the completion rate of these, divided by the fraction of capacity that they have
+reached, so the rates grow as in TCP slow start.
 """
 
 from __future__ import annotations
@@ -15,39 +16,38 @@
 from ..statistics.time_constants import SHORT_MEMORY_NS
 from .endpoint_state import EndpointState
 
-RATE_MULTIPLE = 1.4  # token rate at full capacity, relative to the completion rate of a warm endpoint
-OVERLOAD_FRACTION = 0.7  # upper bound of that rate, as a fraction of the rate that overloads an endpoint
-REFILL_WINDOW_S = 1.0  # longest time for which tokens accrue
+RATE_MULTIPLE = 1.4  # token rate at full capacity / completion rate of a warm endpoint
+OVERLOAD_FRACTION = 0.7  # upper bound of the token rate / rate that overloads an endpoint
+REFILL_WINDOW_S = 1.0  # tokens accrue for at most this long
 ALL_WARMING_UP_REFILL_WINDOW_S = 4.0  # the same while every endpoint is in slow start
-MAX_TOKENS = 2.0  # burst at one endpoint: other gateways may burst at the same time
-REENABLED_MIN_RATE_PER_S = 0.4  # least token rate of one gateway after an administrative disabling
-REENABLED_TOTAL_MIN_RATE_PER_S = 2.0  # upper bound of these least rates over all gateways
-UNKNOWN_CAPACITY_ATTEMPTS = 3.0  # of all gateways in an overload window: no endpoint is overloaded by them
-UNKNOWN_CAPACITY_MAX_TOKENS = 1.0  # burst at one endpoint while nothing is known of the capacity
-LAST_WARM_RATE_FRACTION = 0.5  # of the last known rate, the least while every endpoint is in slow start
-CAPACITY_SAMPLES = (Outcome.OK, Outcome.CANCELLED)  # attempts that took an endpoint's capacity
-NO_HANDOVER_FRACTION = 1.0  # all tokens belong to this process
+MAX_TOKENS = 2.0  # maximum burst at one endpoint; other gateways may burst at the same time
+REENABLED_MIN_RATE_PER_S = 0.4  # minimum token rate per gateway after an operator enables an endpoint
+REENABLED_TOTAL_MIN_RATE_PER_S = 2.0  # upper bound of the sum of these rates over all gateways
+UNKNOWN_CAPACITY_ATTEMPTS = 3.0  # per overload window, all gateways; overloads no endpoint
+UNKNOWN_CAPACITY_MAX_TOKENS = 1.0  # maximum burst at one endpoint of unknown capacity
+LAST_WARM_RATE_FRACTION = 0.5  # lower bound of the rate without warm endpoints / last warm rate
+CAPACITY_SAMPLES = (Outcome.OK, Outcome.CANCELLED)  # attempts that consumed an endpoint's capacity
+NO_HANDOVER_FRACTION = 1.0  # this process has the full token rate
 
 
 class SlowStart:
-    """Which endpoints warm up, and how many attempts each of them may be sent."""
+    """Tracks the endpoints in slow start and limits the attempts sent to each."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        self.warming_up: set[int] = set()  # ids of usable endpoints whose slow start may not be over
-        # Completions, not attempts sent: under overload far more are sent than endpoints can complete.
+        self.warming_up: set[int] = set()  # ids of usable endpoints that may still be in slow start
+        # Completions, not attempts sent: under overload, far more attempts are sent than are completed.
         self.warm_completions = DecayingMean(SHORT_MEMORY_NS)
-        self.warm_endpoints = DecayingMean(SHORT_MEMORY_NS)  # their number, over the same time
-        self.all_warming_up = (
-            False  # the two means are of endpoints in slow start, counted by their fractions
-        )
-        self._last_warm_rate = 0.0  # completions per second of an endpoint, when the last one was warm
-        self._gateways_per_endpoint = 1.0  # gateways that may send to the same endpoint
-        self.warm_endpoints.updated_at = -SHORT_MEMORY_NS  # gives the first endpoint list full weight
-        self.handover_fraction = NO_HANDOVER_FRACTION  # fraction of the tokens that belongs to this process
+        self.warm_endpoints = DecayingMean(SHORT_MEMORY_NS)  # their mean number, over the same time
+        # If True, the two means are of endpoints in slow start, weighted by their capacity fractions.
+        self.all_warming_up = False
+        self._last_warm_rate = 0.0  # completions per second of a warm endpoint, when there last was one
+        self._gateways_per_endpoint = 1.0  # gateways that have the same endpoint in their subset
+        self.warm_endpoints.updated_at = -SHORT_MEMORY_NS  # gives the first sample full weight
+        self.handover_fraction = NO_HANDOVER_FRACTION  # this process's fraction of the token rate
 
     def capacity_fraction(self, now: int, state: EndpointState) -> float:
-        """Estimate which fraction of its capacity an endpoint has at least reached, 1 after slow start."""
+        """Estimate the minimum fraction of its capacity that an endpoint has reached, 1 after slow start."""
         started_at = state.slow_start_at
         window = self.settings.slow_start_window
         if not started_at or now - started_at >= window:
@@ -56,14 +56,14 @@
         return initial + (1.0 - initial) * max(0, now - started_at) / window
 
     def update_warming_up(self, state: EndpointState, is_usable: bool) -> None:
-        """Update the set of endpoints that warm up after a change of one endpoint."""
+        """Add an endpoint to the warming-up set, or remove it, after its state has changed."""
         if is_usable and state.slow_start_at > 0:
             self.warming_up.add(state.endpoint.id)
         else:
             self.warming_up.discard(state.endpoint.id)
 
     def remove_warmed_up(self, now: int, endpoints: Mapping[int, EndpointState]) -> None:
-        """Drop endpoints whose slow start is over from the set of those that warm up."""
+        """Remove endpoints whose slow start has ended from the warming-up set."""
         self.warming_up -= {i for i in self.warming_up if self.capacity_fraction(now, endpoints[i]) >= 1.0}
 
     def record_capacity(
@@ -71,7 +71,7 @@
     ) -> None:
         """Record the subset's capacity in warm endpoints, weighted by the time since the last record.
 
-        `all_warming_up` tells that it is the capacity of endpoints in slow start, as there are no others.
+        If `all_warming_up`, there are no warm endpoints and this is the capacity of those in slow start.
         """
         self._gateways_per_endpoint = max(1.0, gateways_per_endpoint)
         if all_warming_up is not self.all_warming_up:
@@ -82,7 +82,7 @@
         self.warm_endpoints.add(now, endpoints, min(1.0, elapsed))
 
     def _rescale(self, endpoints: float) -> None:
-        """Keep the completions per endpoint while the endpoints that are counted change."""
+        """Keep the completion rate per endpoint when the set of counted endpoints changes."""
         previous = self.warm_endpoints.value
         if previous > 0.0:
             self.warm_completions.scale(endpoints / previous)
@@ -94,9 +94,9 @@
             state.slow_start_bucket.take()
 
     def attempt_ended(self, now: int, state: EndpointState, outcome: Outcome) -> None:
-        """Count an attempt that a warm endpoint completed, or worked on until it was cancelled.
+        """Count an attempt that a warm endpoint completed or worked on until it was cancelled.
 
-        Where every endpoint is in slow start, only what they completed shows their capacity.
+        While every endpoint is in slow start, only completed attempts are evidence of capacity.
         """
         if self.all_warming_up:
             counts = outcome is Outcome.OK
@@ -106,7 +106,7 @@
             self.warm_completions.add(now, 1.0)
 
     def refill_and_check_token(self, now: int, state: EndpointState, capacity_fraction: float) -> bool:
-        """Refill the bucket of an endpoint that has reached a fraction of its capacity; check for a token."""
+        """Refill the bucket of an endpoint at a fraction of its capacity; return whether it has a token."""
         rate = max(self._min_rate(state), capacity_fraction * self._rate_at_capacity(now))
         max_tokens = MAX_TOKENS
         if self.all_warming_up and rate <= (unknown_rate := self._unknown_capacity_rate()):
@@ -119,20 +119,20 @@
         return bucket.tokens >= 1.0
 
     def _rate_at_capacity(self, now: int) -> float:
-        """Return this gateway's share of a warm endpoint's completions, times a multiple below overload.
+        """Return this gateway's share of a warm endpoint's completion rate, times a multiple below overload.
 
-        Warm endpoints never complete more than their capacity, so the sum of all gateways' shares is bounded.
+        Warm endpoints never complete more than their capacity, so the sum over all gateways is bounded.
         """
         multiple = max(1.0, min(RATE_MULTIPLE, OVERLOAD_FRACTION * self.settings.overload_multiple))
         return self._completions_per_warm_endpoint(now) * multiple
 
     def _completions_per_warm_endpoint(self, now: int) -> float:
-        """Return the completions per second of a warm endpoint, by the mean over all."""
+        """Return the mean completions per second of a warm endpoint."""
         rate = self.warm_completions.rate(now) / (self.warm_endpoints.value or 1.0)
         return max(rate, LAST_WARM_RATE_FRACTION * self._last_warm_rate)
 
     def _unknown_capacity_rate(self) -> float:
-        """Return this gateway's share of the calls per second that an endpoint of any capacity bears."""
+        """Return this gateway's share of the attempts per second that overload no endpoint."""
         window_s = self.settings.overload_window / SECOND
         return UNKNOWN_CAPACITY_ATTEMPTS / (window_s * self._gateways_per_endpoint)
 
@@ -142,15 +142,15 @@
         return min(REENABLED_MIN_RATE_PER_S, REENABLED_TOTAL_MIN_RATE_PER_S / self.settings.gateway_count)
 
     def capture(self, outgoing_fraction: float) -> MeanSnapshot:
-        """Return the completions of warm endpoints; this process keeps a fraction of the token rate."""
+        """Return the completions of warm endpoints; keep a fraction of the token rate in this process."""
         self.handover_fraction = outgoing_fraction
         return MeanSnapshot.of(self.warm_completions)
 
     def restore(self, warm_completions: MeanSnapshot, incoming_fraction: float) -> None:
-        """Continue the completions of the previous process, with a fraction of the token rate."""
+        """Restore the completions of the previous process, with a fraction of the token rate."""
         self.warm_completions = warm_completions.to_mean()
         self.handover_fraction = incoming_fraction
 
     def complete_handover(self) -> None:
-        """Use the whole token rate again after the other process has ended."""
+        """Use the full token rate after the other process has ended."""
         self.handover_fraction = NO_HANDOVER_FRACTION
--- a/qos_gateway/decisions/load_balancing/zones.py
+++ b/qos_gateway/decisions/load_balancing/zones.py
@@ -1,4 +1,4 @@
-"""Responses from the zones as this gateway observes them."""
+"""Responsiveness of each zone as observed by this gateway."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class AttemptedRequest(Protocol):
-    """What the detection of unresponsive zones reads of an open request; times are in ns."""
+    """Fields of an open request that the detection of unresponsive zones reads; times are in ns."""
 
     @property
     def attempts_in_flight(self) -> int:
@@ -32,10 +32,10 @@
 
 @dataclass(slots=True)
 class ZoneState:
-    """Responses from one zone; times are in ns."""
+    """When a zone last responded and was last found unresponsive; times are in ns."""
 
     last_response_at: int = 0
-    last_found_unresponsive_at: int = -1  # when it was last found unresponsive: -1 is before any attempt
+    last_found_unresponsive_at: int = -1  # -1: never, before any attempt
 
 
 @dataclass(slots=True)
@@ -43,18 +43,18 @@
     """A zone that has just been found unresponsive."""
 
     zone: int
-    requests: list[RequestT]  # requests that wait for a response from this zone
-    endpoints: list[int]  # ids of its endpoints in service, all ejected
+    requests: list[RequestT]  # requests waiting for a response from this zone
+    endpoints: list[int]  # ids of its in-service endpoints, all ejected
 
 
 class ZoneTable:
-    """Responses from all zones."""
+    """Tracks when each zone responded and when it was found unresponsive."""
 
     def __init__(self) -> None:
         self._zones: defaultdict[int, ZoneState] = defaultdict(ZoneState)
 
     def record_response(self, now: int, zone: int) -> None:
-        """Record that some endpoint of a zone responded."""
+        """Record that an endpoint of a zone responded."""
         self._zones[zone].last_response_at = now
 
     def record_unresponsive(self, now: int, zone: int) -> None:
@@ -66,9 +66,9 @@
         return sent_at <= self._zones[zone].last_found_unresponsive_at
 
     def only_others_responded(self, zone: int, since: int) -> bool:
-        """Return whether another zone responded after `since`, and this one did not.
+        """Return whether another zone responded after `since` and this one did not.
 
-        A zone that was found unresponsive at `since` or later does not count again.
+        Returns False if this zone was already found unresponsive at `since` or later.
         """
         own = self._zones[zone]
         if since <= max(own.last_response_at, own.last_found_unresponsive_at):
