--- a/tests/decisions/test_disabled_endpoints.py
+++ b/tests/decisions/test_disabled_endpoints.py
@@ -32,8 +32,8 @@
     engine.handle(START, SetEndpointEnabled(1, False))  # disabled twice, it is enabled by one call
     assert {send_request(engine, n, START + n * MS) for n in range(1, 40)} == {2}
     engine.handle(START, arrival(50, START))
-    again = engine.handle(START + MS, ended(50, 2, Outcome.CONNECT_FAILED))
-    assert [a.endpoint for a in again if isinstance(a, Send)] != [1]
+    actions = engine.handle(START + MS, ended(50, 2, Outcome.CONNECT_FAILED))
+    assert [a.endpoint for a in actions if isinstance(a, Send)] != [1]
     engine.handle(START + SECOND, SetEndpointEnabled(1, True))
     assert 1 in {send_request(engine, n, START + (6 + n) * SECOND) for n in range(60, 70)}
 
@@ -60,7 +60,9 @@
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 8])
-def test_enabled_endpoint_is_in_slow_start_yet_in_use_within_5_s_whatever_its_history(gateways: int) -> None:
+def test_enabled_endpoint_is_in_slow_start_but_used_within_5_s_despite_earlier_ejections(
+    gateways: int,
+) -> None:
     engine = engine_with(1, 2, 3, gateways=gateways)
     for n in range(1, 9):  # ejected again and again, for long
         engine.load_balancer.registry.endpoints[1].ejected_until = 0
@@ -80,9 +82,7 @@
     assert len([now for now in used_at if now < START + 3 * SECOND]) <= 8  # of 40: a warm one had a third
 
 
-def test_enabled_endpoint_begins_slow_start_unless_the_list_tells_of_an_earlier_start_while_disabled() -> (
-    None
-):
+def test_enabled_endpoint_begins_slow_start_unless_it_started_while_disabled() -> None:
     engine = engine_with(1, 2)
     engine.handle(START, SetEndpointEnabled(1, False))
     engine.handle(START + 5 * SECOND, SetEndpointEnabled(1, False))
--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -14,10 +14,10 @@
 from tests.support.builders import SECOND, full_list, listed_endpoint, settings
 
 START = 1_000 * SECOND
-STARTS = st.sampled_from([0, 990, 999, 1_000])  # s
+STARTED_AT_S = st.sampled_from([0, 990, 999, 1_000])  # s
 CHANGES = st.lists(
     st.tuples(
-        st.lists(st.tuples(st.integers(1, 12), st.sampled_from(list(Health)), STARTS), max_size=5),
+        st.lists(st.tuples(st.integers(1, 12), st.sampled_from(list(Health)), STARTED_AT_S), max_size=5),
         st.sampled_from([ListKind.DELTA, ListKind.DELTA, ListKind.FULL]),
         st.sampled_from([0, 1, 2]),
     ),
@@ -27,33 +27,38 @@
 
 @given(CHANGES)
 @hypothesis_settings(max_examples=200, deadline=None, derandomize=True)
-def test_changes_leave_what_a_whole_list_would(
+def test_delta_updates_produce_the_same_state_as_a_full_list(
     changes: list[tuple[list[tuple[int, Health, int]], ListKind, int]],
 ) -> None:
     load_balancer = LoadBalancer(settings(), random.Random(1))
     registry, slow_start = load_balancer.registry, load_balancer.slow_start
     listed: dict[int, Endpoint] = {}
     now = START
-    for entries, kind, operators_call in changes:
+    for entries, kind, admin_action in changes:
         now += SECOND
         reported = {
-            number: listed_endpoint(number, health, booted * SECOND) for number, health, booted in entries
+            number: listed_endpoint(number, health, started_at_s * SECOND)
+            for number, health, started_at_s in entries
         }
         listed = reported if kind is ListKind.FULL else listed | reported
         load_balancer.update_list(now, full_list(*reported.values(), kind=kind))
-        load_balancer.set_enabled(now, 3, operators_call != 1)
+        load_balancer.set_enabled(now, 3, admin_action != 1)
         usable = sorted(
-            i for i, b in listed.items() if b.health is Health.READY and i not in registry.admin_disabled
+            i
+            for i, endpoint in listed.items()
+            if endpoint.health is Health.READY and i not in registry.admin_disabled
         )
         assert registry.ring == usable
         assert slow_start.warming_up == {
             i for i in usable if slow_start.capacity_fraction(now, registry.endpoints[i]) < 1.0
         }
-        assert set(registry.endpoints) == {i for i, b in listed.items() if b.health is not Health.REMOVED}
+        assert set(registry.endpoints) == {
+            i for i, endpoint in listed.items() if endpoint.health is not Health.REMOVED
+        }
         assert registry.unlisted == set()  # without attempts in flight they are forgotten at once
 
 
-def lines_run(size: int) -> int:
+def count_executed_lines(size: int) -> int:
     """Count the lines of code run for one change of a list of so many endpoints."""
     load_balancer = LoadBalancer(settings(gateway_count=size // 10), random.Random(1))
     lines = 0
@@ -74,5 +79,5 @@
     return lines
 
 
-def test_a_change_costs_no_more_in_a_longer_list() -> None:
-    assert lines_run(4_000) <= 1.2 * lines_run(200)
+def test_cost_of_a_delta_update_does_not_grow_with_the_list() -> None:
+    assert count_executed_lines(4_000) <= 1.2 * count_executed_lines(200)
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -22,13 +22,13 @@
 
 
 def worst_load_ratio(scenario: Scenario, seeds: int = 1) -> float:
-    found = []
+    ratios = []
     for seed in range(seeds):
         simulation = Simulation(scenario, seed)
         simulation.run()
-        found.append(simulation.worst_load_ratio())
+        ratios.append(simulation.worst_load_ratio())
         assert any(endpoint.sent for endpoint in map(simulation.endpoints.__getitem__, simulation.starting))
-    return max(found)
+    return max(ratios)
 
 
 def scenario_of(size: FleetSize, utilization: float) -> Scenario:
@@ -37,9 +37,7 @@
 
 @pytest.mark.parametrize("utilization", UTILIZATIONS)
 @pytest.mark.parametrize("size", FLEETS)
-def test_endpoints_that_join_or_restart_bear_what_all_gateways_send(
-    size: FleetSize, utilization: float
-) -> None:
+def test_new_and_restarted_endpoints_are_not_overloaded(size: FleetSize, utilization: float) -> None:
     scenario = scenario_of(size, utilization)
     assert worst_load_ratio(scenario) <= 1.0
     assert worst_load_ratio(replace(scenario, restarted=True)) <= 1.0
@@ -48,32 +46,34 @@
 
 @pytest.mark.parametrize("utilization", UTILIZATIONS)
 @pytest.mark.parametrize("size", FLEETS)
-@pytest.mark.parametrize("part", [0.5, 0.75])
-def test_endpoints_in_slow_start_bear_it_where_warm_ones_fail_and_the_rest_are_far_over_capacity(
-    part: float, size: FleetSize, utilization: float
+@pytest.mark.parametrize("failing_fraction", [0.5, 0.75])
+def test_endpoints_in_slow_start_are_not_overloaded_when_warm_ones_fail(
+    failing_fraction: float, size: FleetSize, utilization: float
 ) -> None:
     """The other warm endpoints then receive the whole load with its retries, more than they can serve."""
-    scenario = replace(scenario_of(size, utilization), failing=int(part * size.warm), restarted=True)
+    scenario = replace(
+        scenario_of(size, utilization), failing=int(failing_fraction * size.warm), restarted=True
+    )
     assert worst_load_ratio(scenario) <= 1.0
     assert worst_load_ratio(replace(scenario, error_ratio=0.1)) <= 1.0
 
 
-@pytest.mark.parametrize(("multiple", "start"), [(1.5, 0.4), (1.2, 0.1), (3.0, 0.2)])
+@pytest.mark.parametrize(("overload_multiple", "initial_capacity"), [(1.5, 0.4), (1.2, 0.1), (3.0, 0.2)])
 @pytest.mark.parametrize("failing", [0, 6])
-def test_endpoints_in_slow_start_bear_it_by_other_settings(
-    failing: int, multiple: float, start: float
+def test_endpoints_in_slow_start_are_not_overloaded_with_other_settings(
+    failing: int, overload_multiple: float, initial_capacity: float
 ) -> None:
     scenario = replace(
         scenario_of(FLEETS[1], 0.9),
-        overload_multiple=multiple,
-        initial_capacity=start,
+        overload_multiple=overload_multiple,
+        initial_capacity=initial_capacity,
         restarted=True,
         failing=failing,
     )
     assert worst_load_ratio(scenario) <= 1.0
 
 
-def test_token_rates_by_attempts_sent_instead_of_completions_would_overload_endpoints_in_slow_start(
+def test_token_rates_based_on_attempts_sent_overload_endpoints_in_slow_start(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Show that the bound of the other tests can be exceeded."""
@@ -89,10 +89,12 @@
 
 
 @pytest.mark.parametrize("size", FLEETS[:2])
-def test_endpoints_in_slow_start_get_work_while_warm_ones_are_busy(size: FleetSize) -> None:
+def test_endpoints_in_slow_start_are_used_while_warm_ones_are_busy(size: FleetSize) -> None:
     """Over the slow start each receives over half of what it could serve."""
     simulation = Simulation(replace(scenario_of(size, 0.9), restarted=True), 0)
     simulation.run()
-    most = size.capacity_per_s * SLOW_START_NS / SECOND * (1.0 + simulation.scenario.initial_capacity) / 2
+    max_served = (
+        size.capacity_per_s * SLOW_START_NS / SECOND * (1.0 + simulation.scenario.initial_capacity) / 2
+    )
     for number in simulation.starting:
-        assert len(simulation.endpoints[number].sent) > 0.5 * most
+        assert len(simulation.endpoints[number].sent) > 0.5 * max_served
--- a/tests/decisions/test_slow_start_of_all.py
+++ b/tests/decisions/test_slow_start_of_all.py
@@ -8,19 +8,19 @@
 
 from qos_gateway.decisions.load_balancing.slow_start import LAST_WARM_RATE_FRACTION, SlowStart
 from tests.support.builders import SECOND, settings
-from tests.support.slow_start_scenario import LEAD_NS, START_NS, FleetSize, Scenario
+from tests.support.slow_start_scenario import START_NS, TRAFFIC_LEAD_NS, FleetSize, Scenario
 from tests.support.slow_start_simulation import Simulation
 
 ENDPOINTS = 6
 MANY_REQUESTS_MAX_GATEWAYS = 40  # beyond it, a gateway gets only two requests a second
 MIN_SERVED_AFTER_REPLACEMENT = 0.93  # over 45 s
 MIN_SERVED_AFTER_START = 0.7  # over 26 s
-GROUPS = {3: 1, 12: 1, 40: 2, 200: 4}  # of six endpoints and 105 requests a second, by gateways
+ENDPOINT_GROUPS = {3: 1, 12: 1, 40: 2, 200: 4}  # of six endpoints and 105 requests a second, by gateways
 
 
 def scenario(gateways: int, **changes: object) -> Scenario:
     """Return a fleet whose gateways get fewer requests each, the more there are."""
-    groups = GROUPS[gateways]
+    groups = ENDPOINT_GROUPS[gateways]
     warm = 0 if changes.get("all_start_first") else ENDPOINTS * groups
     fleet = FleetSize(gateways=gateways, warm=warm, starting=ENDPOINTS * groups, capacity_per_s=40.0)
     return Scenario(
@@ -32,8 +32,8 @@
     )
 
 
-@pytest.mark.parametrize("gateways", GROUPS)
-def test_service_goes_on_while_all_endpoints_are_replaced(gateways: int) -> None:
+@pytest.mark.parametrize("gateways", ENDPOINT_GROUPS)
+def test_service_continues_while_all_endpoints_are_replaced(gateways: int) -> None:
     replaced = scenario(gateways, duration_ns=45 * SECOND)
     interval_ns = 7 * SECOND // replaced.fleet.starting
     simulation = Simulation(
@@ -41,24 +41,24 @@
     )
     simulation.run()
     assert simulation.worst_load_ratio() <= 1.0
-    assert simulation.served_share(START_NS, START_NS + 45 * SECOND) >= MIN_SERVED_AFTER_REPLACEMENT
+    assert simulation.served_fraction(START_NS, START_NS + 45 * SECOND) >= MIN_SERVED_AFTER_REPLACEMENT
 
 
-@pytest.mark.parametrize("gateways", GROUPS)
-def test_service_begins_where_gateways_and_all_endpoints_start_together(gateways: int) -> None:
+@pytest.mark.parametrize("gateways", ENDPOINT_GROUPS)
+def test_service_begins_when_all_gateways_and_endpoints_start_together(gateways: int) -> None:
     simulation = Simulation(
         scenario(gateways, all_start_first=True, restarted=True, duration_ns=26 * SECOND), seed=1
     )
     simulation.run()
-    begin = START_NS - LEAD_NS
+    begin = START_NS - TRAFFIC_LEAD_NS
     assert simulation.worst_load_ratio() <= 1.0
     if gateways <= MANY_REQUESTS_MAX_GATEWAYS:
-        assert simulation.served_share(begin, begin + 26 * SECOND) >= MIN_SERVED_AFTER_START
+        assert simulation.served_fraction(begin, begin + 26 * SECOND) >= MIN_SERVED_AFTER_START
 
 
 @pytest.mark.parametrize("utilization", [0.9, 3.0])
 @pytest.mark.parametrize(("gateways", "endpoints"), [(3, 6), (30, 12), (200, 16)])
-def test_slow_endpoints_that_all_start_together_are_not_overloaded(
+def test_low_capacity_endpoints_that_start_together_are_not_overloaded(
     gateways: int, endpoints: int, utilization: float
 ) -> None:
     fleet = FleetSize(gateways=gateways, warm=0, starting=endpoints, capacity_per_s=6.0)
@@ -71,7 +71,7 @@
     assert simulation.worst_load_ratio() <= 1.0
 
 
-def test_estimate_continues_where_the_last_warm_endpoint_leaves_and_where_the_first_is_warm_again() -> None:
+def test_completion_rate_is_continuous_when_the_last_warm_endpoint_leaves_and_the_first_returns() -> None:
     slow_start = SlowStart(settings())
     now = 100 * SECOND
     slow_start.record_capacity(now, 6.0, all_warming_up=False, gateways_per_endpoint=3.0)
--- a/tests/state/test_endpoint.py
+++ b/tests/state/test_endpoint.py
@@ -27,7 +27,7 @@
     assert (state.last_response_at, state.latest_successful_send) == (5 * SECOND, 4 * SECOND)
 
 
-def test_a_late_success_of_an_early_attempt_does_not_move_the_latest_answered_send_back() -> None:
+def test_a_late_success_of_an_early_attempt_does_not_decrease_the_latest_successful_send() -> None:
     state = endpoint_state()
     state.record_success(5 * SECOND, 4 * SECOND, 1.0)
     state.record_success(6 * SECOND, 2 * SECOND, 4.0)
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize(("started_at", "slow_start_at"), [(2, 9), (4, 9), (5, 5), (7, 7)])
-def test_after_a_disabling_slow_start_is_assumed_unless_a_start_since_then_is_known(
+def test_enabled_endpoint_begins_slow_start_unless_a_start_since_the_disabling_is_known(
     started_at: int, slow_start_at: int
 ) -> None:
     previous = endpoint_state(started_at)
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize(("started_at", "slow_start_at"), [(4, 9), (5, 5), (7, 7)])
-def test_a_restart_reported_later_replaces_the_assumed_start_if_it_was_during_the_disabling(
+def test_restart_since_the_disabling_replaces_the_assumed_start_when_it_is_reported(
     started_at: int, slow_start_at: int
 ) -> None:
     previous = endpoint_state(2)
--- a/tests/state/test_zone.py
+++ b/tests/state/test_zone.py
@@ -11,7 +11,7 @@
     ("own", "other", "expected"),
     [(None, 6, True), (4, 6, True), (5, 6, False), (6, 6, False), (4, 5, False), (None, None, False)],
 )
-def test_only_others_responded_after_a_time(own: int | None, other: int | None, expected: bool) -> None:
+def test_only_others_responded_since_a_time(own: int | None, other: int | None, expected: bool) -> None:
     zones = ZoneTable()
     for zone, at in ((1, own), (2, other)):
         if at is not None:
@@ -19,7 +19,7 @@
     assert zones.only_others_responded(1, since=5) is expected
 
 
-def test_a_zone_found_unresponsive_does_not_count_again_for_attempts_before() -> None:
+def test_zone_found_unresponsive_is_not_detected_again_by_earlier_attempts() -> None:
     zones = ZoneTable()
     zones.record_response(6, 2)
     assert zones.only_others_responded(1, since=5)
@@ -29,7 +29,7 @@
     assert zones.only_others_responded(1, since=7)
 
 
-def test_attempts_sent_up_to_the_detection_were_lost_with_the_zone() -> None:
+def test_attempts_sent_up_to_the_detection_are_lost_with_the_zone() -> None:
     zones = ZoneTable()
     assert not zones.was_found_unresponsive_since(1, 0)
     zones.record_unresponsive(6, 1)
--- a/tests/support/slow_start_scenario.py
+++ b/tests/support/slow_start_scenario.py
@@ -10,7 +10,9 @@
 
 # All times are in ns. Endpoints start at START_NS; in the endpoint list a start at 0 is long ago.
 START_NS = 100 * SECOND
-LEAD_NS, SLOW_START_NS, OVERLOAD_WINDOW_NS = SECOND, 5 * SECOND, 2 * SECOND
+TRAFFIC_LEAD_NS = SECOND
+SLOW_START_NS = 5 * SECOND
+OVERLOAD_WINDOW_NS = 2 * SECOND
 RESPONSE_TIME_NS = 40 * MS  # without the time in the queue and the time of the work
 MAX_QUEUE_S = 0.8  # of work that waits at an endpoint; beyond it, the endpoint rejects requests
 
@@ -82,6 +84,8 @@
                 informed -= self.sent[first][1]
                 first += 1
             received = last + 1 - first
-            n = self.scenario.overload_multiple * self.capacity(now) * OVERLOAD_WINDOW_NS / SECOND
+            overload_attempts = (
+                self.scenario.overload_multiple * self.capacity(now) * OVERLOAD_WINDOW_NS / SECOND
+            )
             if now < self.started_at + self.scenario.slow_start_ns and 3 * informed > 2 * received:
-                yield received / (n + 2 * sqrt(n) + 2)
+                yield received / (overload_attempts + 2 * sqrt(overload_attempts) + 2)
--- a/tests/support/slow_start_simulation.py
+++ b/tests/support/slow_start_simulation.py
@@ -24,10 +24,10 @@
 )
 from tests.support.builders import MS, SECOND, arrival, ended, listed_endpoint, plan, settings
 from tests.support.slow_start_scenario import (
-    LEAD_NS,
     OVERLOAD_WINDOW_NS,
     SLOW_START_NS,
     START_NS,
+    TRAFFIC_LEAD_NS,
     Scenario,
     SimulatedEndpoint,
 )
@@ -37,7 +37,7 @@
     """An event for one incarnation of a gateway; None is the list with the endpoints that start."""
 
     at: int
-    order: int
+    sequence: int
     position: int
     incarnation: int
     event: Event | None
@@ -68,13 +68,13 @@
         ids = self.rng.sample(range(1, 10_000), fleet.warm + fleet.starting)
         self.failing, self.starting = ids[: scenario.failing], ids[fleet.warm :]
         known = ids if scenario.restarted else ids[: fleet.warm]
-        first_start = START_NS - LEAD_NS if scenario.all_start_first else 0
+        first_start = START_NS - TRAFFIC_LEAD_NS if scenario.all_start_first else 0
         self.endpoints = {i: SimulatedEndpoint(scenario, started_at=first_start) for i in known}
         self.gateways = [self.new_gateway(position) for position in range(fleet.gateways)]
         self.incarnations = [0] * fleet.gateways  # events for an earlier incarnation are dropped
-        self.informed = [scenario.all_start_first] * fleet.gateways
+        self.informed = [scenario.all_start_first] * fleet.gateways  # of the starts of endpoints
         self.events: list[ScheduledEvent] = []
-        self.order = count()
+        self.sequence = count()
         self.in_flight: dict[tuple[int, int], AttemptInFlight] = {}  # by request and attempt
         self.attempts: dict[int, int] = {}
         self.requests = 0
@@ -83,7 +83,7 @@
 
     def new_gateway(self, position: int) -> DecisionEngine:
         return DecisionEngine(
-            replace(self.settings, position=position), self.rng.randrange(1 << 30), START_NS - LEAD_NS
+            replace(self.settings, position=position), self.rng.randrange(1 << 30), START_NS - TRAFFIC_LEAD_NS
         )
 
     def topology(self, kind: ListKind) -> Topology:
@@ -94,22 +94,22 @@
         return Topology(kind, 1, entries)
 
     def schedule(self, at: int, position: int, event: Event | None) -> None:
-        entry = ScheduledEvent(at, next(self.order), position, self.incarnations[position], event)
+        entry = ScheduledEvent(at, next(self.sequence), position, self.incarnations[position], event)
         heappush(self.events, entry)
 
     def run(self) -> None:
-        """Send requests to the gateways from `LEAD_NS` before the start to the end of the slow start."""
+        """Send requests from `TRAFFIC_LEAD_NS` before `START_NS` until `duration_ns` after it."""
         scenario, rng = self.scenario, self.rng
         positions = range(scenario.fleet.gateways)
         for position in positions:
-            list_at = START_NS - LEAD_NS + rng.randrange(100 * MS)
+            list_at = START_NS - TRAFFIC_LEAD_NS + rng.randrange(100 * MS)
             self.schedule(list_at, position, self.topology(ListKind.FULL))
             for start in self.starts():
                 self.schedule(start + rng.randrange(50 * MS, 400 * MS), position, None)
         shares = list(accumulate(rng.lognormvariate(0.0, scenario.traffic_spread) for _ in positions))
         restarts = {START_NS + SLOW_START_NS // 2 + i * 20 * MS: i for i in range(scenario.gateway_restarts)}
         rate = self.requests_per_ns()
-        now, starts = START_NS - LEAD_NS, self.starts()
+        now, starts = START_NS - TRAFFIC_LEAD_NS, self.starts()
         while now < START_NS + scenario.duration_ns:
             now += int(rng.expovariate(rate))
             while self.events and self.events[0].at <= now:
@@ -138,7 +138,7 @@
     def send_request(self, now: int, position: int) -> None:
         self.requests += 1
         self.request_times.append((now, self.requests))
-        made = arrival(
+        event = arrival(
             self.requests,
             now,
             class_index=self.requests % 3,
@@ -146,7 +146,7 @@
             gateway_spread=1,
             first_gateway=position,
         )
-        self.handle(now, position, made)
+        self.handle(now, position, event)
 
     def start_endpoints(self, now: int) -> None:
         """Start all endpoints that are to start, or the next of those that replace one after the other."""
@@ -205,23 +205,23 @@
         attempt = self.attempts[send.request_id] = self.attempts.get(send.request_id, -1) + 1
         if endpoint.started_at:
             endpoint.sent.append((now, self.informed[position]))
-        chance = self.rng.random()
+        draw = self.rng.random()
         at: int | None
         if endpoint.failed:
             at, outcome = now + 2 * MS, Outcome.CONNECT_FAILED
         elif (at := endpoint.serve(now, self.rng.uniform(0.5, 1.5))) is None:
             at, outcome = now + 2 * MS, Outcome.OVERLOADED
         else:
-            outcome = Outcome.ERROR if chance < self.scenario.error_ratio / 2 else Outcome.OK
+            outcome = Outcome.ERROR if draw < self.scenario.error_ratio / 2 else Outcome.OK
         timeout = send.timeout or 3 * SECOND
-        if at - now > timeout or self.scenario.error_ratio / 2 <= chance < self.scenario.error_ratio:
+        if at - now > timeout or self.scenario.error_ratio / 2 <= draw < self.scenario.error_ratio:
             at, outcome = now + timeout, Outcome.TIMEOUT
         self.in_flight[send.request_id, attempt] = AttemptInFlight(send.endpoint, now)
         finished = outcome is Outcome.OK or (outcome is Outcome.TIMEOUT and not send.timeout)
         result = ended(send.request_id, send.endpoint, outcome, attempt, elapsed=at - now, finished=finished)
         self.schedule(at, position, result)
 
-    def served_share(self, begin: int, end: int) -> float:
+    def served_fraction(self, begin: int, end: int) -> float:
         """Return which share of the requests that came between two times was served."""
         numbers = [number for at, number in self.request_times if begin <= at < end]
         return sum(number in self.served_requests for number in numbers) / len(numbers)
