--- a/tests/decisions/test_disabled_endpoints.py
+++ b/tests/decisions/test_disabled_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that operators disable: what the decision engine makes of it."""
+"""How the decision engine treats endpoints that operators disable."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def send_request(engine: DecisionEngine, request: int, now: int, outcome: Outcome = Outcome.OK) -> int:
-    """Let a request arrive and end at once; return the endpoint that it goes to, 0 for none."""
+    """Send a request that ends at once; return its endpoint, 0 if it was not sent."""
     sends = [a for a in engine.handle(now, arrival(request, now, customer_id=request)) if isinstance(a, Send)]
     if not sends:
         return 0
@@ -29,7 +29,7 @@
 def test_disabled_endpoint_gets_neither_requests_nor_retries() -> None:
     engine = engine_with(1, 2)
     engine.handle(START, SetEndpointEnabled(1, False))
-    engine.handle(START, SetEndpointEnabled(1, False))  # disabled twice, it is enabled by one call
+    engine.handle(START, SetEndpointEnabled(1, False))  # disabling is idempotent: one call enables it
     assert {send_request(engine, n, START + n * MS) for n in range(1, 40)} == {2}
     engine.handle(START, arrival(50, START))
     actions = engine.handle(START + MS, ended(50, 2, Outcome.CONNECT_FAILED))
@@ -64,7 +64,7 @@
     gateways: int,
 ) -> None:
     engine = engine_with(1, 2, 3, gateways=gateways)
-    for n in range(1, 9):  # ejected again and again, for long
+    for n in range(1, 9):  # repeated ejections with increasing ejection times
         engine.load_balancer.registry.endpoints[1].ejected_until = 0
         engine.load_balancer.attempt_ended(START + n, ended(n, 1, Outcome.CONNECT_FAILED), (0, 0), 1.0)
     assert engine.load_balancer.excluded_count(START + 9) == 1
@@ -79,7 +79,8 @@
             used_at.append(now)
     assert used_at
     assert used_at[0] <= START + 6 * SECOND
-    assert len([now for now in used_at if now < START + 3 * SECOND]) <= 8  # of 40: a warm one had a third
+    # Of 40 requests; a warm endpoint would get a third.
+    assert len([now for now in used_at if now < START + 3 * SECOND]) <= 8
 
 
 def test_enabled_endpoint_begins_slow_start_unless_it_started_while_disabled() -> None:
@@ -93,11 +94,11 @@
     assert 0.2 <= assumed < 0.3
     engine.handle(
         now, full_list(listed_endpoint(1, started_at=START - 30 * SECOND), listed_endpoint(2))
-    )  # a start before it was disabled
+    )  # started before it was disabled
     assert load_balancer.slow_start.capacity_fraction(now, load_balancer.registry.endpoints[1]) == assumed
     engine.handle(
         now, full_list(listed_endpoint(1, started_at=START + SECOND), listed_endpoint(2))
-    )  # reported late, but while it was disabled
+    )  # started while it was disabled, reported late
     fraction = load_balancer.slow_start.capacity_fraction(now, load_balancer.registry.endpoints[1])
     assert fraction == pytest.approx(0.6)
 
@@ -109,6 +110,6 @@
         engine.load_balancer.slow_start.capacity_fraction(START, engine.load_balancer.registry.endpoints[1])
         == 1.0
     )
-    engine.handle(START, SetEndpointEnabled(9, False))  # not in the list so far
+    engine.handle(START, SetEndpointEnabled(9, False))  # not in the list yet
     engine.handle(START, SetEndpointEnabled(9, True))
     assert engine.load_balancer.excluded_count(START) == 0
--- a/tests/decisions/test_endpoint_list.py
+++ b/tests/decisions/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Changes of the endpoint list, applied one by one, leave the state that a whole list would."""
+"""Delta updates of the endpoint list produce the same state as a full list."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.support.builders import SECOND, full_list, listed_endpoint, settings
 
 START = 1_000 * SECOND
-STARTED_AT_S = st.sampled_from([0, 990, 999, 1_000])  # s
+STARTED_AT_S = st.sampled_from([0, 990, 999, 1_000])
 CHANGES = st.lists(
     st.tuples(
         st.lists(st.tuples(st.integers(1, 12), st.sampled_from(list(Health)), STARTED_AT_S), max_size=5),
@@ -55,11 +55,11 @@
         assert set(registry.endpoints) == {
             i for i, endpoint in listed.items() if endpoint.health is not Health.REMOVED
         }
-        assert registry.unlisted == set()  # without attempts in flight they are forgotten at once
+        assert registry.unlisted == set()  # removed at once without attempts in flight
 
 
 def count_executed_lines(size: int) -> int:
-    """Count the lines of code run for one change of a list of so many endpoints."""
+    """Count the lines of code that a delta update executes on a list of the given size."""
     load_balancer = LoadBalancer(settings(gateway_count=size // 10), random.Random(1))
     lines = 0
     load_balancer.update_list(START, full_list(*map(listed_endpoint, range(1, size + 1))))
--- a/tests/decisions/test_load_balancer.py
+++ b/tests/decisions/test_load_balancer.py
@@ -1,4 +1,4 @@
-"""The choice of endpoints, each on a gateway acting alone."""
+"""Endpoint selection by a single gateway."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     load_balancer = engine_alone().load_balancer
     for i in range(80):
         for endpoint_id in range(1, 5):
-            # Everywhere: one in three, two in a row. Of one alone: all.
+            # A single endpoint resets every attempt; if all do, two consecutive attempts of every six.
             is_reset = endpoint_id in resetting and (i % 6 in (3, 4) or ejected)
             outcome = Outcome.RESET if is_reset else Outcome.OK
             load_balancer.attempt_ended(i * 100 * MS, ended(i, endpoint_id, outcome), (SAFE, 0), 1.0)
@@ -39,7 +39,7 @@
 
 
 def test_deadlines_before_a_response_is_due_eject_no_endpoint() -> None:
-    # Clients with little time ejected slower endpoints that answered all others.
+    # Regression: clients with short deadlines ejected slow endpoints that answered all other clients.
     load_balancer = engine_alone().load_balancer
     for i in range(10):
         for endpoint_id in range(1, 5):
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Endpoints in slow start bear the load of all gateways: each window of the slow start, by simulation."""
+"""Simulations: all gateways together overload no endpoint in any window of its slow start."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 def test_endpoints_in_slow_start_are_not_overloaded_when_warm_ones_fail(
     failing_fraction: float, size: FleetSize, utilization: float
 ) -> None:
-    """The other warm endpoints then receive the whole load with its retries, more than they can serve."""
+    """The remaining warm endpoints receive the whole load and its retries, far more than they can serve."""
     scenario = replace(
         scenario_of(size, utilization), failing=int(failing_fraction * size.warm), restarted=True
     )
@@ -76,7 +76,7 @@
 def test_token_rates_based_on_attempts_sent_overload_endpoints_in_slow_start(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Show that the bound of the other tests can be exceeded."""
+    """Verify that the simulation can exceed the bound that the other tests check."""
     original = LoadBalancer.attempt_started
 
     def attempt_started(load_balancer: LoadBalancer, now: int, state: EndpointState) -> None:
@@ -90,7 +90,7 @@
 
 @pytest.mark.parametrize("size", FLEETS[:2])
 def test_endpoints_in_slow_start_are_used_while_warm_ones_are_busy(size: FleetSize) -> None:
-    """Over the slow start each receives over half of what it could serve."""
+    """Each endpoint receives more than half of the attempts that it could serve during slow start."""
     simulation = Simulation(replace(scenario_of(size, 0.9), restarted=True), 0)
     simulation.run()
     max_served = (
--- a/tests/decisions/test_slow_start_of_all.py
+++ b/tests/decisions/test_slow_start_of_all.py
@@ -1,4 +1,4 @@
-"""All endpoints are in slow start at once: service goes on at what the budget of each of them permits."""
+"""All endpoints are in slow start at once: requests are still served, without overload."""
 
 from __future__ import annotations
 
@@ -12,14 +12,15 @@
 from tests.support.slow_start_simulation import Simulation
 
 ENDPOINTS = 6
-MANY_REQUESTS_MAX_GATEWAYS = 40  # beyond it, a gateway gets only two requests a second
+MANY_REQUESTS_MAX_GATEWAYS = 40  # with more, each gateway receives only two requests per second
 MIN_SERVED_AFTER_REPLACEMENT = 0.93  # over 45 s
 MIN_SERVED_AFTER_START = 0.7  # over 26 s
-ENDPOINT_GROUPS = {3: 1, 12: 1, 40: 2, 200: 4}  # of six endpoints and 105 requests a second, by gateways
+# By number of gateways; each group has ENDPOINTS endpoints and receives 105 requests per second.
+ENDPOINT_GROUPS = {3: 1, 12: 1, 40: 2, 200: 4}
 
 
 def scenario(gateways: int, **changes: object) -> Scenario:
-    """Return a fleet whose gateways get fewer requests each, the more there are."""
+    """Return a scenario in which each gateway receives fewer requests, the more gateways there are."""
     groups = ENDPOINT_GROUPS[gateways]
     warm = 0 if changes.get("all_start_first") else ENDPOINTS * groups
     fleet = FleetSize(gateways=gateways, warm=warm, starting=ENDPOINTS * groups, capacity_per_s=40.0)
--- a/tests/state/test_endpoint.py
+++ b/tests/state/test_endpoint.py
@@ -1,4 +1,4 @@
-"""Transitions of an endpoint's state."""
+"""State transitions of an endpoint."""
 
 from __future__ import annotations
 
--- a/tests/state/test_zone.py
+++ b/tests/state/test_zone.py
@@ -1,4 +1,4 @@
-"""Responses by zone."""
+"""Tracking of responsive and unresponsive zones."""
 
 from __future__ import annotations
 
--- a/tests/support/slow_start_scenario.py
+++ b/tests/support/slow_start_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios of endpoints in slow start, and the endpoints themselves, on a virtual clock."""
+"""Scenarios with endpoints in slow start, and simulated endpoints on a virtual clock."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from tests.support.builders import MS, SECOND
 
-# All times are in ns. Endpoints start at START_NS; in the endpoint list a start at 0 is long ago.
+# Endpoints start at START_NS; in the endpoint list, 0 is a start long ago.
 START_NS = 100 * SECOND
-TRAFFIC_LEAD_NS = SECOND
+TRAFFIC_LEAD_NS = SECOND  # from the first request to START_NS
 SLOW_START_NS = 5 * SECOND
 OVERLOAD_WINDOW_NS = 2 * SECOND
-RESPONSE_TIME_NS = 40 * MS  # without the time in the queue and the time of the work
-MAX_QUEUE_S = 0.8  # of work that waits at an endpoint; beyond it, the endpoint rejects requests
+RESPONSE_TIME_NS = 40 * MS  # without queueing and service time
+MAX_QUEUE_S = 0.8  # queueing time beyond which an endpoint rejects requests
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -22,43 +22,44 @@
     """Gateways and endpoints of one simulation."""
 
     gateways: int
-    warm: int  # endpoints that are warm before
-    starting: int  # endpoints that start
-    capacity_per_s: float  # requests that a warm endpoint serves
+    warm: int  # endpoints that are warm at the beginning
+    starting: int  # endpoints that start or restart at `START_NS` or later
+    capacity_per_s: float  # requests per second that a warm endpoint serves
 
 
 @dataclass(frozen=True, kw_only=True)
 class Scenario:
-    """Changes of a list of endpoints; some of them start at `START_NS`."""
+    """Load and changes of the endpoint list; endpoints start at `START_NS` unless stated otherwise."""
 
     fleet: FleetSize
-    utilization: float  # offered load by the capacity of the warm endpoints
+    utilization: float  # offered load / capacity of the warm endpoints
     failing: int = 0  # warm endpoints that fail when the others start
-    restarted: bool = False  # the starting ones were in the list before
-    error_ratio: float = 0.0  # fraction of the attempts that end in an error or a time-out
-    gateway_restarts: int = 0  # in the middle of the slow start
+    restarted: bool = False  # the starting endpoints were in the list before
+    error_ratio: float = 0.0  # fraction of attempts that end in an error or a time-out
+    gateway_restarts: int = 0  # gateways that restart in the middle of the slow start
     overload_multiple: float = 2.0
     initial_capacity: float = 0.2
-    traffic_spread: float = 1.0  # sigma of the logarithm of a gateway's share of the traffic
+    traffic_spread: float = 1.0  # sigma of the log-normal traffic shares of the gateways
     slow_start_ns: int = SLOW_START_NS
     duration_ns: int = SLOW_START_NS  # of the traffic after `START_NS`
-    replacement_interval_ns: int = 0  # between the starts of two endpoints, each with one that fails
-    all_start_first: bool = False  # every endpoint starts when the gateways do, and none later
+    # Between the starts of endpoints, each of which replaces one that fails; 0: all start together.
+    replacement_interval_ns: int = 0
+    all_start_first: bool = False  # every endpoint starts together with the gateways, none later
 
 
 @dataclass
 class SimulatedEndpoint:
-    """A first-in, first-out queue; its capacity rises linearly after its start."""
+    """A FIFO queue whose capacity rises linearly after its start."""
 
     scenario: Scenario
     started_at: int = 0
     free_at: int = 0
     failed: bool = False
-    # Attempts since its start: when, and whether the gateway was informed of the start.
+    # Attempts since its start: send time, and whether the gateway had received the list with that start.
     sent: list[tuple[int, bool]] = field(default_factory=list)
 
     def capacity(self, now: int) -> float:
-        """Return the requests per second that it serves."""
+        """Return its capacity in requests per second."""
         full = self.scenario.fleet.capacity_per_s
         if not self.started_at:
             return full
@@ -66,16 +67,17 @@
         return full * min(1.0, start + (1.0 - start) * (now - self.started_at) / self.scenario.slow_start_ns)
 
     def serve(self, now: int, work: float) -> int | None:
-        """Return when the response is sent, None if the request is rejected."""
+        """Return the time of the response, None if the request is rejected; work 1 is a mean request."""
         if self.free_at - now > MAX_QUEUE_S * SECOND:
             return None
         self.free_at = max(now, self.free_at) + int(work / self.capacity(now) * SECOND)
         return self.free_at + RESPONSE_TIME_NS
 
     def load_ratios(self) -> Iterator[float]:
-        """Compare the attempts in each window of the slow start with the overload limit.
+        """Yield the number of attempts in each window of the slow start, relative to the overload limit.
 
-        Only windows count of which two thirds came from gateways that were informed of its start.
+        Skips windows unless over two thirds of the attempts came from gateways informed of the start. The
+        limit is the overload rate with a margin for random variation.
         """
         first = informed = 0
         for last, (now, was_informed) in enumerate(self.sent):
--- a/tests/support/slow_start_simulation.py
+++ b/tests/support/slow_start_simulation.py
@@ -1,4 +1,4 @@
-"""Gateways and endpoints on a virtual clock, while some of the endpoints are in slow start."""
+"""Simulation of gateways and endpoints on a virtual clock, with endpoints in slow start."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class ScheduledEvent(NamedTuple):
-    """An event for one incarnation of a gateway; None is the list with the endpoints that start."""
+    """An event for one incarnation of a gateway; None is a delta list, created at delivery."""
 
     at: int
     sequence: int
@@ -44,7 +44,7 @@
 
 
 class AttemptInFlight(NamedTuple):
-    """Where an attempt is, and since when."""
+    """Endpoint and send time of an attempt."""
 
     endpoint: int
     sent_at: int
@@ -149,7 +149,7 @@
         self.handle(now, position, event)
 
     def start_endpoints(self, now: int) -> None:
-        """Start all endpoints that are to start, or the next of those that replace one after the other."""
+        """Start all starting endpoints, or the next one if they replace others one by one."""
         interval = self.scenario.replacement_interval_ns
         due = (
             slice((now - START_NS) // interval, (now - START_NS) // interval + 1) if interval else slice(None)
@@ -222,10 +222,10 @@
         self.schedule(at, position, result)
 
     def served_fraction(self, begin: int, end: int) -> float:
-        """Return which share of the requests that came between two times was served."""
+        """Return the fraction of the requests that arrived between two times and were served."""
         numbers = [number for at, number in self.request_times if begin <= at < end]
         return sum(number in self.served_requests for number in numbers) / len(numbers)
 
     def worst_load_ratio(self) -> float:
-        """Return the highest load ratio of the endpoints that start; 0 without one."""
+        """Return the highest load ratio of the starting endpoints, 0 if there is none."""
         return max((ratio for i in self.starting for ratio in self.endpoints[i].load_ratios()), default=0.0)
