--- a/qos_gateway/decisions/load_balancing/load_balancer.py
+++ b/qos_gateway/decisions/load_balancing/load_balancer.py
@@ -19,7 +19,7 @@
 
 GATEWAYS_PER_ENDPOINT = 10  # with it in their subset; each samples it often, and it has few connections
 SLOW_START_COST_FACTOR = 0.7  # cost of an endpoint in slow start that has a token, relative to a warm one
-FAILURE_COST_FACTOR = 3.0  # relative increase of the cost if similar attempts were rejected or timed out
+FAILURE_COST_FACTOR = 3.0  # relative cost increase if similar attempts were recently rejected or timed out
 FAILURE_MEMORY_NS = 3 * LONG_MEMORY_NS  # older results of a class at an endpoint are ignored
 JITTER = 0.1  # maximum random increase of the cost, spreads load over equal endpoints
 PEER_IN_FLIGHT_PRIOR_WEIGHT = 2.0  # attempts added to the own ones in flight and to their mean
--- a/qos_gateway/decisions/load_balancing/outlier_ejection.py
+++ b/qos_gateway/decisions/load_balancing/outlier_ejection.py
@@ -18,7 +18,7 @@
 UNRESPONSIVE_AFTER_LATENCIES = 2.0  # a response is overdue after this many mean latencies
 UNRESPONSIVE_MIN_ENDPOINTS = 3  # with overdue responses, before their zone counts as unresponsive
 RESPONSE_OUTCOMES = (Outcome.OK, Outcome.ERROR, Outcome.OVERLOADED)  # show that a zone responds
-RESET_SAMPLES = (Outcome.OK, Outcome.ERROR, Outcome.RESET)  # outcomes in the reset ratio
+RESET_SAMPLES = (Outcome.OK, Outcome.ERROR, Outcome.RESET)  # executed or failed: in the reset ratio
 NON_FAILURE_OUTCOMES = (Outcome.OK, Outcome.OVERLOADED, Outcome.CANCELLED, Outcome.NOT_SENT)
 
 
--- a/tests/support/slow_start_scenario.py
+++ b/tests/support/slow_start_scenario.py
@@ -49,7 +49,7 @@
 
 @dataclass
 class SimulatedEndpoint:
-    """A FIFO queue whose capacity rises linearly after its start."""
+    """A FIFO queue whose capacity rises linearly after its start; times are in ns."""
 
     scenario: Scenario
     started_at: int = 0
