--- a/tests/decisions/test_disabled_endpoints.py
+++ b/tests/decisions/test_disabled_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that operators disable: what the decision engine makes of it."""
+"""How the decision engine treats endpoints that operators disable."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def send_request(engine: DecisionEngine, request: int, now: int, outcome: Outcome = Outcome.OK) -> int:
-    """Let a request arrive and end at once; return the endpoint that it goes to, 0 for none."""
+    """Send a request that ends at once; return its endpoint, 0 if it was not sent."""
     sends = [a for a in engine.handle(now, arrival(request, now, customer_id=request)) if isinstance(a, Send)]
     if not sends:
         return 0
@@ -29,11 +29,11 @@
 def test_disabled_endpoint_gets_neither_requests_nor_retries() -> None:
     engine = engine_with(1, 2)
     engine.handle(START, SetEndpointEnabled(1, False))
-    engine.handle(START, SetEndpointEnabled(1, False))  # disabled twice, it is enabled by one call
+    engine.handle(START, SetEndpointEnabled(1, False))  # disabling is idempotent: one call enables it
     assert {send_request(engine, n, START + n * MS) for n in range(1, 40)} == {2}
     engine.handle(START, arrival(50, START))
-    again = engine.handle(START + MS, ended(50, 2, Outcome.CONNECT_FAILED))
-    assert [a.endpoint for a in again if isinstance(a, Send)] != [1]
+    actions = engine.handle(START + MS, ended(50, 2, Outcome.CONNECT_FAILED))
+    assert [a.endpoint for a in actions if isinstance(a, Send)] != [1]
     engine.handle(START + SECOND, SetEndpointEnabled(1, True))
     assert 1 in {send_request(engine, n, START + (6 + n) * SECOND) for n in range(60, 70)}
 
@@ -60,9 +60,11 @@
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 8])
-def test_enabled_endpoint_is_in_slow_start_yet_in_use_within_5_s_whatever_its_history(gateways: int) -> None:
+def test_enabled_endpoint_is_in_slow_start_but_used_within_5_s_despite_earlier_ejections(
+    gateways: int,
+) -> None:
     engine = engine_with(1, 2, 3, gateways=gateways)
-    for n in range(1, 9):  # ejected again and again, for long
+    for n in range(1, 9):  # repeated ejections with increasing ejection times
         engine.load_balancer.registry.endpoints[1].ejected_until = 0
         engine.load_balancer.attempt_ended(START + n, ended(n, 1, Outcome.CONNECT_FAILED), (0, 0), 1.0)
     assert engine.load_balancer.excluded_count(START + 9) == 1
@@ -77,35 +79,37 @@
             used_at.append(now)
     assert used_at
     assert used_at[0] <= START + 6 * SECOND
-    assert len([now for now in used_at if now < START + 3 * SECOND]) <= 8  # of 40: a warm one had a third
+    # Of 40 requests; a warm endpoint would get a third.
+    assert len([now for now in used_at if now < START + 3 * SECOND]) <= 8
 
 
-def test_enabled_endpoint_begins_slow_start_unless_the_list_tells_of_an_earlier_start_while_disabled() -> (
-    None
-):
+def test_enabled_endpoint_begins_slow_start_unless_it_started_while_disabled() -> None:
     engine = engine_with(1, 2)
     engine.handle(START, SetEndpointEnabled(1, False))
     engine.handle(START + 5 * SECOND, SetEndpointEnabled(1, False))
     engine.handle(START + 10 * SECOND, SetEndpointEnabled(1, True))
     now = START + 11 * SECOND
     load_balancer = engine.load_balancer
-    assumed = load_balancer.slow_start.fraction(now, load_balancer.registry.endpoints[1])
+    assumed = load_balancer.slow_start.capacity_fraction(now, load_balancer.registry.endpoints[1])
     assert 0.2 <= assumed < 0.3
     engine.handle(
         now, full_list(listed_endpoint(1, started_at=START - 30 * SECOND), listed_endpoint(2))
-    )  # a start before it was disabled
-    assert load_balancer.slow_start.fraction(now, load_balancer.registry.endpoints[1]) == assumed
+    )  # started before it was disabled
+    assert load_balancer.slow_start.capacity_fraction(now, load_balancer.registry.endpoints[1]) == assumed
     engine.handle(
         now, full_list(listed_endpoint(1, started_at=START + SECOND), listed_endpoint(2))
-    )  # reported late, but while it was disabled
-    fraction = load_balancer.slow_start.fraction(now, load_balancer.registry.endpoints[1])
+    )  # started while it was disabled, reported late
+    fraction = load_balancer.slow_start.capacity_fraction(now, load_balancer.registry.endpoints[1])
     assert fraction == pytest.approx(0.6)
 
 
 def test_enabling_an_endpoint_that_was_not_disabled_changes_nothing() -> None:
     engine = engine_with(1, 2)
     engine.handle(START, SetEndpointEnabled(1, True))
-    assert engine.load_balancer.slow_start.fraction(START, engine.load_balancer.registry.endpoints[1]) == 1.0
-    engine.handle(START, SetEndpointEnabled(9, False))  # not in the list so far
+    assert (
+        engine.load_balancer.slow_start.capacity_fraction(START, engine.load_balancer.registry.endpoints[1])
+        == 1.0
+    )
+    engine.handle(START, SetEndpointEnabled(9, False))  # not in the list yet
     engine.handle(START, SetEndpointEnabled(9, True))
     assert engine.load_balancer.excluded_count(START) == 0
