--- a/qos_gateway/decisions/quota/counter_quota.py
+++ b/qos_gateway/decisions/quota/counter_quota.py
@@ -34,14 +34,14 @@
         if self._probably_has_tokens(now, account):
             account.counter_calls.forget_refilled(account.plan.rate * elapsed_s)
 
-    def _ceiling_bucket(self, now: int, account: CustomerAccount, even: float) -> TokenBucket:
+    def _ceiling_slice(self, now: int, account: CustomerAccount, share: float) -> TokenBucket:
         """Return a slice of the part of the ceiling that exceeds the quota: the counter grants the quota."""
         buckets = account.buckets
         if buckets.slice_count <= 1:
-            return super()._ceiling_bucket(now, account, even)
+            return super()._ceiling_slice(now, account, share)
         return whole_slice(
             self._ceilings_beyond_quota[account.plan_index],
-            even=even,
+            even=share,
             total=self.handover_fraction,
             largest=self.settings.largest_request_units,
             rank=buckets.rank,
@@ -62,7 +62,7 @@
         is_current = now - account.reports.reported_at < CURRENT_REPORT_NS
         is_current = is_current and (buckets.tokens < charge.units or buckets.below_ceiling(charge.units))
         if is_current or self._is_owner(account):
-            return QuotaDecision.immediate(self._take_from_bucket(now, charge), reports=is_current)
+            return QuotaDecision.immediate(self._take_from_bucket(now, charge), report_usage=is_current)
         # An overloaded counter is called first for customers whose bucket may be empty.
         may_skip = self.counter.call_rate < 1.0 and self._may_spend_unreported(now, account, charge.units)
         if self.rng.random() < self._call_probability(may_skip):
@@ -74,18 +74,18 @@
         skipped = 1.0 if may_skip else 0.0
         return min(1.0, max(0.0, 2.0 * self.counter.call_rate - skipped))
 
-    def _largest_unreported(self, account: CustomerAccount) -> float:
+    def _max_unreported_units(self, account: CustomerAccount) -> float:
         return max(self.settings.largest_request_units, COUNTER_LAG_FRACTION * account.plan.burst)
 
     def _spend_from_slice(self, now: int, account: CustomerAccount, units: float) -> bool:
         """Spend a few units of the even slice without a call, while the customer surely has tokens."""
         unreported = account.counter_calls.unreported_units + units
-        few = unreported <= self._largest_unreported(account) <= account.buckets.local_tokens
+        is_small = unreported <= self._max_unreported_units(account) <= account.buckets.local_tokens
         reported = now - account.usage.reported_at < REPORT_EXPIRES_AFTER_NS
         light = reported and account.usage.fraction < LIGHT_USAGE
         slice_rate = LIGHT_USAGE * account.plan.rate / account.buckets.slices
         light = light and account.demand.requested_rate(now) < slice_rate
-        if not (few and light and self._permits(now, account, units)):
+        if not (is_small and light and self._permits(now, account, units)):
             return False
         account.spend_unreported(units)
         return True
@@ -97,8 +97,8 @@
 
     def _may_spend_unreported(self, now: int, account: CustomerAccount, units: float) -> bool:
         """Return whether a few units may be spent without a call, as the bucket likely has tokens."""
-        few = account.counter_calls.unreported_units + units <= self._largest_unreported(account)
-        permitted = few and account.buckets.tokens >= units and self._permits(now, account, units)
+        is_small = account.counter_calls.unreported_units + units <= self._max_unreported_units(account)
+        permitted = is_small and account.buckets.tokens >= units and self._permits(now, account, units)
         return permitted and self._probably_has_tokens(now, account)
 
     def decide_locally(self, now: int, account: CustomerAccount, units: float) -> bool:
@@ -123,10 +123,10 @@
 
     def resend_releases(self, now: int, accounts: Iterable[CustomerAccount]) -> list[Action]:
         """Release slots that are still counted though no request holds them, as they reduce the limit."""
-        late = [a for a in accounts if a.counter_calls.pending_release <= -IN_FLIGHT_UNIT / 2]
+        unsent = [a for a in accounts if a.counter_calls.pending_release <= -IN_FLIGHT_UNIT / 2]
         return [
             self.counter.call(now, account, 0.0)
-            for account in late
+            for account in unsent
             if self.rng.random() < self.counter.call_rate
         ]
 
@@ -148,8 +148,9 @@
         """Undo a correction that another gateway made first, or grant what the bucket holds."""
         account, call, plan = reading.account, reading.call, reading.account.plan
         if call.is_correction or call.amount < 0:
-            doubled = call.is_correction and reading.surplus < call.amount / 2  # another gateway was first
-            return QuotaReply(actions=[self.counter.call(now, account, -call.amount)] if doubled else [])
+            # Another gateway was first.
+            is_duplicate = call.is_correction and reading.surplus < call.amount / 2
+            return QuotaReply(actions=[self.counter.call(now, account, -call.amount)] if is_duplicate else [])
         has_tokens = not plan.rate or reading.tokens >= min(reading.units, plan.burst / 2)
         granted = has_tokens and (not plan.max_in_flight or reading.in_flight < plan.max_in_flight)
         account.record_in_flight(now, reading.in_flight)
--- a/qos_gateway/decisions/quota/gossip_quota.py
+++ b/qos_gateway/decisions/quota/gossip_quota.py
@@ -35,8 +35,8 @@
     def _is_owner(self, account: CustomerAccount) -> bool:  # noqa: ARG002
         return True
 
-    def _slice(self, account: CustomerAccount, count: int, first: int) -> None:
-        super()._slice(account, count, first)
+    def _assign_slice(self, account: CustomerAccount, count: int, first: int) -> None:
+        super()._assign_slice(account, count, first)
         members = [(first + i) % self.settings.gateway_count for i in range(count)]
         account.peer_totals.set_peers(tuple(member for member in members if member != self.settings.position))
         if self.age.restarted:
@@ -44,28 +44,32 @@
 
     def quota_share(self, now: int, account: CustomerAccount) -> float:
         """Return the fraction of the quota that counts as this gateway's: silent peers keep their slices."""
-        never = self.age.started_at - REPORT_FRESH_FOR_NS
+        not_received = self.age.started_at - REPORT_FRESH_FOR_NS
         peers = self.peer_gossip.peers
-        reports = [peers[p].received_at if p in peers else never for p in account.peer_totals.peers]
+        reports = [peers[p].received_at if p in peers else not_received for p in account.peer_totals.peers]
         return fresh_share(now, account.buckets.slices, reports or [account.reports.reported_at])
 
-    def _bucket(self, now: int, account: CustomerAccount) -> TokenBucket:
+    def _quota_bucket(self, now: int, account: CustomerAccount) -> TokenBucket:
         share = self.quota_share(now, account) * self.handover_fraction
         return TokenBucket(account.plan.rate * share, account.plan.burst * share)
 
     def gossip(self, now: int) -> list[Action]:
         """Return the message to all peers, if one is due."""
-        return [self.peer_gossip.message(now, self.accounts.values())] if self.peer_gossip.is_due(now) else []
+        return (
+            [self.peer_gossip.message(now, self.accounts.values())]
+            if self.peer_gossip.mark_sent_if_due(now)
+            else []
+        )
 
     def on_peer_message(self, now: int, event: PeerMessage) -> QuotaReply:
         """Take off what a peer spent since its last message."""
         message = decode_totals(event.data)
-        if message is None or self.peer_gossip.is_overtaken(event.sender, message):
+        if message is None or self.peer_gossip.is_out_of_order(event.sender, message):
             return QuotaReply()
-        continues = self.peer_gossip.note_message(now, event.sender, message, self.accounts.values())
-        older = self._note_peer_age(now, message.sender_age)
+        continues = self.peer_gossip.record_message(now, event.sender, message, self.accounts.values())
+        peer_is_older = self._detect_restart(now, message.sender_age)
         for total in message.totals:
             if account := self.accounts.get(total.customer_id):
                 self.refill(now, account)
-                account.apply_peer_total(event.sender, total.spent_quarter_units, continues, older)
+                account.apply_peer_total(event.sender, total.spent_quarter_units, continues, peer_is_older)
         return QuotaReply()
--- a/qos_gateway/decisions/quota/leased_quota.py
+++ b/qos_gateway/decisions/quota/leased_quota.py
@@ -29,23 +29,23 @@
         plan, slices = account.plan, account.buckets.slice_count
         if slices < 2 or not plan.rate:
             return False
-        floor = leased_ceiling(plan, EVEN_FRACTION / slices, 1.0 / slices)
-        return not plan.ceiling_rate or floor.capacity >= self.settings.largest_request_units
+        smallest = leased_ceiling(plan, EVEN_FRACTION / slices, 1.0 / slices)
+        return not plan.ceiling_rate or smallest.capacity >= self.settings.largest_request_units
 
-    def _share(self, now: int, account: CustomerAccount) -> float:
+    def _local_share(self, now: int, account: CustomerAccount) -> float:
         return self.leases.quota_share(now, account) * self.handover_fraction
 
-    def _local_bucket(self, now: int, account: CustomerAccount, even: float) -> TokenBucket:
+    def _quota_slice(self, now: int, account: CustomerAccount, share: float) -> TokenBucket:
         if not self.is_leased(account):
-            return super()._local_bucket(now, account, even)
-        plan, share = account.plan, self._share(now, account)
-        saved = plan.burst * min(1.0, MAX_SAVED_FRACTION * share)
-        return TokenBucket(plan.rate * share, max(saved, self.settings.largest_request_units))
+            return super()._quota_slice(now, account, share)
+        plan, local_share = account.plan, self._local_share(now, account)
+        saved = plan.burst * min(1.0, MAX_SAVED_FRACTION * local_share)
+        return TokenBucket(plan.rate * local_share, max(saved, self.settings.largest_request_units))
 
-    def _ceiling_bucket(self, now: int, account: CustomerAccount, even: float) -> TokenBucket:
+    def _ceiling_slice(self, now: int, account: CustomerAccount, share: float) -> TokenBucket:
         if not self.is_leased(account):
-            return super()._ceiling_bucket(now, account, even)
-        return leased_ceiling(account.plan, self._share(now, account), even)
+            return super()._ceiling_slice(now, account, share)
+        return leased_ceiling(account.plan, self._local_share(now, account), share)
 
     def _decide(self, now: int, charge: Charge) -> QuotaDecision:
         """Decide by the local slice alone, so that no request waits for a reply."""
--- a/qos_gateway/decisions/quota/owner_quota.py
+++ b/qos_gateway/decisions/quota/owner_quota.py
@@ -21,15 +21,15 @@
     def _restart_tokens(self, account: CustomerAccount) -> float:
         return account.plan.burst / 2  # the error is the same whether the bucket was full or empty
 
-    def _prepare(self, account: CustomerAccount) -> None:
+    def _prepare_account(self, account: CustomerAccount) -> None:
         if self.age.restarted:
             account.buckets.set_tokens(self._restart_tokens(account))
-        owned = account.plan.ceiling_slack * OWNER_CEILING_FRACTION * self._is_owner(account)
-        account.buckets.set_ceiling_tokens(owned)
+        owned_tokens = account.plan.ceiling_slack * OWNER_CEILING_FRACTION * self._is_owner(account)
+        account.buckets.set_ceiling_tokens(owned_tokens)
 
-    def _ceiling_bucket(self, now: int, account: CustomerAccount, even: float) -> TokenBucket:
-        owned = OWNER_CEILING_FRACTION * self.handover_fraction * self._is_owner(account)
-        return super()._ceiling_bucket(now, account, self.sliced_ceiling_fraction * even + owned)
+    def _ceiling_slice(self, now: int, account: CustomerAccount, share: float) -> TokenBucket:
+        owned_fraction = OWNER_CEILING_FRACTION * self.handover_fraction * self._is_owner(account)
+        return super()._ceiling_slice(now, account, self.sliced_ceiling_fraction * share + owned_fraction)
 
     def _decide(self, now: int, charge: Charge) -> QuotaDecision:
         return super()._decide(now, charge) if self._is_owner(charge.account) else self._reserve(now, charge)
--- a/qos_gateway/decisions/quota/peers/gossip.py
+++ b/qos_gateway/decisions/quota/peers/gossip.py
@@ -32,7 +32,7 @@
         self.sent_at = age.started_at  # in ns
         self.peers: dict[int, PeerStatus] = {}  # by position
 
-    def is_due(self, now: int) -> bool:
+    def mark_sent_if_due(self, now: int) -> bool:
         """Return whether the next message is due, and count it as sent."""
         if now - self.sent_at < self.interval:
             return False
@@ -52,14 +52,14 @@
         ]
         return SendPeerMessage(None, encode_totals(self.incarnation, self.age.tenths(now), totals))
 
-    def is_overtaken(self, sender: int, message: GossipMessage) -> bool:
+    def is_out_of_order(self, sender: int, message: GossipMessage) -> bool:
         """Return whether a newer message of the same process arrived before."""
         last = self.peers.get(sender)
         if last is None or last.incarnation != message.incarnation:
             return False
         return 0 < last.age_tenths - message.sender_age <= MAX_REORDERING_TENTHS
 
-    def note_message(
+    def record_message(
         self, now: int, sender: int, message: GossipMessage, accounts: Iterable[CustomerAccount]
     ) -> bool:
         """Record a peer's message, and return whether its totals continue those that are known.
--- a/qos_gateway/decisions/quota/peers/process_age.py
+++ b/qos_gateway/decisions/quota/peers/process_age.py
@@ -22,7 +22,7 @@
         """Return whether a peer is older, so that its totals include those from before the restart."""
         return peer_age_tenths * SECOND // 10 > now - self.started_at + RESTART_MARGIN_NS
 
-    def note_restart(self) -> bool:
+    def record_restart(self) -> bool:
         """Record that this gateway was restarted; return whether that is new."""
         is_new = not self.restarted
         self.restarted = True
--- a/qos_gateway/decisions/quota/quota.py
+++ b/qos_gateway/decisions/quota/quota.py
@@ -68,20 +68,20 @@
             refilled_at = self.age.started_at if self.uses_counter and spread else now
             plan = self.settings.plans[plan_index]
             account = CustomerAccount.create(customer_id, plan, plan_index, now, refilled_at)
-            self._prepare(account)
+            self._prepare_account(account)
             self.accounts[customer_id] = account
         if spread >= 1 and not account.buckets.slice_count:
-            self._slice(account, min(int(spread), self.settings.gateway_count), int(first))
+            self._assign_slice(account, min(int(spread), self.settings.gateway_count), int(first))
         return account
 
     def prune(self, now: int) -> list[int]:
         """Remove the accounts of inactive customers, and return the ids of these customers."""
         return self.accounts.prune(now)
 
-    def _prepare(self, account: CustomerAccount) -> None:
+    def _prepare_account(self, account: CustomerAccount) -> None:
         """Adapt a new account to the strategy."""
 
-    def _slice(self, account: CustomerAccount, count: int, first: int) -> None:
+    def _assign_slice(self, account: CustomerAccount, count: int, first: int) -> None:
         """Slice the quota evenly among `count` gateways from position `first` on.
 
         All slices of the quota together start with one burst on average. The slices of the ceiling start
@@ -112,27 +112,27 @@
         """Refill the customer's buckets up to `now`; call it before any decision on the customer."""
         buckets = account.buckets
         elapsed_s = (now - buckets.refilled_at) / SECOND
-        even = self.handover_fraction / buckets.slice_count if buckets.slice_count else 0.0
+        even_fraction = self.handover_fraction / buckets.slice_count if buckets.slice_count else 0.0
         buckets.refill(
             now,
-            self._bucket(now, account) if elapsed_s else None,
-            self._local_bucket(now, account, even),
-            self._ceiling_bucket(now, account, even),
+            self._quota_bucket(now, account) if elapsed_s else None,
+            self._quota_slice(now, account, even_fraction),
+            self._ceiling_slice(now, account, even_fraction),
         )
         if account.counter_calls.unreported_units:
             self._refill_unreported(now, account, elapsed_s)
 
-    def _bucket(self, now: int, account: CustomerAccount) -> TokenBucket:  # noqa: ARG002 - subclasses use it
+    def _quota_bucket(self, now: int, account: CustomerAccount) -> TokenBucket:  # noqa: ARG002
         return TokenBucket(account.plan.rate, account.plan.burst)
 
-    def _local_bucket(self, now: int, account: CustomerAccount, even: float) -> TokenBucket:  # noqa: ARG002
+    def _quota_slice(self, now: int, account: CustomerAccount, share: float) -> TokenBucket:  # noqa: ARG002
         """Return the slice of the quota's bucket; it can hold any request."""
         plan = account.plan
-        return TokenBucket(plan.rate * even, max(plan.burst * even, self.settings.largest_request_units))
+        return TokenBucket(plan.rate * share, max(plan.burst * share, self.settings.largest_request_units))
 
-    def _ceiling_bucket(self, now: int, account: CustomerAccount, even: float) -> TokenBucket:  # noqa: ARG002
+    def _ceiling_slice(self, now: int, account: CustomerAccount, share: float) -> TokenBucket:  # noqa: ARG002
         plan = account.plan
-        return TokenBucket(plan.ceiling_rate * even, plan.ceiling_burst * even)
+        return TokenBucket(plan.ceiling_rate * share, plan.ceiling_burst * share)
 
     def _refill_unreported(self, now: int, account: CustomerAccount, elapsed_s: float) -> None:
         """Forget unreported units that the bucket has refilled."""
@@ -169,24 +169,26 @@
         limit = account.plan.max_in_flight
         reports = account.reports
         fresh = now - reports.in_flight_elsewhere_at < CURRENT_REPORT_NS
-        most = ceil(limit / (1 if fresh else account.buckets.slices))
-        has_slot = not limit or account.in_flight + fresh * reports.in_flight_elsewhere < most
+        local_limit = ceil(limit / (1 if fresh else account.buckets.slices))
+        has_slot = not limit or account.in_flight + fresh * reports.in_flight_elsewhere < local_limit
         return has_slot and account.buckets.below_ceiling(units)
 
     def decide_locally(self, now: int, account: CustomerAccount, units: float) -> bool:
         """Decide without the bucket's state: by the even slice, else at random by the ratio of grants."""
         from_slice = account.buckets.local_tokens >= units
-        drawn = from_slice or self.rng.random() < self._grant_probability(now, account, units)
-        if not drawn or not self._permits(now, account, units):
+        passes = from_slice or self.rng.random() < self._grant_probability(now, account, units)
+        if not passes or not self._permits(now, account, units):
             return False
         account.buckets.spend_locally(units, from_slice)
         return True
 
     def _grant_probability(self, now: int, account: CustomerAccount, units: float) -> float:
         plan_ratio = self.plan_grant_ratio[account.plan_index].mean_with_prior(now, 0.0, PLAN_PRIOR_WEIGHT)
-        fits = account.fraction_within_slice(now, units)
-        fits *= UNCOUNTED_SLOT_PROBABILITY if self.counter.in_flight_slot(account.plan) else 1.0
-        return account.reports.grant_ratio.mean_with_prior(now, plan_ratio, CUSTOMER_PRIOR_WEIGHT) * fits
+        probability = account.fraction_within_slice(now, units)
+        probability *= UNCOUNTED_SLOT_PROBABILITY if self.counter.in_flight_slot(account.plan) else 1.0
+        return (
+            account.reports.grant_ratio.mean_with_prior(now, plan_ratio, CUSTOMER_PRIOR_WEIGHT) * probability
+        )
 
     def _reserve(self, now: int, charge: Charge) -> QuotaDecision:
         """Request the units, and hold the request if its deadline leaves time for the reply."""
@@ -233,7 +235,7 @@
         message = decode_reservation(event.data)
         if message is None or message.plan_index >= len(self.settings.plans):
             return QuotaReply()
-        self._note_peer_age(now, message.sender_age)
+        self._detect_restart(now, message.sender_age)
         if message.kind in (ReservationKind.RESERVE, ReservationKind.CONSUME):
             return self._on_request(now, event.sender, message)
         granted = message.kind == ReservationKind.GRANTED
@@ -254,16 +256,16 @@
         reply = self.reservations.reply(now, sender, account, request.tag, granted)
         return QuotaReply(actions=[reply])
 
-    def _note_peer_age(self, now: int, age_tenths: int) -> bool:
+    def _detect_restart(self, now: int, age_tenths: int) -> bool:
         """Return whether a peer is older, so that its totals are from before the restart.
 
         What was spent before the restart is unknown: each bucket then holds what was likely left.
         """
-        older = self.age.is_older(now, age_tenths)
-        if older and self.age.note_restart():
+        peer_is_older = self.age.is_older(now, age_tenths)
+        if peer_is_older and self.age.record_restart():
             for account in self.accounts.values():
                 account.buckets.limit_tokens(self._restart_tokens(account))
-        return older
+        return peer_is_older
 
     def _restart_tokens(self, account: CustomerAccount) -> float:
         return account.plan.burst / account.buckets.slices
--- a/qos_gateway/decisions/quota/quota_decision.py
+++ b/qos_gateway/decisions/quota/quota_decision.py
@@ -38,11 +38,11 @@
 
     @classmethod
     def immediate(
-        cls, admitted: bool, actions: list[Action] | None = None, reports: bool = False
+        cls, admitted: bool, actions: list[Action] | None = None, report_usage: bool = False
     ) -> QuotaDecision:
         """Return a decision that waits for no reply."""
         verdict = Verdict.ADMITTED if admitted else Verdict.REJECTED
-        return cls(verdict, actions or [], admitted and reports)
+        return cls(verdict, actions or [], admitted and report_usage)
 
 
 @dataclass(slots=True)
