--- a/qos_gateway/decisions/quota/__init__.py
+++ b/qos_gateway/decisions/quota/__init__.py
@@ -1,4 +1,4 @@
-"""Quotas, ceilings and limits on requests in flight, over all gateways that serve a customer."""
+"""Per-customer quotas, ceilings and in-flight limits, enforced jointly by all gateways of a customer."""
 
 import random
 
@@ -7,12 +7,16 @@
 
 
 def create_quota(settings: Settings, seed: int, now: int, rng: random.Random) -> Quota:
-    """Return the best strategy that the settings allow: gossip if fresh enough, owners, or a counter."""
+    """Return the quota for these settings.
+
+    If gateways can message each other: gossip where messages are frequent enough, else bucket owners.
+    Otherwise a shared counter if there is one, else even slices.
+    """
     return _strategy(settings)(settings, seed, now, rng)
 
 
 def _strategy(settings: Settings) -> type[Quota]:
-    """Return the class of the strategy; only the modules of the one that is used are loaded."""
+    """Return the strategy's class; modules are imported on demand, to load only the one in use."""
     if settings.may_message:
         return _messaging_strategy(settings)
     if settings.has_counter and settings.gateway_count > 1:
--- a/qos_gateway/decisions/quota/counter_quota.py
+++ b/qos_gateway/decisions/quota/counter_quota.py
@@ -1,4 +1,4 @@
-"""Quotas held by a counter that all gateways share."""
+"""Quotas enforced through a counter that all gateways share."""
 
 from __future__ import annotations
 
@@ -15,14 +15,17 @@
 from .quota import Quota
 from .quota_decision import Charge, QuotaDecision, QuotaReply
 
-LIGHT_USAGE = 0.75  # of a quota, as reported and as requested here, up to which the bucket has tokens
-TYPICAL_USAGE = 0.4  # of a quota, assumed of a customer with few requests
-UNCERTAIN_USAGE = 0.75  # of a quota, estimated, from which on the bucket may be empty
-COUNTER_LAG_FRACTION = 0.125  # of a burst by which the counter may differ from the bucket uncorrected
+LIGHT_USAGE = 0.75  # of a quota; a bucket has tokens while reported use and local demand are below it
+TYPICAL_USAGE = 0.4  # of a quota; prior for a customer with few requests
+UNCERTAIN_USAGE = 0.75  # of a quota; estimated use from which on the bucket may be empty
+COUNTER_LAG_FRACTION = 0.125  # of a burst, by which the counter may differ from the bucket uncorrected
 
 
 class CounterQuota(Quota):
-    """The counter adds up what all gateways spend; the refill since its key's lifetime began is the limit."""
+    """Compares the units that all gateways spent with the refill since the counter key's lifetime began.
+
+    Customers with light use are served from the local slice, and their units are reported with a later call.
+    """
 
     uses_counter = True
 
@@ -35,7 +38,7 @@
             account.counter_calls.forget_refilled(account.plan.rate * elapsed_s)
 
     def _ceiling_slice(self, now: int, account: CustomerAccount, share: float) -> TokenBucket:
-        """Return a slice of the part of the ceiling that exceeds the quota: the counter grants the quota."""
+        """Return the slice of the ceiling's part beyond the quota; the counter grants the part within it."""
         buckets = account.buckets
         if buckets.slice_count <= 1:
             return super()._ceiling_slice(now, account, share)
@@ -56,21 +59,21 @@
             if self._spend_from_slice(now, account, charge.units) or unlimited:
                 return QuotaDecision.immediate(True)
             if buckets.tokens < charge.units:
-                # Refilled since the last report, the bucket holds at most these tokens.
+                # These tokens include the refill since the last report, so the bucket holds no more.
                 return QuotaDecision.immediate(False)
-        # A current report decides at once, unless only this gateway's slice of the ceiling is too small.
+        # A current report suffices, unless the bucket has the units and only the ceiling's slice lacks them.
         is_current = now - account.reports.reported_at < CURRENT_REPORT_NS
         is_current = is_current and (buckets.tokens < charge.units or buckets.below_ceiling(charge.units))
         if is_current or self._is_owner(account):
             return QuotaDecision.immediate(self._take_from_bucket(now, charge), report_usage=is_current)
-        # An overloaded counter is called first for customers whose bucket may be empty.
+        # While the counter is overloaded, calls for customers whose bucket may be empty take precedence.
         may_skip = self.counter.call_rate < 1.0 and self._may_spend_unreported(now, account, charge.units)
         if self.rng.random() < self._call_probability(may_skip):
             return self._reserve(now, charge)
         return QuotaDecision.immediate(self.decide_locally(now, account, charge.units))
 
     def _call_probability(self, may_skip: bool) -> float:
-        """Return the probability of a call: requests that may skip it are the first to lose theirs."""
+        """Return the probability of a call; as the call rate falls, skippable calls are dropped first."""
         skipped = 1.0 if may_skip else 0.0
         return min(1.0, max(0.0, 2.0 * self.counter.call_rate - skipped))
 
@@ -78,7 +81,7 @@
         return max(self.settings.largest_request_units, COUNTER_LAG_FRACTION * account.plan.burst)
 
     def _spend_from_slice(self, now: int, account: CustomerAccount, units: float) -> bool:
-        """Spend a few units of the even slice without a call, while the customer surely has tokens."""
+        """Spend units of the even slice without a call, if they are few and the customer's use is light."""
         unreported = account.counter_calls.unreported_units + units
         is_small = unreported <= self._max_unreported_units(account) <= account.buckets.local_tokens
         reported = now - account.usage.reported_at < REPORT_EXPIRES_AFTER_NS
@@ -91,25 +94,25 @@
         return True
 
     def _probably_has_tokens(self, now: int, account: CustomerAccount) -> bool:
-        """Return whether the bucket likely has tokens, where reports are too rare to be certain."""
+        """Return whether the bucket likely has tokens: an estimate, as reports are too rare to be certain."""
         largest = self.settings.largest_request_units
         return account.usage_estimate(now, TYPICAL_USAGE, largest) < UNCERTAIN_USAGE
 
     def _may_spend_unreported(self, now: int, account: CustomerAccount, units: float) -> bool:
-        """Return whether a few units may be spent without a call, as the bucket likely has tokens."""
+        """Return whether units may be spent without a call: they are few and the bucket likely has tokens."""
         is_small = account.counter_calls.unreported_units + units <= self._max_unreported_units(account)
         permitted = is_small and account.buckets.tokens >= units and self._permits(now, account, units)
         return permitted and self._probably_has_tokens(now, account)
 
     def decide_locally(self, now: int, account: CustomerAccount, units: float) -> bool:
-        """Spend a few units of a bucket that likely has tokens, else decide as without a counter."""
+        """Spend units without a call if that is allowed, else decide as without a counter."""
         if not self._may_spend_unreported(now, account, units):
             return super().decide_locally(now, account, units)
         account.spend_unreported(units)
         return True
 
     def _request_units(self, now: int, account: CustomerAccount, units: float, reservation: int) -> Action:
-        """Count units and a slot; if not all requests are counted, each also counts for the others."""
+        """Return a call that counts units and a slot; if only a sample is counted, units are scaled up."""
         counted = self._call_probability(False)
         if counted < 1.0 and not self._may_spend_unreported(now, account, units):
             units /= counted
@@ -117,12 +120,12 @@
         return self.counter.call(now, account, units + slot, reservation)
 
     def release_slot(self, now: int, account: CustomerAccount) -> list[Action]:
-        """Release the in-flight slot of a request without attempts in flight."""
+        """Release the counted slot of a request with no attempts in flight."""
         slot = self.counter.in_flight_slot(account.plan)
         return [self.counter.call(now, account, -slot)] if slot else []
 
     def resend_releases(self, now: int, accounts: Iterable[CustomerAccount]) -> list[Action]:
-        """Release slots that are still counted though no request holds them, as they reduce the limit."""
+        """Release slots that are counted without a request, as each reduces the in-flight limit."""
         unsent = [a for a in accounts if a.counter_calls.pending_release <= -IN_FLIGHT_UNIT / 2]
         return [
             self.counter.call(now, account, 0.0)
@@ -131,7 +134,7 @@
         ]
 
     def on_counter_reply(self, now: int, event: CounterReplied) -> QuotaReply:
-        """Record the bucket's state, or account for a call that failed."""
+        """Record the bucket's state from a reply, or account for a failed call."""
         account = self.accounts.get(customer_of(event.key))
         call = self.counter.pending_calls.pop_oldest(event.key) if account else None
         if account is None or call is None:
@@ -145,27 +148,28 @@
         return QuotaReply(call.reservation)
 
     def _on_reading(self, now: int, reading: CounterReading) -> QuotaReply:
-        """Undo a correction that another gateway made first, or grant what the bucket holds."""
+        """Undo a correction that another gateway had already made, or decide by the bucket's tokens."""
         account, call, plan = reading.account, reading.call, reading.account.plan
         if call.is_correction or call.amount < 0:
-            # Another gateway was first.
+            # Without the surplus that it removes, another gateway had already made the correction.
             is_duplicate = call.is_correction and reading.surplus < call.amount / 2
             return QuotaReply(actions=[self.counter.call(now, account, -call.amount)] if is_duplicate else [])
         has_tokens = not plan.rate or reading.tokens >= min(reading.units, plan.burst / 2)
         granted = has_tokens and (not plan.max_in_flight or reading.in_flight < plan.max_in_flight)
         account.record_in_flight(now, reading.in_flight)
         actions = self._corrections(now, reading, granted)
-        # A total that is wrong for a moment rejects no longer than reports are fresh.
+        # Bounds the deficit from a transiently wrong total: it is refilled within `CURRENT_REPORT_NS`.
         floor = -plan.rate * REPORT_FRESH_FOR_NS / (4 * SECOND)
         tokens = reading.tokens - reading.units * granted - account.counter_calls.unreported_units
         self._record_report(now, account, max(floor, tokens), granted)
         return QuotaReply(call.reservation, granted, actions)
 
     def _corrections(self, now: int, reading: CounterReading, granted: bool) -> list[Action]:
+        """Return the calls that undo a duplicate correction or a denied request, or remove a surplus."""
         account, call = reading.account, reading.call
         actions: list[Action] = []
         unconfirmed = account.counter_calls.take_unconfirmed_correction()
-        # If the total is far below an empty bucket, another gateway made the same correction.
+        # If the surplus is far below that of an empty bucket, another gateway made the same correction.
         if unconfirmed and reading.surplus < -account.plan.burst - unconfirmed / 2:
             actions.append(self.counter.call(now, account, -unconfirmed))
         if call.amount and not granted and (call.reservation or account.excess_pays):
--- a/qos_gateway/decisions/quota/gossip_quota.py
+++ b/qos_gateway/decisions/quota/gossip_quota.py
@@ -1,4 +1,4 @@
-"""Quotas of which each gateway keeps the whole bucket, and gossips what it spends."""
+"""Quotas replicated by gossip: each gateway keeps the whole bucket and broadcasts what it spent."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 
 def message_interval(settings: Settings) -> float:
-    """Return the ns between two messages to all peers that use half of the messages allowed."""
+    """Return the interval of messages to all peers, in ns, that uses half of the message rate allowed."""
     return 2 * (settings.gateway_count - 1) * SECOND / max(1.0, settings.messages_per_s)
 
 
 class GossipQuota(Quota):
-    """Each gateway keeps the whole bucket, and takes off what the others report."""
+    """Keeps the whole bucket of each customer, and subtracts what the peers report."""
 
     divides_bucket = True
 
     def __init__(self, settings: Settings, seed: int, now: int, rng: random.Random) -> None:
         super().__init__(settings, seed, now, rng)
-        # Half a tick less, so that the tick that is nearest sends the message.
+        # Half a tick less, so that messages are sent at the nearest tick.
         interval = message_interval(settings) - TICK_INTERVAL_NS // 2
         self.peer_gossip = Gossip(self.incarnation, interval, self.age)
 
@@ -43,7 +43,7 @@
             account.buckets.set_tokens(self._restart_tokens(account))
 
     def quota_share(self, now: int, account: CustomerAccount) -> float:
-        """Return the fraction of the quota that counts as this gateway's: silent peers keep their slices."""
+        """Return the fraction of the quota that this gateway may use; silent peers keep their slices."""
         not_received = self.age.started_at - REPORT_FRESH_FOR_NS
         peers = self.peer_gossip.peers
         reports = [peers[p].received_at if p in peers else not_received for p in account.peer_totals.peers]
@@ -62,7 +62,7 @@
         )
 
     def on_peer_message(self, now: int, event: PeerMessage) -> QuotaReply:
-        """Take off what a peer spent since its last message."""
+        """Subtract what a peer spent since its last message."""
         message = decode_totals(event.data)
         if message is None or self.peer_gossip.is_out_of_order(event.sender, message):
             return QuotaReply()
--- a/qos_gateway/decisions/quota/leased_quota.py
+++ b/qos_gateway/decisions/quota/leased_quota.py
@@ -1,4 +1,4 @@
-"""Quotas of which gateways lease parts at the counter for a term."""
+"""Quotas of which gateways lease parts from the counter, each for a term."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LeasedQuota(CounterQuota):
-    """Parts of the quota are leased where all gateways of a customer can; other requests are counted."""
+    """Leases parts of a quota if all gateways of the customer can; other requests are counted one by one."""
 
     leases: Leases
 
@@ -25,7 +25,11 @@
         self.leases = Leases(LeaseTerms(settings.lease_term, self.incarnation), rng)
 
     def is_leased(self, account: CustomerAccount) -> bool:
-        """Return whether all gateways lease the quota; none does where a slice can't hold a request."""
+        """Return whether the quota is leased.
+
+        All gateways of a customer decide alike: none leases if the smallest slice of the ceiling cannot hold
+        the largest request.
+        """
         plan, slices = account.plan, account.buckets.slice_count
         if slices < 2 or not plan.rate:
             return False
@@ -48,7 +52,7 @@
         return leased_ceiling(account.plan, self._local_share(now, account), share)
 
     def _decide(self, now: int, charge: Charge) -> QuotaDecision:
-        """Decide by the local slice alone, so that no request waits for a reply."""
+        """Decide a leased quota from the local slice alone, so that no request waits for a reply."""
         account, limit = charge.account, charge.account.plan.max_in_flight
         if not self.is_leased(account):
             return super()._decide(now, charge)
@@ -59,7 +63,7 @@
         return QuotaDecision.immediate(admitted, claims)
 
     def on_counter_reply(self, now: int, event: CounterReplied) -> QuotaReply:
-        """Process a reply to a claim, or to a counted request."""
+        """Process the reply to a lease claim or to a counted request."""
         if event.key not in self.leases.pending_claims:
             return super().on_counter_reply(now, event)
         self.counter.adapt_call_rate(event.outcome)
--- a/qos_gateway/decisions/quota/owner_quota.py
+++ b/qos_gateway/decisions/quota/owner_quota.py
@@ -1,4 +1,4 @@
-"""Quotas of which one gateway owns a customer's bucket, and the others reserve units at it."""
+"""Quotas with a bucket owner: one gateway holds a customer's bucket, the others reserve units from it."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from .quota import Quota
 from .quota_decision import Charge, QuotaDecision
 
-OWNER_CEILING_FRACTION = 0.75  # of a ceiling, granted by the owner; slices serve without its replies
+OWNER_CEILING_FRACTION = 0.75  # of a ceiling; the rest is sliced, to be used if the owner does not reply
 
 
 class OwnerQuota(Quota):
-    """One gateway owns a customer's bucket, and the others reserve units at it."""
+    """Decides from the bucket if this gateway owns it, else reserves units from the owner."""
 
     sliced_ceiling_fraction = 1.0 - OWNER_CEILING_FRACTION
 
@@ -19,7 +19,8 @@
         return self.reservations.owner(account) == self.settings.position
 
     def _restart_tokens(self, account: CustomerAccount) -> float:
-        return account.plan.burst / 2  # the error is the same whether the bucket was full or empty
+        # The bucket may have been anything from empty to full; half minimizes the largest error.
+        return account.plan.burst / 2
 
     def _prepare_account(self, account: CustomerAccount) -> None:
         if self.age.restarted:
--- a/qos_gateway/decisions/quota/peers/__init__.py
+++ b/qos_gateway/decisions/quota/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between gateways: their bytes, gossip, and reservations at the owner of a bucket."""
+"""Messages between gateways: wire format, gossip, and reservations from a bucket's owner."""
--- a/qos_gateway/decisions/quota/peers/gossip.py
+++ b/qos_gateway/decisions/quota/peers/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip: running totals to all peers, so that the next message makes up for a lost one."""
+"""Gossip of running totals to all peers; as totals are cumulative, a later message replaces a lost one."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from .peer_messages import MAX_TOTALS, CustomerTotal, GossipMessage, encode_totals
 from .process_age import ProcessAge
 
-MAX_REORDERING_TENTHS = 50  # tenths of a second; a peer whose age decreases by more was restarted
+MAX_REORDERING_TENTHS = 50  # tenths of a second; a larger decrease of a peer's age means a restart
 
 
 @dataclass(frozen=True, slots=True)
 class PeerStatus:
-    """The last message of another gateway."""
+    """What the last message of another gateway said of it."""
 
-    incarnation: int  # changes when the gateway restarts
+    incarnation: int  # identifies the process; a restart changes it
     received_at: int  # in ns
-    age_tenths: int  # tenths of a second for which the gateway had been running
+    age_tenths: int  # age of the process when it sent the message, in tenths of a second
 
 
 class Gossip:
-    """Messages to all peers at intervals, and the last message of each peer."""
+    """Builds the periodic message to all peers, and tracks the last message of each peer."""
 
     def __init__(self, incarnation: int, interval: float, age: ProcessAge) -> None:
         self.incarnation = incarnation
@@ -33,14 +33,14 @@
         self.peers: dict[int, PeerStatus] = {}  # by position
 
     def mark_sent_if_due(self, now: int) -> bool:
-        """Return whether the next message is due, and count it as sent."""
+        """Return whether the next message is due; if so, mark it as sent."""
         if now - self.sent_at < self.interval:
             return False
         self.sent_at = now
         return True
 
     def message(self, now: int, accounts: Iterable[CustomerAccount]) -> Action:
-        """Return a message with the totals that the fewest messages repeated."""
+        """Return a message with pending totals, those that were repeated least first."""
         changed = [a for a in accounts if a.peer_totals.pending_messages and a.peer_totals.peers]
         changed.sort(key=lambda account: (-account.peer_totals.pending_messages, account.customer_id))
         included = changed[:MAX_TOTALS]
@@ -53,7 +53,7 @@
         return SendPeerMessage(None, encode_totals(self.incarnation, self.age.tenths(now), totals))
 
     def is_out_of_order(self, sender: int, message: GossipMessage) -> bool:
-        """Return whether a newer message of the same process arrived before."""
+        """Return whether a newer message of the same process has already arrived."""
         last = self.peers.get(sender)
         if last is None or last.incarnation != message.incarnation:
             return False
@@ -62,9 +62,9 @@
     def record_message(
         self, now: int, sender: int, message: GossipMessage, accounts: Iterable[CustomerAccount]
     ) -> bool:
-        """Record a peer's message, and return whether its totals continue those that are known.
+        """Record a peer's message, and return whether its totals continue the earlier ones.
 
-        If they do not, all accounts forget the totals of that peer.
+        They do not if the peer is new or was restarted; all accounts then forget its totals.
         """
         last = self.peers.get(sender)
         self.peers[sender] = PeerStatus(message.incarnation, now, message.sender_age)
--- a/qos_gateway/decisions/quota/peers/peer_messages.py
+++ b/qos_gateway/decisions/quota/peers/peer_messages.py
@@ -1,4 +1,4 @@
-"""Layout of the messages between gateways: bytes to values and back."""
+"""Wire format of the messages between gateways."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-MAX_MESSAGE_BYTES = 256  # of a datagram between gateways
+MAX_MESSAGE_BYTES = 256  # of one datagram
 _HEADER = struct.Struct("<HH")
 _TOTAL = struct.Struct("<QHB")
 _RESERVATION = struct.Struct("<BQBHIH")
-MAX_TOTALS = (MAX_MESSAGE_BYTES - _HEADER.size) // _TOTAL.size  # customers in one message of totals
+MAX_TOTALS = (MAX_MESSAGE_BYTES - _HEADER.size) // _TOTAL.size  # per message
 
 
 class ReservationKind(IntEnum):
     """Kind of a message between a gateway and the owner of a customer's bucket."""
 
-    RESERVE = 1  # requests units
-    CONSUME = 2  # reports units that were used; it has no reply
-    GRANTED = 3  # grants a RESERVE; the units are what the bucket holds
-    DENIED = 4  # denies a RESERVE; the units are what the bucket holds
+    RESERVE = 1  # requests units from the owner
+    CONSUME = 2  # reports units already spent; has no reply
+    GRANTED = 3  # grants a RESERVE; `units` are the tokens left in the bucket
+    DENIED = 4  # denies a RESERVE; `units` are the tokens left in the bucket
 
 
 @dataclass(slots=True, kw_only=True)
@@ -30,14 +30,14 @@
     kind: int
     customer_id: int
     plan_index: int
-    units: float  # 0 to 16,383.75, rounded to quarters
-    tag: int  # number of the reservation, repeated in the reply
-    sender_age: int  # tenths of a second that the sender has been running
+    units: float  # 0 to 16,383.75; encoded in quarter units
+    tag: int  # reservation number; the reply repeats it
+    sender_age: int  # age of the sending process, in tenths of a second
 
 
 @dataclass(slots=True)
 class CustomerTotal:
-    """What the sender counted for one customer."""
+    """The sender's counts for one customer."""
 
     customer_id: int
     spent_quarter_units: int  # running total, modulo 65,536
@@ -46,10 +46,10 @@
 
 @dataclass(slots=True)
 class GossipMessage:
-    """Running totals of one gateway."""
+    """Running totals of the customers of one gateway."""
 
     incarnation: int
-    sender_age: int  # tenths of a second that the sender has been running
+    sender_age: int  # age of the sending process, in tenths of a second
     totals: list[CustomerTotal]
 
 
@@ -58,7 +58,7 @@
 
 
 def encode_reservation(message: Reservation) -> bytes:
-    """Return the message's bytes; units are rounded to quarters and limited to the field's range."""
+    """Encode a message; units are rounded to quarters, units and age are limited to their fields' ranges."""
     return _RESERVATION.pack(
         message.kind,
         message.customer_id,
@@ -70,7 +70,7 @@
 
 
 def decode_reservation(data: bytes) -> Reservation | None:
-    """Return the message; None if the bytes have another form."""
+    """Decode a message; return None if it is malformed."""
     if len(data) != _RESERVATION.size:
         return None
     kind, customer_id, plan_index, quarter_units, tag, sender_age = _RESERVATION.unpack(data)
@@ -87,7 +87,7 @@
 
 
 def encode_totals(incarnation: int, sender_age: int, totals: Iterable[CustomerTotal]) -> bytes:
-    """Return the bytes of a message; at most `MAX_TOTALS` customers, the age in tenths of a second."""
+    """Encode a message; at most `MAX_TOTALS` totals fit, `sender_age` is in tenths of a second."""
     message = _HEADER.pack(incarnation, _u16(sender_age))
     for total in totals:
         message += _TOTAL.pack(
@@ -97,7 +97,7 @@
 
 
 def decode_totals(data: bytes) -> GossipMessage | None:
-    """Return the message; None if the bytes have another form."""
+    """Decode a message; return None if it is malformed."""
     if len(data) < _HEADER.size or (len(data) - _HEADER.size) % _TOTAL.size:
         return None
     incarnation, sender_age = _HEADER.unpack_from(data)
--- a/qos_gateway/decisions/quota/peers/reservations.py
+++ b/qos_gateway/decisions/quota/peers/reservations.py
@@ -1,4 +1,4 @@
-"""The client of the reservation protocol: messages to the owner of a customer's bucket, and its replies."""
+"""Messages of the reservation protocol: requests to the owner of a customer's bucket, and its replies."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ReservationClient:
-    """Builds the messages of the protocol; the gateway of a customer's number owns its bucket."""
+    """Builds the protocol's messages; customer ids are assigned to owners modulo the gateway count."""
 
     def __init__(self, gateway_count: int, age: ProcessAge) -> None:
         self.gateway_count = gateway_count
@@ -20,7 +20,7 @@
         return account.customer_id % self.gateway_count
 
     def request(self, now: int, account: CustomerAccount, units: float, reservation: int) -> Action:
-        """Return the message that reserves units at the owner; with reservation 0 it only reports them."""
+        """Return the message that reserves units from the owner; with reservation 0 it only reports them."""
         message = Reservation(
             kind=ReservationKind.RESERVE if reservation else ReservationKind.CONSUME,
             customer_id=account.customer_id,
@@ -32,7 +32,7 @@
         return SendPeerMessage(self.owner(account), encode_reservation(message))
 
     def reply(self, now: int, sender: int, account: CustomerAccount, tag: int, granted: bool) -> Action:
-        """Return the owner's reply to the request of that tag, with the tokens that its bucket holds."""
+        """Return the owner's reply to the request with that tag, with the tokens left in its bucket."""
         message = Reservation(
             kind=ReservationKind.GRANTED if granted else ReservationKind.DENIED,
             customer_id=account.customer_id,
--- a/qos_gateway/decisions/quota/quota.py
+++ b/qos_gateway/decisions/quota/quota.py
@@ -1,4 +1,4 @@
-"""The local quota, by even slices, and the base of the quotas that other gateways or a counter share."""
+"""Base class of all quota strategies; used directly, it enforces quotas by even local slices."""
 
 from __future__ import annotations
 
@@ -22,22 +22,23 @@
 from .peers.reservations import ReservationClient
 from .quota_decision import Charge, QuotaDecision, QuotaReply, Verdict
 
-USAGE_GRANT_SPAN = 0.5  # of a quota, around full use: from a certain grant to a certain denial
-MIN_RESERVATION_TIME_NS = 4 * TICK_INTERVAL_NS  # to the deadline, or the request cannot wait for a reply
-UNCOUNTED_SLOT_PROBABILITY = 0.4  # that a slot is free where even slices of an in-flight limit are under one
-PLAN_PRIOR_WEIGHT = 0.1  # samples of no grant, as a plan's first reports are representative
-CUSTOMER_PRIOR_WEIGHT = 0.5  # samples of its plan's grants, less than one report on the customer itself
+USAGE_GRANT_SPAN = 0.5  # of a quota, around full use, over which a grant goes from certain to impossible
+MIN_RESERVATION_TIME_NS = 4 * TICK_INTERVAL_NS  # left to the deadline for a request to wait for a reply
+UNCOUNTED_SLOT_PROBABILITY = 0.4  # that a slot is free where even slices of the limit are less than one
+PLAN_PRIOR_WEIGHT = 0.1  # samples of denial; small, as a plan's first reports are representative
+CUSTOMER_PRIOR_WEIGHT = 0.5  # samples of its plan's ratio; a single report on the customer outweighs them
 
 
 class Quota:
-    """Quotas held in local slices; subclasses add who else is asked. Times are in ns, amounts in units.
+    """Enforces quotas by even local slices; subclasses coordinate with peers or a shared counter.
 
-    The random generator is shared with the engine: the order of draws is part of the behaviour.
+    Times are in ns, amounts in units. The random generator is shared with the engine, so the order of draws
+    affects its results.
     """
 
-    uses_counter = False  # a counter that all gateways share keeps the buckets
-    divides_bucket = False  # at a handover both processes keep a part of the bucket's tokens
-    sliced_ceiling_fraction = 1.0  # part of a ceiling that is held in even slices
+    uses_counter = False  # whether a counter shared by all gateways holds the buckets
+    divides_bucket = False  # whether a handover divides the bucket's tokens between both processes
+    sliced_ceiling_fraction = 1.0  # of a ceiling, divided into even slices
     leases: Leases | None = None
 
     def __init__(self, settings: Settings, seed: int, now: int, rng: random.Random) -> None:
@@ -61,10 +62,14 @@
     def account(
         self, now: int, customer_id: int, plan_index: int, spread: int = 0, first: int = 0
     ) -> CustomerAccount:
-        """Return the customer's account; `spread` is 0 until a request of the customer arrives here."""
+        """Return the customer's account, and create it if there is none.
+
+        `spread` gateways, from position `first` on, serve the customer; it is 0 if no request of the
+        customer has arrived here.
+        """
         account = self.accounts.get(customer_id)
         if account is None:
-            # The slices of a new customer have been refilled since the start, as nothing of them was spent.
+            # Nothing of a new customer's slices was spent, so they have been refilling since the start.
             refilled_at = self.age.started_at if self.uses_counter and spread else now
             plan = self.settings.plans[plan_index]
             account = CustomerAccount.create(customer_id, plan, plan_index, now, refilled_at)
@@ -75,17 +80,18 @@
         return account
 
     def prune(self, now: int) -> list[int]:
-        """Remove the accounts of inactive customers, and return the ids of these customers."""
+        """Remove the accounts of inactive customers, and return the customers' ids."""
         return self.accounts.prune(now)
 
     def _prepare_account(self, account: CustomerAccount) -> None:
-        """Adapt a new account to the strategy."""
+        """Set the strategy's initial state of a new account; no-op by default."""
 
     def _assign_slice(self, account: CustomerAccount, count: int, first: int) -> None:
-        """Slice the quota evenly among `count` gateways from position `first` on.
+        """Assign this gateway its even slice among the `count` gateways from position `first` on.
 
-        All slices of the quota together start with one burst on average. The slices of the ceiling start
-        with its slack only, as a restarted gateway cannot know what was spent.
+        The slices of the quota start with one burst in total on average: where a slice of the burst is less
+        than the largest request, it starts with the units of one such request or with none, at random. The
+        slices of the ceiling start with only its slack, as a restarted gateway cannot know what was spent.
         """
         buckets = account.buckets
         buckets.set_slice((self.settings.position - first) % self.settings.gateway_count, count)
@@ -97,11 +103,11 @@
         buckets.start_slices(local_tokens, slack / buckets.slice_count)
 
     def _is_owner(self, account: CustomerAccount) -> bool:
-        """Return whether the bucket kept here is the customer's whole bucket."""
+        """Return whether this gateway holds the customer's whole bucket."""
         return account.buckets.slice_count == 1
 
     def quota_share(self, now: int, account: CustomerAccount) -> float:
-        """Return the fraction of the quota that counts as this gateway's, 1 while reports are fresh."""
+        """Return the fraction of the quota that this gateway may plan with; 1 while reports are fresh."""
         return (
             1.0
             if self._is_owner(account)
@@ -109,7 +115,7 @@
         )
 
     def refill(self, now: int, account: CustomerAccount) -> None:
-        """Refill the customer's buckets up to `now`; call it before any decision on the customer."""
+        """Refill the customer's buckets up to `now`; must be called before each decision on the customer."""
         buckets = account.buckets
         elapsed_s = (now - buckets.refilled_at) / SECOND
         even_fraction = self.handover_fraction / buckets.slice_count if buckets.slice_count else 0.0
@@ -126,7 +132,7 @@
         return TokenBucket(account.plan.rate, account.plan.burst)
 
     def _quota_slice(self, now: int, account: CustomerAccount, share: float) -> TokenBucket:  # noqa: ARG002
-        """Return the slice of the quota's bucket; it can hold any request."""
+        """Return this gateway's slice of the quota; its capacity is at least the largest request."""
         plan = account.plan
         return TokenBucket(plan.rate * share, max(plan.burst * share, self.settings.largest_request_units))
 
@@ -135,22 +141,25 @@
         return TokenBucket(plan.ceiling_rate * share, plan.ceiling_burst * share)
 
     def _refill_unreported(self, now: int, account: CustomerAccount, elapsed_s: float) -> None:
-        """Forget unreported units that the bucket has refilled."""
+        """Reduce the unreported units by those refilled since; no-op without a counter."""
 
     def record_usage(self, now: int, account: CustomerAccount, percent: int) -> None:
-        """Record an endpoint's report of how much of its quota the customer used, in percent."""
+        """Record an endpoint's report of the customer's quota usage, in percent."""
         period_units = account.plan.rate * self.settings.usage_period / SECOND
         account.usage.record(now, percent / 100, period_units)
         grant = min(1.0, max(0.0, 0.5 + (1.01 - (percent + 1) / 100) / USAGE_GRANT_SPAN))
         account.reports.record_grant(now, grant)
 
     def _record_report(self, now: int, account: CustomerAccount, tokens: float, granted: bool) -> None:
-        """Set the bucket's tokens to what its owner or the counter reported."""
+        """Record the bucket's tokens and the decision, as reported by its owner or the counter."""
         account.record_report(now, tokens, granted)
         self.plan_grant_ratio[account.plan_index].add(now, float(granted))
 
     def decide(self, now: int, account: CustomerAccount, request: Arrival, congested: bool) -> QuotaDecision:
-        """Charge a request to its customer's quota; it is reported only after the request is sent."""
+        """Decide on a request and charge it to its customer's quota.
+
+        If the decision has `report_usage` set, call `report_consumed` once the request is sent.
+        """
         may_exceed = account.excess_pays and not congested
         return self._decide(now, Charge(account, request.units, request.deadline, may_exceed))
 
@@ -165,7 +174,10 @@
         return charge.account.take(charge.units, charge.may_exceed)
 
     def _permits(self, now: int, account: CustomerAccount, units: float) -> bool:
-        """Return whether ceiling and in-flight limit permit a request; without a report, its even slice."""
+        """Return whether the ceiling and the in-flight limit permit a request.
+
+        Without a current report on requests in flight elsewhere, an even slice of the limit applies.
+        """
         limit = account.plan.max_in_flight
         reports = account.reports
         fresh = now - reports.in_flight_elsewhere_at < CURRENT_REPORT_NS
@@ -174,7 +186,7 @@
         return has_slot and account.buckets.below_ceiling(units)
 
     def decide_locally(self, now: int, account: CustomerAccount, units: float) -> bool:
-        """Decide without the bucket's state: by the even slice, else at random by the ratio of grants."""
+        """Decide without the bucket's state: from the local slice, else at random by the grant ratio."""
         from_slice = account.buckets.local_tokens >= units
         passes = from_slice or self.rng.random() < self._grant_probability(now, account, units)
         if not passes or not self._permits(now, account, units):
@@ -191,7 +203,7 @@
         )
 
     def _reserve(self, now: int, charge: Charge) -> QuotaDecision:
-        """Request the units, and hold the request if its deadline leaves time for the reply."""
+        """Request the units; the request waits for the reply only if its deadline leaves time for it."""
         if charge.may_exceed and not charge.account.plan.ceiling_rate:
             return QuotaDecision.immediate(True)
         reservation = self._next_reservation()
@@ -201,37 +213,37 @@
         return QuotaDecision.immediate(self.decide_locally(now, charge.account, charge.units), [action])
 
     def _next_reservation(self) -> int:
-        """Return the number of a new reservation, of 32 bits."""
+        """Return a new reservation number, modulo 2**32."""
         self.last_reservation = self.last_reservation + 1 & 0xFFFFFFFF
         return self.last_reservation
 
     def _request_units(self, now: int, account: CustomerAccount, units: float, reservation: int) -> Action:
-        """Return the message or call that requests units; with reservation 0 it only reports them."""
+        """Return the message or call that requests units; with reservation 0 it only reports units spent."""
         return self.reservations.request(now, account, units, reservation)
 
     def report_consumed(self, now: int, account: CustomerAccount, units: float) -> Action:
-        """Report units whose request was sent; call it only if the decision says so."""
+        """Report the units of a sent request; only for decisions with `report_usage`."""
         self._next_reservation()
         return self._request_units(now, account, units, 0)
 
     def release_slot(self, now: int, account: CustomerAccount) -> list[Action]:  # noqa: ARG002
-        """Release the in-flight slot of a request without attempts in flight; no-op without a counter."""
+        """Release the counted slot of a request with no attempts in flight; no-op without a counter."""
         return []
 
     def resend_releases(self, now: int, accounts: Iterable[CustomerAccount]) -> list[Action]:  # noqa: ARG002
-        """Release slots that are still counted though no request holds them; no-op without a counter."""
+        """Release slots that are counted without a request; no-op without a counter."""
         return []
 
     def gossip(self, now: int) -> list[Action]:  # noqa: ARG002 - subclasses use it
-        """Return the message to all peers, if one is due."""
+        """Return the message to all peers if one is due; none by default."""
         return []
 
     def on_counter_reply(self, now: int, event: CounterReplied) -> QuotaReply:  # noqa: ARG002
-        """Record the bucket's state, or account for a call that failed."""
+        """Process the reply to a counter call, or its failure; no-op without a counter."""
         return QuotaReply()
 
     def on_peer_message(self, now: int, event: PeerMessage) -> QuotaReply:
-        """Process an owner's reply, or reply as the owner."""
+        """Process the reply of a bucket's owner, or a request to this gateway as the owner."""
         message = decode_reservation(event.data)
         if message is None or message.plan_index >= len(self.settings.plans):
             return QuotaReply()
@@ -257,9 +269,10 @@
         return QuotaReply(actions=[reply])
 
     def _detect_restart(self, now: int, age_tenths: int) -> bool:
-        """Return whether a peer is older, so that its totals are from before the restart.
+        """Return whether a peer is older than this process, which shows that this gateway was restarted.
 
-        What was spent before the restart is unknown: each bucket then holds what was likely left.
+        The first such peer reduces each bucket to the tokens that were likely left, as what was spent before
+        the restart is unknown.
         """
         peer_is_older = self.age.is_older(now, age_tenths)
         if peer_is_older and self.age.record_restart():
@@ -268,15 +281,16 @@
         return peer_is_older
 
     def _restart_tokens(self, account: CustomerAccount) -> float:
+        """Return the tokens assumed in a customer's bucket after a restart."""
         return account.plan.burst / account.buckets.slices
 
     def capture_accounts(
         self, now: int, incoming_fraction: float, outgoing_fraction: float
     ) -> tuple[AccountSnapshot, ...]:
-        """Return the accounts for the next process; keep the outgoing fraction of the buckets here.
+        """Return the accounts for the next process; this one keeps the outgoing fraction of the buckets.
 
-        Without gossip a bucket's tokens are what the owner or the counter reported, and both processes
-        keep them.
+        The quota's bucket is divided only with gossip. Otherwise its tokens are those reported by the owner
+        or the counter, and both processes keep them.
         """
         captured = []
         for account in self.accounts.values():
@@ -286,7 +300,7 @@
         return tuple(captured)
 
     def restore(self, now: int, snapshot: EngineSnapshot, incoming_fraction: float) -> None:
-        """Continue with the accounts, leases and call rate of a snapshot, and a fraction of the buckets."""
+        """Restore accounts, leases and call rate from a snapshot, and take over a fraction of the buckets."""
         for captured in snapshot.accounts:
             account = self.account(now, captured.customer_id, captured.plan_index)
             account.restore(now, captured)
@@ -295,5 +309,5 @@
         self.handover_fraction = incoming_fraction
 
     def complete_handover(self) -> None:
-        """Keep the whole of all buckets: the other process has ended."""
+        """Use the whole of all buckets again, as the other process has ended."""
         self.handover_fraction = 1.0
--- a/qos_gateway/decisions/quota/quota_decision.py
+++ b/qos_gateway/decisions/quota/quota_decision.py
@@ -1,4 +1,4 @@
-"""The quota's decisions and replies: types only."""
+"""Types of quota decisions and of the replies that complete them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
     ADMITTED = "admitted"
     REJECTED = "rejected"
-    RESERVED = "reserved"  # waits until the reservation is answered or expires
+    RESERVED = "reserved"  # pending until the reservation is answered or times out
 
 
 @dataclass(slots=True)
@@ -24,31 +24,31 @@
     account: CustomerAccount
     units: float
     deadline: int  # in ns
-    may_exceed: bool  # whether serving it beyond the quota earns more than it costs, at present
+    may_exceed: bool  # whether serving it beyond the quota currently earns more than it costs
 
 
 @dataclass(slots=True)
 class QuotaDecision:
-    """The verdict on one request, and the actions that it needs."""
+    """The verdict on one request, and the actions that it requires."""
 
     verdict: Verdict
-    actions: list[Action] = field(default_factory=list)  # to be carried out before the request's own
+    actions: list[Action] = field(default_factory=list)  # to execute before the request's own
     report_usage: bool = False  # call `report_consumed` once the first attempt is sent
-    reservation: int = 0  # number by which the reply names the request; 0 unless it is RESERVED
+    reservation: int = 0  # number that the reply carries; 0 unless the verdict is RESERVED
 
     @classmethod
     def immediate(
         cls, admitted: bool, actions: list[Action] | None = None, report_usage: bool = False
     ) -> QuotaDecision:
-        """Return a decision that waits for no reply."""
+        """Return a decision that does not wait for a reply; `report_usage` applies only if admitted."""
         verdict = Verdict.ADMITTED if admitted else Verdict.REJECTED
         return cls(verdict, actions or [], admitted and report_usage)
 
 
 @dataclass(slots=True)
 class QuotaReply:
-    """What the reply of a peer or of the counter means for the request that waits for it."""
+    """The result of a reply from a peer or the counter, for the request that waits for it."""
 
-    reservation: int = 0  # number of the reservation that is answered; 0 where no request waits
+    reservation: int = 0  # the reservation answered; 0 if no request waits for the reply
     granted: bool | None = None  # None if the call failed: the gateway decides locally
     actions: list[Action] = field(default_factory=list)
