--- a/tests/decisions/test_gossip.py
+++ b/tests/decisions/test_gossip.py
@@ -14,15 +14,17 @@
 from tests.support.engines import engine_alone, sends
 
 
-def gossip(sent: int, age: int, incarnation: int = 9) -> PeerMessage:
-    return PeerMessage(1, encode_totals(incarnation, age, [CustomerTotal(1, sent, 0)]))
+def gossip_message(spent_quarter_units: int, age_tenths: int, incarnation: int = 9) -> PeerMessage:
+    return PeerMessage(1, encode_totals(incarnation, age_tenths, [CustomerTotal(1, spent_quarter_units, 0)]))
 
 
-def test_slices_of_a_ceiling_never_sum_above_it() -> None:
-    capped = plan(ceiling_rate=10.0, ceiling_burst=20.0, ceiling_slack=2.0, rate=1000.0, burst=1000.0)
+def test_slices_of_a_ceiling_never_exceed_it_in_total() -> None:
+    plan_with_ceiling = plan(
+        ceiling_rate=10.0, ceiling_burst=20.0, ceiling_slack=2.0, rate=1000.0, burst=1000.0
+    )
     sent = 0
     for position in range(2):
-        engine = DecisionEngine(settings(plans=(capped,), position=position), 7, 0)
+        engine = DecisionEngine(settings(plans=(plan_with_ceiling,), position=position), 7, 0)
         engine.handle(0, full_list(listed_endpoint(1), listed_endpoint(2)))
         for i in range(1000):
             now = i * 10 * MS
@@ -32,63 +34,63 @@
     assert sent <= 10.0 * 10 + 2.0 + 2
 
 
-def test_gossiped_usage_is_taken_from_the_bucket() -> None:
-    here, there = (DecisionEngine(settings(position=p), p + 7, 0) for p in range(2))
-    for engine in (here, there):
+def test_usage_reported_by_gossip_is_subtracted_from_the_bucket() -> None:
+    receiver, sender = (DecisionEngine(settings(position=p), p + 7, 0) for p in range(2))
+    for engine in (receiver, sender):
         engine.handle(0, full_list(listed_endpoint(1), listed_endpoint(2)))
         engine.handle(0, arrival(1000, 0))
     for i in range(19):
-        there.handle(MS, arrival(i, MS))
-        there.handle(MS, ended(i, 1))
+        sender.handle(MS, arrival(i, MS))
+        sender.handle(MS, ended(i, 1))
     messages = [
-        a for a in there.handle(TICK_INTERVAL_NS, TimerFired(TICK_TIMER)) if isinstance(a, SendPeerMessage)
+        a for a in sender.handle(TICK_INTERVAL_NS, TimerFired(TICK_TIMER)) if isinstance(a, SendPeerMessage)
     ]
-    here.handle(TICK_INTERVAL_NS, PeerMessage(1, messages[0].data))
-    assert here.quota.accounts[1].buckets.tokens < 5.0
+    receiver.handle(TICK_INTERVAL_NS, PeerMessage(1, messages[0].data))
+    assert receiver.quota.accounts[1].buckets.tokens < 5.0
 
 
 def test_reordered_gossip_is_ignored() -> None:
     engine = engine_alone()
     engine.handle(0, arrival(1, 0))
-    engine.handle(MS, gossip(400, 10))
-    level = engine.quota.accounts[1].buckets.tokens
-    engine.handle(MS, gossip(380, 8))
-    assert engine.quota.accounts[1].buckets.tokens == level
-    engine.handle(MS, gossip(408, 12))
-    assert engine.quota.accounts[1].buckets.tokens == pytest.approx(max(-20.0, level - 2.0))
+    engine.handle(MS, gossip_message(400, 10))
+    tokens_before = engine.quota.accounts[1].buckets.tokens
+    engine.handle(MS, gossip_message(380, 8))
+    assert engine.quota.accounts[1].buckets.tokens == tokens_before
+    engine.handle(MS, gossip_message(408, 12))
+    assert engine.quota.accounts[1].buckets.tokens == pytest.approx(max(-20.0, tokens_before - 2.0))
 
 
-def test_total_that_a_peer_restarted_counts_from_zero() -> None:
+def test_total_that_a_peer_reset_counts_from_zero() -> None:
     engine = engine_alone()
     engine.handle(0, arrival(1, 0))
-    engine.handle(MS, gossip(400, 10))
+    engine.handle(MS, gossip_message(400, 10))
     now = 4 * SECOND
-    engine.handle(now, gossip(400, 40))
-    level = engine.quota.accounts[1].buckets.tokens
-    engine.handle(now, gossip(8, 41))  # the peer forgot the customer, who then came back
-    assert engine.quota.accounts[1].buckets.tokens == pytest.approx(level - 2.0)
+    engine.handle(now, gossip_message(400, 40))
+    tokens_before = engine.quota.accounts[1].buckets.tokens
+    engine.handle(now, gossip_message(8, 41))  # the peer forgot the customer, who then came back
+    assert engine.quota.accounts[1].buckets.tokens == pytest.approx(tokens_before - 2.0)
 
 
-def test_totals_of_a_restarted_peer_count_from_zero_even_when_they_come_late() -> None:
+def test_totals_of_a_restarted_peer_count_from_zero_even_if_they_arrive_late() -> None:
     engine = engine_alone()
     engine.handle(0, arrival(1, 0))
     now = 4 * SECOND
-    engine.handle(now, gossip(8, 40))
+    engine.handle(now, gossip_message(8, 40))
     engine.handle(
         now, PeerMessage(1, encode_totals(10, 0, []))
     )  # restarted, and nothing of this customer yet
-    level = engine.quota.accounts[1].buckets.tokens
-    engine.handle(now, gossip(12, 1, incarnation=10))
-    assert engine.quota.accounts[1].buckets.tokens == pytest.approx(level - 3.0)
+    tokens_before = engine.quota.accounts[1].buckets.tokens
+    engine.handle(now, gossip_message(12, 1, incarnation=10))
+    assert engine.quota.accounts[1].buckets.tokens == pytest.approx(tokens_before - 3.0)
 
 
 def test_gossip_with_an_implausible_age_does_not_block_later_gossip() -> None:
     engine = engine_alone()
     engine.handle(0, arrival(1, 0))
-    engine.handle(MS, gossip(4, 0xFFFF))
-    level = engine.quota.accounts[1].buckets.tokens
-    engine.handle(MS, gossip(8, 10))
-    assert engine.quota.accounts[1].buckets.tokens == pytest.approx(level - 1.0)
+    engine.handle(MS, gossip_message(4, 0xFFFF))
+    tokens_before = engine.quota.accounts[1].buckets.tokens
+    engine.handle(MS, gossip_message(8, 10))
+    assert engine.quota.accounts[1].buckets.tokens == pytest.approx(tokens_before - 1.0)
 
 
 def test_malformed_peer_messages_are_ignored() -> None:
@@ -97,7 +99,7 @@
         assert engine.handle(MS, PeerMessage(1, data)) == []
 
 
-def test_even_slice_returns_to_a_peer_that_sends_no_gossip() -> None:
+def test_silent_peer_regains_its_even_slice() -> None:
     engine = engine_alone()
     engine.handle(0, arrival(1, 0))
     account = engine.quota.accounts[1]
@@ -107,11 +109,11 @@
     assert engine.quota.quota_share(10 * SECOND, account) == 0.5
 
 
-def test_restarted_gateway_starts_its_buckets_with_a_slice() -> None:
-    young, old = engine_alone(), DecisionEngine(settings(position=1), 8, 0)
-    old.handle(0, full_list(listed_endpoint(1)))
-    messages = [a for a in old.handle(9 * SECOND, TimerFired(TICK_TIMER)) if isinstance(a, SendPeerMessage)]
-    young.handle(MS, arrival(1, MS))
-    assert young.quota.accounts[1].buckets.tokens == 19.0
-    young.handle(MS, PeerMessage(1, messages[0].data))
-    assert young.quota.accounts[1].buckets.tokens == 10.0
+def test_restarted_gateway_reduces_its_buckets_to_a_slice() -> None:
+    restarted, peer = engine_alone(), DecisionEngine(settings(position=1), 8, 0)
+    peer.handle(0, full_list(listed_endpoint(1)))
+    messages = [a for a in peer.handle(9 * SECOND, TimerFired(TICK_TIMER)) if isinstance(a, SendPeerMessage)]
+    restarted.handle(MS, arrival(1, MS))
+    assert restarted.quota.accounts[1].buckets.tokens == 19.0
+    restarted.handle(MS, PeerMessage(1, messages[0].data))
+    assert restarted.quota.accounts[1].buckets.tokens == 10.0
--- a/tests/decisions/test_quota_over_gateways.py
+++ b/tests/decisions/test_quota_over_gateways.py
@@ -21,9 +21,9 @@
 )
 from tests.support.builders import MS, SECOND, arrival, ended, full_list, listed_endpoint, plan, settings
 
-GATEWAYS, CUSTOMERS, SECONDS = 20, 60, 30
+GATEWAY_COUNT, CUSTOMER_COUNT, DURATION_S = 20, 60, 30
 PLAN = plan(rate=1.0, burst=4.0, excess_cost=0.5)
-LATE = SECOND // 2  # by which the policy that it is held against sees the state
+BASELINE_DELAY_NS = SECOND // 2  # by which the policy that it is held against sees the state
 TimedRequest = tuple[int, int, int]  # when, customer, gateway
 
 
@@ -31,103 +31,116 @@
     """One customer's true store, with what it held before, for a policy that sees it late."""
 
     def __init__(self) -> None:
-        self.past = [(0, PLAN.burst)]
+        self.history = [(0, PLAN.burst)]
 
-    def level(self, now: int) -> float:
-        at, level = next((word for word in reversed(self.past) if word[0] <= now), self.past[0])
-        return min(PLAN.burst, level + PLAN.rate * max(0, now - at) / SECOND)
+    def tokens(self, now: int) -> float:
+        at, tokens = next((entry for entry in reversed(self.history) if entry[0] <= now), self.history[0])
+        return min(PLAN.burst, tokens + PLAN.rate * max(0, now - at) / SECOND)
 
     def take(self, now: int) -> bool:
         """Return whether a request that is forwarded now is within the quota."""
-        if inside := (level := self.level(now)) >= 1.0:
-            self.past.append((now, level - 1.0))
-        return inside
+        if is_within := (tokens := self.tokens(now)) >= 1.0:
+            self.history.append((now, tokens - 1.0))
+        return is_within
 
 
 def normal_load(rng: random.Random) -> list[TimedRequest]:
     """Most customers use a part of their quota, some nearly all, a few far more; each by some gateways."""
     requests: list[TimedRequest] = []
-    for customer in range(CUSTOMERS):
-        draw = rng.random()
-        use = rng.uniform(0.15, 0.5) if draw < 0.72 else rng.uniform(0.85, 1.0) if draw < 0.9 else 5.0
+    for customer in range(CUSTOMER_COUNT):
+        quantile = rng.random()
+        usage = (
+            rng.uniform(0.15, 0.5) if quantile < 0.72 else rng.uniform(0.85, 1.0) if quantile < 0.9 else 5.0
+        )
         now = 0.0
-        while (now := now + rng.expovariate(use * PLAN.rate)) < SECONDS:
+        while (now := now + rng.expovariate(usage * PLAN.rate)) < DURATION_S:
             requests.append(
-                (int(now * SECOND), customer, (customer + rng.randrange(GATEWAYS // 2)) % GATEWAYS)
+                (int(now * SECOND), customer, (customer + rng.randrange(GATEWAY_COUNT // 2)) % GATEWAY_COUNT)
             )
     return sorted(requests)
 
 
-def forwarded(requests: list[TimedRequest], calls_per_s: int) -> list[tuple[int, int]]:
+def simulate_fleet(requests: list[TimedRequest], calls_per_s: int) -> list[tuple[int, int]]:
     """Return when which customer's requests are forwarded, with a counter that serves `calls_per_s`."""
-    made = settings(gateway_count=GATEWAYS, may_message=False, has_counter=True, plans=(PLAN,))
-    fleet = [DecisionEngine(made, position + 7, 0) for position in range(GATEWAYS)]
-    numbers, events = dict[int, float](), list[tuple[int, int, int, Event]]()
-    order, sent, served = count(), list[tuple[int, int]](), [0] * (SECONDS + 60)
-    for position in range(GATEWAYS):
+    fleet_settings = settings(gateway_count=GATEWAY_COUNT, may_message=False, has_counter=True, plans=(PLAN,))
+    fleet = [DecisionEngine(fleet_settings, position + 7, 0) for position in range(GATEWAY_COUNT)]
+    totals, events = dict[int, float](), list[tuple[int, int, int, Event]]()
+    sequence, sent, calls_by_second = count(), list[tuple[int, int]](), [0] * (DURATION_S + 60)
+    for position in range(GATEWAY_COUNT):
         listed = full_list(*map(listed_endpoint, range(1, 9)), kind=ListKind.CACHED)
-        heappush(events, (0, next(order), position, listed))
+        heappush(events, (0, next(sequence), position, listed))
     for number, (now, customer, position) in enumerate(requests):
         a = arrival(
-            number, now, customer_id=customer, gateway_spread=GATEWAYS // 2, first_gateway=customer % GATEWAYS
+            number,
+            now,
+            customer_id=customer,
+            gateway_spread=GATEWAY_COUNT // 2,
+            first_gateway=customer % GATEWAY_COUNT,
         )
-        heappush(events, (now, next(order), position, a))
-    while events and (now := events[0][0]) < (SECONDS + 5) * SECOND:
+        heappush(events, (now, next(sequence), position, a))
+    while events and (now := events[0][0]) < (DURATION_S + 5) * SECOND:
         _, _, position, event = heappop(events)
         for action in fleet[position].handle(now, event):
             match action:
                 case Send(request, endpoint):
                     sent.append((now, requests[request][1]))
-                    heappush(events, (now + 100 * MS, next(order), position, ended(request, endpoint)))
+                    heappush(events, (now + 100 * MS, next(sequence), position, ended(request, endpoint)))
                 case SetTimer(after, token):
-                    heappush(events, (now + after, next(order), position, TimerFired(token)))
-                case AddToCounter(name, _, amount):
-                    served[now // SECOND] += 1
-                    if busy := served[now // SECOND] > calls_per_s:
-                        word = CounterReplied(2 * MS, Outcome.OVERLOADED, name, 0.0)
+                    heappush(events, (now + after, next(sequence), position, TimerFired(token)))
+                case AddToCounter(key, _, amount):
+                    calls_by_second[now // SECOND] += 1
+                    if overloaded := calls_by_second[now // SECOND] > calls_per_s:
+                        reply = CounterReplied(2 * MS, Outcome.OVERLOADED, key, 0.0)
                     else:
-                        numbers[name] = numbers.get(name, 0.0) + amount
-                        word = CounterReplied(2 * MS, Outcome.OK, name, numbers[name])
-                    assert busy or word.total == numbers[name]
-                    heappush(events, (now + 2 * MS, next(order), position, word))
+                        totals[key] = totals.get(key, 0.0) + amount
+                        reply = CounterReplied(2 * MS, Outcome.OK, key, totals[key])
+                    assert overloaded or reply.total == totals[key]
+                    heappush(events, (now + 2 * MS, next(sequence), position, reply))
     return sent
 
 
-def within(requests: list[TimedRequest]) -> int:
+def count_within_quota(requests: list[TimedRequest]) -> int:
     """Return how many requests one gateway which saw them all would admit."""
-    stores = [DelayedBucket() for _ in range(CUSTOMERS)]
-    return sum(stores[customer].take(now) for now, customer, _ in requests)
+    buckets = [DelayedBucket() for _ in range(CUSTOMER_COUNT)]
+    return sum(buckets[customer].take(now) for now, customer, _ in requests)
 
 
-def price(sent: list[tuple[int, int]], requests: list[TimedRequest]) -> float:
+def over_admission_cost(sent: list[tuple[int, int]], requests: list[TimedRequest]) -> float:
     """Return what the requests forwarded beyond their quota take off the result."""
-    stores = [DelayedBucket() for _ in range(CUSTOMERS)]
-    return PLAN.excess_cost * sum(not stores[customer].take(now) for now, customer in sent) / within(requests)
+    buckets = [DelayedBucket() for _ in range(CUSTOMER_COUNT)]
+    return (
+        PLAN.excess_cost
+        * sum(not buckets[customer].take(now) for now, customer in sent)
+        / count_within_quota(requests)
+    )
 
 
-def late_policy(requests: list[TimedRequest]) -> list[tuple[int, int]]:
-    stores, sent = [DelayedBucket() for _ in range(CUSTOMERS)], list[tuple[int, int]]()
+def simulate_delayed_policy(requests: list[TimedRequest]) -> list[tuple[int, int]]:
+    buckets, sent = [DelayedBucket() for _ in range(CUSTOMER_COUNT)], list[tuple[int, int]]()
     for now, customer, _ in requests:
-        if stores[customer].level(max(0, now - LATE)) >= 1.0:
-            stores[customer].take(now)
+        if buckets[customer].tokens(max(0, now - BASELINE_DELAY_NS)) >= 1.0:
+            buckets[customer].take(now)
             sent.append((now, customer))
     return sent
 
 
 @pytest.mark.parametrize("calls_per_s", [10_000, 15])
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_what_passes_beyond_quotas_under_normal_load_costs_little_more_than_with_late_reports(
+def test_over_admission_under_normal_load_costs_little_more_than_with_delayed_state(
     seed: int, calls_per_s: int
 ) -> None:
     requests = normal_load(random.Random(seed))
-    sent, late = forwarded(requests, calls_per_s), late_policy(requests)
-    assert price(sent, requests) <= price(late, requests) + 0.1
-    assert len(sent) >= 0.85 * within(requests)  # nor by rejecting requests within the quota
+    sent, baseline = simulate_fleet(requests, calls_per_s), simulate_delayed_policy(requests)
+    assert over_admission_cost(sent, requests) <= over_admission_cost(baseline, requests) + 0.1
+    assert len(sent) >= 0.85 * count_within_quota(requests)  # nor by rejecting requests within the quota
 
 
-def test_gateways_that_each_grant_the_whole_quota_would_cost_more() -> None:
+def test_gateways_that_each_grant_the_whole_quota_exceed_the_bound() -> None:
     """The bound above can be missed."""
     requests = normal_load(random.Random(1))
-    alone = [[DelayedBucket() for _ in range(CUSTOMERS)] for _ in range(GATEWAYS)]
+    alone = [[DelayedBucket() for _ in range(CUSTOMER_COUNT)] for _ in range(GATEWAY_COUNT)]
     sent = [(now, customer) for now, customer, position in requests if alone[position][customer].take(now)]
-    assert price(sent, requests) > price(late_policy(requests), requests) + 0.1
+    assert (
+        over_admission_cost(sent, requests)
+        > over_admission_cost(simulate_delayed_policy(requests), requests) + 0.1
+    )
