--- a/tests/decisions/test_gossip.py
+++ b/tests/decisions/test_gossip.py
@@ -1,4 +1,4 @@
-"""What gateways that gossip learn of each other."""
+"""Quotas kept by gossip: usage that peers report, reordered messages, and restarts."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
     now = 4 * SECOND
     engine.handle(now, gossip_message(400, 40))
     tokens_before = engine.quota.accounts[1].buckets.tokens
-    engine.handle(now, gossip_message(8, 41))  # the peer forgot the customer, who then came back
+    engine.handle(now, gossip_message(8, 41))  # the peer pruned the account, then the customer returned
     assert engine.quota.accounts[1].buckets.tokens == pytest.approx(tokens_before - 2.0)
 
 
@@ -76,9 +76,8 @@
     engine.handle(0, arrival(1, 0))
     now = 4 * SECOND
     engine.handle(now, gossip_message(8, 40))
-    engine.handle(
-        now, PeerMessage(1, encode_totals(10, 0, []))
-    )  # restarted, and nothing of this customer yet
+    # The first message after the restart, in which the customer has no total yet.
+    engine.handle(now, PeerMessage(1, encode_totals(10, 0, [])))
     tokens_before = engine.quota.accounts[1].buckets.tokens
     engine.handle(now, gossip_message(12, 1, incarnation=10))
     assert engine.quota.accounts[1].buckets.tokens == pytest.approx(tokens_before - 3.0)
--- a/tests/decisions/test_quota_by_owner.py
+++ b/tests/decisions/test_quota_by_owner.py
@@ -1,4 +1,4 @@
-"""Quotas and ceilings that owners hold, over many gateways."""
+"""Quotas and ceilings of many gateways whose buckets have an owner."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_quota_over_gateways.py
+++ b/tests/decisions/test_quota_over_gateways.py
@@ -1,4 +1,7 @@
-"""Quotas hold for the fleet: what passes beyond them on a quiet day costs little more than lateness must."""
+"""Over-admission by a fleet with a shared counter, under normal load.
+
+Its cost is compared with that of a baseline policy, which sees each customer's true bucket after a delay.
+"""
 
 from __future__ import annotations
 
@@ -23,12 +26,12 @@
 
 GATEWAY_COUNT, CUSTOMER_COUNT, DURATION_S = 20, 60, 30
 PLAN = plan(rate=1.0, burst=4.0, excess_cost=0.5)
-BASELINE_DELAY_NS = SECOND // 2  # by which the policy that it is held against sees the state
-TimedRequest = tuple[int, int, int]  # when, customer, gateway
+BASELINE_DELAY_NS = SECOND // 2  # after which the baseline policy sees the state of a bucket
+TimedRequest = tuple[int, int, int]  # time in ns, customer, gateway
 
 
 class DelayedBucket:
-    """One customer's true store, with what it held before, for a policy that sees it late."""
+    """One customer's true bucket and its history, for a policy that sees it with a delay."""
 
     def __init__(self) -> None:
         self.history = [(0, PLAN.burst)]
@@ -38,14 +41,17 @@
         return min(PLAN.burst, tokens + PLAN.rate * max(0, now - at) / SECOND)
 
     def take(self, now: int) -> bool:
-        """Return whether a request that is forwarded now is within the quota."""
+        """Take a token for a request forwarded now; return whether it was within the quota."""
         if is_within := (tokens := self.tokens(now)) >= 1.0:
             self.history.append((now, tokens - 1.0))
         return is_within
 
 
 def normal_load(rng: random.Random) -> list[TimedRequest]:
-    """Most customers use a part of their quota, some nearly all, a few far more; each by some gateways."""
+    """Return requests: most customers use a part of their quota, some nearly all, a few far more.
+
+    Each customer uses half of the gateways.
+    """
     requests: list[TimedRequest] = []
     for customer in range(CUSTOMER_COUNT):
         quantile = rng.random()
@@ -61,7 +67,7 @@
 
 
 def simulate_fleet(requests: list[TimedRequest], calls_per_s: int) -> list[tuple[int, int]]:
-    """Return when which customer's requests are forwarded, with a counter that serves `calls_per_s`."""
+    """Return time and customer of each request forwarded, with a counter that serves `calls_per_s`."""
     fleet_settings = settings(gateway_count=GATEWAY_COUNT, may_message=False, has_counter=True, plans=(PLAN,))
     fleet = [DecisionEngine(fleet_settings, position + 7, 0) for position in range(GATEWAY_COUNT)]
     totals, events = dict[int, float](), list[tuple[int, int, int, Event]]()
@@ -100,13 +106,13 @@
 
 
 def count_within_quota(requests: list[TimedRequest]) -> int:
-    """Return how many requests one gateway which saw them all would admit."""
+    """Return how many requests a single gateway that receives all of them would admit."""
     buckets = [DelayedBucket() for _ in range(CUSTOMER_COUNT)]
     return sum(buckets[customer].take(now) for now, customer, _ in requests)
 
 
 def over_admission_cost(sent: list[tuple[int, int]], requests: list[TimedRequest]) -> float:
-    """Return what the requests forwarded beyond their quota take off the result."""
+    """Return the cost of the requests forwarded beyond the quota, for each request within it."""
     buckets = [DelayedBucket() for _ in range(CUSTOMER_COUNT)]
     return (
         PLAN.excess_cost
@@ -132,11 +138,12 @@
     requests = normal_load(random.Random(seed))
     sent, baseline = simulate_fleet(requests, calls_per_s), simulate_delayed_policy(requests)
     assert over_admission_cost(sent, requests) <= over_admission_cost(baseline, requests) + 0.1
-    assert len(sent) >= 0.85 * count_within_quota(requests)  # nor by rejecting requests within the quota
+    # The low cost is not achieved by rejecting requests within the quota.
+    assert len(sent) >= 0.85 * count_within_quota(requests)
 
 
 def test_gateways_that_each_grant_the_whole_quota_exceed_the_bound() -> None:
-    """The bound above can be missed."""
+    """Shows that the bound of the test above can fail."""
     requests = normal_load(random.Random(1))
     alone = [[DelayedBucket() for _ in range(CUSTOMER_COUNT)] for _ in range(GATEWAY_COUNT)]
     sent = [(now, customer) for now, customer, position in requests if alone[position][customer].take(now)]
--- a/tests/decisions/test_quota_slices.py
+++ b/tests/decisions/test_quota_slices.py
@@ -1,4 +1,4 @@
-"""Slices of quotas and ceilings beside a shared counter."""
+"""Local slices of quotas and ceilings, combined with a shared counter."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def test_busy_customer_is_limited_without_counter_replies() -> None:
-    """Without replies a customer with many requests here gets fewer of them granted than one with one."""
+    """Without counter replies, the probability of a grant falls with a customer's demand at this gateway."""
     grants_by_load = []
     for requests in (1, 20):
         engine = DecisionEngine(settings(gateway_count=MANY, may_message=False, has_counter=True), 7, 0)
@@ -39,7 +39,8 @@
     engine.handle(0, full_list(listed_endpoint(1)))
     engine.quota.counter.call_rate = 0.25
     for i in range(20):
-        engine.quota.account(0, i, 0, MANY, 0).demand.long_term.add(0, 1.0, 5.0)  # seen often: in doubt
+        # With high demand the bucket may be empty, so requests are not exempt from counting.
+        engine.quota.account(0, i, 0, MANY, 0).demand.long_term.add(0, 1.0, 5.0)
     calls = [
         a for i in range(20) for a in engine.handle(MS, arrival(i, MS, customer_id=i, gateway_spread=MANY))
     ]
@@ -48,7 +49,7 @@
 
 
 def test_overloaded_counter_is_not_called_for_single_requests_of_typical_customers() -> None:
-    """Of 25 gateways' slices none holds a request: what comes once is trusted, more is not."""
+    """With 25 gateways no slice holds a request: the first is admitted uncounted, the second is counted."""
     engine = engine_among_many()
     engine.quota.counter.call_rate = 0.5
     first_actions = [
@@ -61,7 +62,7 @@
         for i in range(50)
         for a in engine.handle(9 * MS, arrival(50 + i, 9 * MS, customer_id=i, gateway_spread=25))
     ]
-    # With the units of which the counter was not notified.
+    # Each call also reports the unit that was spent without one.
     assert [a.amount for a in counter_calls(second_actions)] == [2.0] * 50
 
 
@@ -76,7 +77,11 @@
 
 
 def test_slices_of_a_ceiling_hold_whole_requests_and_never_exceed_it_in_total() -> None:
-    """An even slice of under one request could never be spent; the first one here came to an empty one."""
+    """Guards against two faults: slices below one request, and empty slices at the first request.
+
+    An even slice of less than one request can never be spent. A slice that is empty when the customer's first
+    request arrives here rejects it, although nothing was spent.
+    """
     sent, now = 0, 10 * SECOND
     for position in range(40):
         engine = engine_among_many(position, PLAN_WITH_CEILING)
