--- a/qos_gateway/decisions/quota/leased_quota.py
+++ b/qos_gateway/decisions/quota/leased_quota.py
@@ -37,6 +37,7 @@
         return not plan.ceiling_rate or smallest.capacity >= self.settings.largest_request_units
 
     def _local_share(self, now: int, account: CustomerAccount) -> float:
+        """Return the fraction of the quota that this process may use: its even slice and its lease."""
         return self.leases.quota_share(now, account) * self.handover_fraction
 
     def _quota_slice(self, now: int, account: CustomerAccount, share: float) -> TokenBucket:
--- a/qos_gateway/decisions/quota/quota.py
+++ b/qos_gateway/decisions/quota/quota.py
@@ -24,7 +24,7 @@
 
 USAGE_GRANT_SPAN = 0.5  # of a quota, around full use, over which a grant goes from certain to impossible
 MIN_RESERVATION_TIME_NS = 4 * TICK_INTERVAL_NS  # left to the deadline for a request to wait for a reply
-UNCOUNTED_SLOT_PROBABILITY = 0.4  # that a slot is free where even slices of the limit are less than one
+UNCOUNTED_SLOT_PROBABILITY = 0.4  # that a slot is free where even slices of the in-flight limit are below one
 PLAN_PRIOR_WEIGHT = 0.1  # samples of denial; small, as a plan's first reports are representative
 CUSTOMER_PRIOR_WEIGHT = 0.5  # samples of its plan's ratio; a single report on the customer outweighs them
 
@@ -51,7 +51,7 @@
         self.reservations = ReservationClient(settings.gateway_count, self.age)
         self.plan_grant_ratio = [DecayingMean(LONG_MEMORY_NS) for _ in settings.plans]
         self.last_reservation = 0
-        self.handover_fraction = 1.0  # of the buckets that this process keeps during a handover
+        self.handover_fraction = 1.0  # of the buckets, which this process uses during a handover
 
     def account_for(self, now: int, arrival: Arrival) -> CustomerAccount:
         """Return the account of a request's customer."""
@@ -195,6 +195,7 @@
         return True
 
     def _grant_probability(self, now: int, account: CustomerAccount, units: float) -> float:
+        """Return how likely a grant is, by recent grants and by the demand at this gateway."""
         plan_ratio = self.plan_grant_ratio[account.plan_index].mean_with_prior(now, 0.0, PLAN_PRIOR_WEIGHT)
         probability = account.fraction_within_slice(now, units)
         probability *= UNCOUNTED_SLOT_PROBABILITY if self.counter.in_flight_slot(account.plan) else 1.0
