--- a/qos_gateway/decisions/admission/admission_controller.py
+++ b/qos_gateway/decisions/admission/admission_controller.py
@@ -58,7 +58,7 @@
         service_time = max(1.0, self.model.uncongested_latency(arrival.class_index))
         weight = request_class.priority_weight * commitment.account.plan.weight_factor
         priority = weight * arrival.units / service_time
-        self.priority_demand.add(now, arrival.kind, priority)
+        self.priority_demand.add(now, arrival.class_and_plan, priority)
         headroom = TARGET_WAIT_FRACTION * self.model.headroom(arrival.class_index)
         commitment.observe(priority, headroom, request_class.latency_objective)
         return priority
--- a/qos_gateway/decisions/admission/load_shedding.py
+++ b/qos_gateway/decisions/admission/load_shedding.py
@@ -23,7 +23,7 @@
     def sheds(self, now: int, priority: float) -> bool:
         """Return whether a request of this priority is shed."""
         limit = self.model.concurrency_limit
-        in_flight = self.requests.working
+        in_flight = self.requests.effective_in_flight
         if limit is None or in_flight < LOWEST_PRIORITY_FRACTION * limit:
             return False
         below = self.demand.fraction_below(now, priority)
--- a/qos_gateway/decisions/engine.py
+++ b/qos_gateway/decisions/engine.py
@@ -134,5 +134,5 @@
         """Refit the queue model to the attempts without a response, except for those presumed lost."""
         table = self.request_table
         outstanding = self.stalled_requests.outstanding_attempts(now)
-        table.presume_lost(len(self.admission.pending_reservations), len(outstanding))
-        self.model.fit(now, table.working, outstanding)
+        table.update_presumed_lost(len(self.admission.pending_reservations), len(outstanding))
+        self.model.fit(now, table.effective_in_flight, outstanding)
--- a/qos_gateway/decisions/handover.py
+++ b/qos_gateway/decisions/handover.py
@@ -35,7 +35,7 @@
 
 def restore(engine: DecisionEngine, now: int, snapshot: EngineSnapshot, incoming_fraction: float) -> None:
     """Restore a snapshot, decoded for the settings of this engine, and use the incoming fraction."""
-    snapshot = snapshot.at_clock(now)
+    snapshot = snapshot.adjusted_to_clock(now)
     engine.quota.restore(now, snapshot, incoming_fraction)
     engine.load_balancer.restore(now, snapshot.load_balancer, incoming_fraction)
     latencies = zip(engine.model.class_latency, snapshot.latency, snapshot.baseline_latency, strict=True)
--- a/qos_gateway/decisions/requests/attempt_timeouts.py
+++ b/qos_gateway/decisions/requests/attempt_timeouts.py
@@ -31,7 +31,7 @@
         time-outs would add load.
         """
         cls = request.request_class
-        may_retry = cls.is_repeatable and request.attempts_sent < self._settings.max_attempts
+        may_retry = cls.is_retryable_after_execution and request.attempts_sent < self._settings.max_attempts
         if not may_retry or self._model.congested:
             return 0
         class_index = request.arrival.class_index
--- a/qos_gateway/decisions/requests/dispatcher.py
+++ b/qos_gateway/decisions/requests/dispatcher.py
@@ -38,9 +38,9 @@
         if now >= arrival.deadline or request.attempts_sent >= self.settings.max_attempts:
             return None
         allowed = retry_policy.allowed_endpoints(now, request)
-        picked = self.load_balancer.pick(now, arrival.kind, request.attempted_endpoints, allowed)
+        picked = self.load_balancer.pick(now, arrival.class_and_plan, request.attempted_endpoints, allowed)
         if picked is None and not untried_only:
-            picked = self.load_balancer.pick(now, arrival.kind, set(), allowed)
+            picked = self.load_balancer.pick(now, arrival.class_and_plan, set(), allowed)
         if picked is None:
             return None
         self.load_balancer.attempt_started(now, picked)
@@ -92,9 +92,9 @@
             if self.settings.settles_actual_units and event.actual_units:
                 request.account.buckets.settle(event.actual_units - request.arrival.units)
         relative_latency = event.elapsed / max(1.0, class_latency.mean.value)
-        self.load_balancer.attempt_ended(now, event, request.arrival.kind, relative_latency)
+        self.load_balancer.attempt_ended(now, event, request.arrival.class_and_plan, relative_latency)
         if event.outcome not in NOT_EXECUTED:
-            request.execution.assume_executed()
+            request.execution.mark_possibly_executed()
         return relative_latency
 
     def _retry_or_end(self, now: int, request: RequestState, cost: float) -> Action:
--- a/qos_gateway/decisions/requests/execution_record.py
+++ b/qos_gateway/decisions/requests/execution_record.py
@@ -21,10 +21,10 @@
             self.first_keyed_attempt_at = now
             self.first_keyed_endpoint = endpoint
 
-    def assume_executed(self) -> None:
+    def mark_possibly_executed(self) -> None:
         """Record that an attempt may have executed the request, or still may do so."""
         self.may_have_executed = True
 
-    def withdraw_assumption(self) -> None:
-        """Undo `assume_executed` where it was called ahead of an attempt that was not sent."""
+    def unmark_possibly_executed(self) -> None:
+        """Undo `mark_possibly_executed` where it was called ahead of an attempt that was not sent."""
         self.may_have_executed = False
--- a/qos_gateway/decisions/requests/hedging.py
+++ b/qos_gateway/decisions/requests/hedging.py
@@ -37,16 +37,16 @@
         """Return whether the request is repeatable and its endpoint has answered a newer attempt."""
         sent_since = request.last_attempt_at + request.expected_latency
         answered = self._load_balancer.answered_since(request.last_endpoint, sent_since)
-        return answered and request.request_class.is_repeatable
+        return answered and request.request_class.is_retryable_after_execution
 
     def _send_hedge(self, now: int, request: RequestState) -> Send | None:
         """Send a second attempt to another endpoint; None if that fails."""
         execution = request.execution
         may_have_executed = execution.may_have_executed
-        execution.assume_executed()  # the attempt in flight still may do so
+        execution.mark_possibly_executed()  # the attempt in flight still may do so
         send = self._dispatcher.send(now, request, untried_only=True)
         if send:
             self._retry_budget.withdraw(HEDGE_COST)
         elif not may_have_executed:
-            execution.withdraw_assumption()
+            execution.unmark_possibly_executed()
         return send
--- a/qos_gateway/decisions/requests/request_table.py
+++ b/qos_gateway/decisions/requests/request_table.py
@@ -18,7 +18,7 @@
         self.presumed_lost = 0  # of these, attempts whose response was probably lost
 
     @property
-    def working(self) -> int:
+    def effective_in_flight(self) -> int:
         """Return the number of attempts that an endpoint is probably working on."""
         return self.in_flight - self.presumed_lost
 
@@ -55,12 +55,12 @@
         request.start_response()
         return request
 
-    def presume_lost(self, undecided: int, outstanding: int) -> None:
-        """Presume lost the last attempts of all open requests but the undecided and the outstanding ones.
+    def update_presumed_lost(self, without_attempt: int, outstanding: int) -> None:
+        """Presume lost the last attempt of each open request that is neither unsent nor outstanding.
 
-        `undecided` requests have no attempt yet; the responses to `outstanding` ones are still expected.
+        `without_attempt` requests have no attempt yet; `outstanding` ones still expect their response.
         """
-        self.presumed_lost = len(self.open) - undecided - outstanding
+        self.presumed_lost = len(self.open) - without_attempt - outstanding
 
     def cancellations(self, request: RequestState, except_for: int = -1) -> list[Action]:
         """Return the cancellations of a request's attempts in flight but for the one of that number."""
--- a/qos_gateway/decisions/requests/retry_policy.py
+++ b/qos_gateway/decisions/requests/retry_policy.py
@@ -10,7 +10,7 @@
 
 def may_gateway_retry(request: RequestState) -> bool:
     """Return whether the gateway may send another attempt at an endpoint that the policy allows."""
-    return not request.execution.may_have_executed or request.request_class.is_repeatable
+    return not request.execution.may_have_executed or request.request_class.is_retryable_after_execution
 
 
 def may_client_retry(request: RequestState) -> bool:
--- a/qos_gateway/decisions/requests/stalled_requests.py
+++ b/qos_gateway/decisions/requests/stalled_requests.py
@@ -61,7 +61,7 @@
         if endpoint is None or now - endpoint.last_response_at > objective // 2:
             return []
         cancellations = self._dispatcher.cancel_attempts(request)
-        request.execution.assume_executed()
+        request.execution.mark_possibly_executed()
         return [*cancellations, self._dispatcher.end(request)]
 
 
--- a/qos_gateway/decisions/snapshot.py
+++ b/qos_gateway/decisions/snapshot.py
@@ -27,9 +27,9 @@
         self.copy_to(mean)
         return mean
 
-    def moved(self, shift: int) -> MeanSnapshot:
-        """Return the state with its time moved by `shift` (ns)."""
-        return replace(self, updated_at=self.updated_at + shift)
+    def shifted(self, offset: int) -> MeanSnapshot:
+        """Return the state with its time moved by `offset` (ns)."""
+        return replace(self, updated_at=self.updated_at + offset)
 
     def copy_to(self, mean: DecayingMean) -> None:
         """Replace the state of a mean by this one."""
@@ -55,13 +55,13 @@
     long_demand: MeanSnapshot
     grant_ratio: MeanSnapshot
 
-    def moved(self, shift: int) -> AccountSnapshot:
-        """Return the account with its times moved by `shift` (ns)."""
+    def shifted(self, offset: int) -> AccountSnapshot:
+        """Return the account with its times moved by `offset` (ns)."""
         return replace(
             self,
-            reported_at=_moved(self.reported_at, shift),
-            long_demand=self.long_demand.moved(shift),
-            grant_ratio=self.grant_ratio.moved(shift),
+            reported_at=_shifted(self.reported_at, offset),
+            long_demand=self.long_demand.shifted(offset),
+            grant_ratio=self.grant_ratio.shifted(offset),
         )
 
 
@@ -79,14 +79,14 @@
     assumed_start: int
     slowness: MeanSnapshot
 
-    def moved(self, shift: int) -> EndpointSnapshot:
-        """Return the endpoint with its times moved by `shift` (ns), except for the reported start."""
+    def shifted(self, offset: int) -> EndpointSnapshot:
+        """Return the endpoint with its times moved by `offset` (ns), except for the reported start."""
         return replace(
             self,
-            ejected_until=_moved(self.ejected_until, shift),
-            disabled_at=_moved(self.disabled_at, shift),
-            assumed_start=_moved(self.assumed_start, shift),
-            slowness=self.slowness.moved(shift),
+            ejected_until=_shifted(self.ejected_until, offset),
+            disabled_at=_shifted(self.disabled_at, offset),
+            assumed_start=_shifted(self.assumed_start, offset),
+            slowness=self.slowness.shifted(offset),
         )
 
 
@@ -98,12 +98,12 @@
     admin_disabled: dict[int, int]  # endpoint to the time since which it is disabled
     warm_completions: MeanSnapshot
 
-    def moved(self, shift: int) -> LoadBalancerSnapshot:
-        """Return the state with its times moved by `shift` (ns)."""
+    def shifted(self, offset: int) -> LoadBalancerSnapshot:
+        """Return the state with its times moved by `offset` (ns)."""
         return LoadBalancerSnapshot(
-            endpoints=tuple(endpoint.moved(shift) for endpoint in self.endpoints),
-            admin_disabled={endpoint: _moved(at, shift) for endpoint, at in self.admin_disabled.items()},
-            warm_completions=self.warm_completions.moved(shift),
+            endpoints=tuple(endpoint.shifted(offset) for endpoint in self.endpoints),
+            admin_disabled={endpoint: _shifted(at, offset) for endpoint, at in self.admin_disabled.items()},
+            warm_completions=self.warm_completions.shifted(offset),
         )
 
 
@@ -119,20 +119,20 @@
     retry_tokens: float
     lease_fractions: dict[int, dict[int, float]]  # by customer and term
 
-    def at_clock(self, now: int) -> EngineSnapshot:
+    def adjusted_to_clock(self, now: int) -> EngineSnapshot:
         """Return the snapshot with no update later than `now` (ns), by the clock of the next process.
 
         Each process reads the wall clock once, at its start. Where that was stepped back in between,
         all times of the snapshot are too late by the step; the latest update then counts as of now.
         """
-        shift = now - self._latest_update()
-        if shift >= 0:
+        offset = now - self._latest_update()
+        if offset >= 0:
             return self
         return replace(
             self,
-            accounts=tuple(account.moved(shift) for account in self.accounts),
-            load_balancer=self.load_balancer.moved(shift),
-            latency=tuple(mean.moved(shift) for mean in self.latency),
+            accounts=tuple(account.shifted(offset) for account in self.accounts),
+            load_balancer=self.load_balancer.shifted(offset),
+            latency=tuple(mean.shifted(offset) for mean in self.latency),
         )
 
     def _latest_update(self) -> int:
@@ -144,6 +144,6 @@
         return max(mean.updated_at for mean in means)
 
 
-def _moved(time: int, shift: int) -> int:
-    """Return a time moved by `shift`; times that are not positive mean never."""
-    return time + shift if time > 0 else time
+def _shifted(time: int, offset: int) -> int:
+    """Return a time moved by `offset`; times that are not positive mean never."""
+    return time + offset if time > 0 else time
--- a/qos_gateway/types/events.py
+++ b/qos_gateway/types/events.py
@@ -78,7 +78,7 @@
     options: int  # bit flags; 2: the request is a retry by the client
 
     @property
-    def kind(self) -> tuple[int, int]:
+    def class_and_plan(self) -> tuple[int, int]:
         """Return the indexes of class and plan; endpoints may treat each pair differently."""
         return self.class_index, self.plan_index
 
--- a/qos_gateway/types/settings.py
+++ b/qos_gateway/types/settings.py
@@ -38,7 +38,7 @@
     idempotency_window: int  # duration for which endpoints know a key after its first attempt
 
     @property
-    def is_repeatable(self) -> bool:
+    def is_retryable_after_execution(self) -> bool:
         """Return whether a request may be retried at any endpoint after it may have executed."""
         return self.idempotence is not Idempotence.NOT_IDEMPOTENT
 
--- a/soak/mutants/retries.py
+++ b/soak/mutants/retries.py
@@ -19,7 +19,7 @@
 
 def repeat_everything() -> None:
     """Retry requests that are not idempotent."""
-    patch(RequestClass, "is_repeatable", property(always_true))
+    patch(RequestClass, "is_retryable_after_execution", property(always_true))
     patch(retry_policy, "allowed_endpoints", do_nothing)
     patch(RetryBudget, "allows", always_true)
     disable_guards()
