--- a/qos_gateway/decisions/__init__.py
+++ b/qos_gateway/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions: no I/O and no clock. These are the files that the deploy file names as `policy`."""
+"""Decision engine of the gateway, without I/O or clock access. The deploy file lists it as `policy`."""
--- a/qos_gateway/decisions/engine.py
+++ b/qos_gateway/decisions/engine.py
@@ -1,10 +1,10 @@
-"""The decision engine: the parts that decide, and the order in which they handle events and ticks.
+"""The decision engine: creates the components and passes events and ticks to them in order.
 
-Read the package `types` first, for events and actions. The mechanism is a QoS broker's: a table of
-commitments, a closed queuing model and seven cases that grant each customer a cap on its requests in flight.
-A request passes `admission` (cap, limit on all in flight, quota), then the dispatcher of `requests` (an
-endpoint by `load_balancing`, retries, its end). A tick checks what is open, refits the model, and evaluates
-commitments.
+The package `types` defines its interface, events and actions. The design is that of a QoS broker: a
+commitment table, a closed queueing model and seven cases that grant each customer a cap on its requests in
+flight. A request passes `admission` (customer cap, limit on all requests in flight, quota) and then the
+dispatcher of `requests`, which picks endpoints through `load_balancing`, retries failed attempts and ends
+the request. Each tick checks the open requests, refits the model and evaluates the commitments.
 """
 
 import random
@@ -24,20 +24,20 @@
 from .requests.stalled_requests import StalledRequestMonitor
 from .statistics.time_constants import TICK_INTERVAL_NS
 
-# Tokens of the engine's timers.
+# Timer tokens.
 TICK_TIMER = 1
-LIST_RETRY_TIMER = 2  # for another request of the endpoint list
+LIST_RETRY_TIMER = 2  # requests the endpoint list again after a failure
 LIST_RETRY_DELAY_NS = 1 * SECOND
-# Parts of the shared budgets that the two processes of a handover keep.
+# Fractions of the shared limits that the two processes of a handover keep.
 OUTGOING_FRACTION = 0.25  # the old process only finishes its open requests
 INCOMING_FRACTION = 0.75
 
 
 class DecisionEngine:
-    """One gateway's decisions: pass it every event in order, and carry out the actions that it returns."""
+    """Makes the decisions of one gateway, which passes in every event and executes the returned actions."""
 
     def __init__(self, settings: Settings, seed: int, now: int) -> None:
-        """Start without any endpoint or customer; `seed` is for all random draws, `now` in ns."""
+        """Create an engine without endpoints or customers; `seed` is for random numbers, `now` is in ns."""
         rng = random.Random(seed)
         self.settings = settings
         self.model = QueueModel(settings)
@@ -62,7 +62,7 @@
         return self._start() + self._handle(now, event)
 
     def _start(self) -> list[Action]:
-        """Return the actions that precede those of the first event."""
+        """Return the initial actions, which precede those of the first event."""
         actions: list[Action] = [SetTimer(TICK_INTERVAL_NS, TICK_TIMER)]
         if self.settings.polls_discovery:
             actions.append(WatchEndpoints(True))
@@ -91,7 +91,7 @@
         return []
 
     def _client_disconnected(self, request_id: int) -> list[Action]:
-        """Close the request; its attempts run on, and their ends are still counted."""
+        """Close the request; its attempts continue, and their outcomes are still recorded."""
         self.request_table.close(request_id)
         return []
 
@@ -99,7 +99,7 @@
         return self._tick(now) if token == TICK_TIMER else [WatchEndpoints(True)]
 
     def _endpoint_list_received(self, now: int, event: events.Topology) -> list[Action]:
-        """Update the endpoints; request the list again later where it could not be obtained."""
+        """Update the endpoints; schedule another request if the list could not be obtained."""
         self.load_balancer.update_list(now, event)
         if event.kind is events.ListKind.FAILED:
             return [SetTimer(LIST_RETRY_DELAY_NS, LIST_RETRY_TIMER)]
@@ -110,7 +110,7 @@
         return []
 
     def _tick(self, now: int) -> list[Action]:
-        """Do the periodic work; the order of the steps, and of their actions, is part of the behaviour."""
+        """Do the periodic work; the order of the steps and of their actions is part of the behaviour."""
         actions: list[Action] = [SetTimer(TICK_INTERVAL_NS, TICK_TIMER)]
         actions += self.admission.expire_reservations(now)
         actions += self._resend_releases(now)
--- a/qos_gateway/decisions/handover.py
+++ b/qos_gateway/decisions/handover.py
@@ -1,6 +1,7 @@
 """Handover of the decision engine's state from one process to the next.
 
-Until the old process ends both count as one gateway, so each keeps a fraction of the buckets and refill.
+Until the old process ends, both share the limits of one gateway: each gets a fraction of the token buckets
+and of their refill rates.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverFractions:
-    """The fraction of shared limits that each of two processes keeps; their sum is at most 1."""
+    """Fractions of the shared limits that the two processes keep; their sum is at most 1."""
 
     outgoing: float
     incoming: float
@@ -34,7 +35,7 @@
 
 
 def restore(engine: DecisionEngine, now: int, snapshot: EngineSnapshot, incoming_fraction: float) -> None:
-    """Restore a snapshot, decoded for the settings of this engine, and use the incoming fraction."""
+    """Restore a snapshot that fits the settings of this engine, and apply the incoming fraction."""
     snapshot = snapshot.adjusted_to_clock(now)
     engine.quota.restore(now, snapshot, incoming_fraction)
     engine.load_balancer.restore(now, snapshot.load_balancer, incoming_fraction)
@@ -45,6 +46,6 @@
 
 
 def complete(engine: DecisionEngine) -> None:
-    """Use all of what was shared; called once the other process has ended."""
+    """Return to the full limits; called once the other process has ended."""
     engine.quota.complete_handover()
     engine.load_balancer.complete_handover()
--- a/qos_gateway/decisions/requests/__init__.py
+++ b/qos_gateway/decisions/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Open requests and their attempts: dispatch, retries, hedging, and requests whose responses stay out."""
+"""Open requests and their attempts: dispatch, retries, hedging and overdue responses."""
--- a/qos_gateway/decisions/requests/attempt_timeouts.py
+++ b/qos_gateway/decisions/requests/attempt_timeouts.py
@@ -1,14 +1,14 @@
-"""Attempt time-outs, and the age from which an attempt may be hedged."""
+"""Timeouts of attempts, and the age from which an attempt may be hedged."""
 
 from ...types import Settings
 from ..congestion.queue_model import QueueModel
 from ..load_balancing.load_balancer import LoadBalancer
 from .request_state import RequestState
 
-MIN_UNANSWERED_RATIO = 0.05  # of recent attempts, from which attempts get a time-out
-UNANSWERED_PRIOR_SAMPLES = 3.0  # answered attempts that the ratio starts from
-TIMEOUT_LATENCIES = 3  # mean latencies
-HEDGE_AFTER_LATENCIES = 6  # mean latencies
+MIN_UNANSWERED_RATIO = 0.05  # of recent attempts; timeouts are set from this ratio on
+UNANSWERED_PRIOR_SAMPLES = 3.0  # answered attempts assumed before the first observation
+TIMEOUT_LATENCIES = 3  # mean latencies of the class
+HEDGE_AFTER_LATENCIES = 6  # mean latencies of the class
 
 
 class AttemptTimeouts:
@@ -20,15 +20,15 @@
         self._load_balancer = load_balancer
 
     def hedge_after(self, request: RequestState, expected_latency: int) -> int:
-        """Return the age (ns) from which an attempt may be hedged, half the latency objective at least."""
+        """Return the age (ns) from which an attempt may be hedged, at least half the latency objective."""
         half_objective = request.request_class.latency_objective // 2
         return max(half_objective, HEDGE_AFTER_LATENCIES * expected_latency)
 
     def timeout(self, now: int, request: RequestState) -> int:
-        """Return the time-out (ns) of an attempt that is sent now; 0 for none.
+        """Return the timeout (ns) of an attempt that is sent now; 0 for none.
 
-        It guards against lost responses and hung endpoints. Under congestion all responses are late, and
-        time-outs would add load.
+        Timeouts guard against lost responses and hung endpoints. Under congestion none is set: all responses
+        are late then, and timeouts would add load.
         """
         cls = request.request_class
         may_retry = cls.is_retryable_after_execution and request.attempts_sent < self._settings.max_attempts
--- a/qos_gateway/decisions/requests/dispatcher.py
+++ b/qos_gateway/decisions/requests/dispatcher.py
@@ -1,4 +1,4 @@
-"""Dispatch of admitted requests: their attempts, their retries, and their end."""
+"""Dispatch of admitted requests: attempts, retries, and the end without a response."""
 
 from ...types.actions import Action, Fail, Reject, RejectReason, Send
 from ...types.events import NOT_EXECUTED, Arrival, AttemptEnded, Outcome
@@ -14,11 +14,11 @@
 from .retry_budget import RetryBudget, retry_cost
 
 MAX_RETRY_AFTER_NS = SECOND // 5  # a longer wait leaves capacity unused
-RETRY_AFTER_OBJECTIVE_DIVISOR = 6  # the latency objective counts from the first attempt
+RETRY_AFTER_OBJECTIVE_DIVISOR = 6  # the latency objective includes the wait before the retry
 
 
 class Dispatcher:
-    """Sends attempts, and decides at the end of each whether the request is retried or ends."""
+    """Sends attempts, and decides after each whether to retry or to end the request."""
 
     def __init__(
         self, settings: Settings, model: QueueModel, load_balancer: LoadBalancer, quota: Quota
@@ -30,10 +30,10 @@
         self.requests = RequestTable()
         self.retry_budget = RetryBudget()
         self._timeouts = AttemptTimeouts(settings, model, load_balancer)
-        self._retry_after = [_retry_after(settings, each) for each in settings.classes]
+        self._retry_after = [_retry_after(settings, cls) for cls in settings.classes]
 
     def send(self, now: int, request: RequestState, untried_only: bool = False) -> Send | None:
-        """Send an attempt, preferably to an endpoint without one of this request; None if that fails."""
+        """Send an attempt, preferably to an endpoint not tried yet; None if no attempt is possible."""
         arrival = request.arrival
         if now >= arrival.deadline or request.attempts_sent >= self.settings.max_attempts:
             return None
@@ -51,16 +51,16 @@
         return Send(arrival.request_id, picked.endpoint.id, timeout, retry_policy.send_deadline(request))
 
     def response_started(self, request_id: int, attempt: int) -> list[Action]:
-        """Bind the request to this attempt: cancel the others, and send no more."""
+        """Commit the request to this attempt: cancel the others and send no more."""
         request = self.requests.response_started(request_id, attempt)
         return [] if request is None else self.cancel_attempts(request, attempt)
 
     def cancel_attempts(self, request: RequestState, except_for: int = -1) -> list[Action]:
-        """Cancel a request's attempts in flight but for the one of that number."""
+        """Cancel a request's attempts in flight except for the one with that index."""
         return self.requests.cancellations(request, except_for) if self.settings.may_cancel else []
 
     def attempt_ended(self, now: int, event: AttemptEnded) -> list[Action]:
-        """Record an attempt's outcome, then end or retry the request where no attempt is in flight."""
+        """Record an attempt's outcome, then retry or end an open request without attempts in flight."""
         request = self.requests.attempt_ended(event.request_id, event.attempt)
         if request is None:
             return []
@@ -68,7 +68,7 @@
         actions: list[Action] = []
         if event.request_finished:
             self.requests.close(event.request_id)
-            if not request.response_started:  # else the others were cancelled when it started
+            if not request.response_started:  # otherwise they were cancelled at the start of the response
                 actions += self.cancel_attempts(request)
         if not request.attempts_in_flight and event.request_id in self.requests.open:
             actions.append(self._retry_or_end(now, request, retry_cost(relative_latency)))
@@ -82,7 +82,7 @@
         return self.quota.release_slot(now, request.account)
 
     def _record_outcome(self, now: int, event: AttemptEnded, request: RequestState) -> float:
-        """Record an outcome at its owners; return the attempt's latency relative to its class's mean."""
+        """Record an outcome in all statistics; return the latency relative to the mean of the class."""
         class_index = request.arrival.class_index
         if event.quota_usage:
             self.quota.record_usage(now, request.account, event.quota_usage - 1)
@@ -98,7 +98,7 @@
         return relative_latency
 
     def _retry_or_end(self, now: int, request: RequestState, cost: float) -> Action:
-        """Retry where the retry policy, the deadline and the retry budget allow it; else end the request."""
+        """Retry if policy, deadline and retry budget allow it; otherwise end the request."""
         allowed = retry_policy.may_gateway_retry(request) and self.retry_budget.allows(cost)
         if allowed and (send := self.send(now, request)):
             self.retry_budget.withdraw(cost)
@@ -106,7 +106,7 @@
         return self.end(request)
 
     def end(self, request: RequestState) -> Reject | Fail:
-        """Close a request without a response; reject it where the client may retry it, else fail it."""
+        """Close a request without a response: reject it if the client may retry it, otherwise fail it."""
         self.requests.close(request.arrival.request_id)
         if retry_policy.may_client_retry(request):
             return self.reject(request.arrival, RejectReason.NO_RETRY)
--- a/qos_gateway/decisions/requests/execution_record.py
+++ b/qos_gateway/decisions/requests/execution_record.py
@@ -9,22 +9,22 @@
 
 @dataclass(slots=True)
 class ExecutionRecord:
-    """What the attempts of one request show of its execution."""
+    """Execution state of one request, derived from its attempts."""
 
     may_have_executed: bool = False
     first_keyed_attempt_at: int = 0  # ns
     first_keyed_endpoint: Endpoint | None = None
 
     def attempt_sent(self, now: int, endpoint: Endpoint) -> None:
-        """Record an attempt sent now (ns): the first that may execute is the one that stores the key."""
+        """Record an attempt sent at `now` (ns); the first one that may have executed stores the key."""
         if not self.may_have_executed:
             self.first_keyed_attempt_at = now
             self.first_keyed_endpoint = endpoint
 
     def mark_possibly_executed(self) -> None:
-        """Record that an attempt may have executed the request, or still may do so."""
+        """Record that an attempt may have executed the request, or may still execute it."""
         self.may_have_executed = True
 
     def unmark_possibly_executed(self) -> None:
-        """Undo `mark_possibly_executed` where it was called ahead of an attempt that was not sent."""
+        """Undo `mark_possibly_executed`, if it preceded an attempt that was not sent."""
         self.may_have_executed = False
--- a/qos_gateway/decisions/requests/hedging.py
+++ b/qos_gateway/decisions/requests/hedging.py
@@ -1,4 +1,4 @@
-"""Hedging: a second attempt for a request whose first attempt has probably lost its response."""
+"""Hedging: a second attempt for a request whose first response was probably lost."""
 
 from ...types import Action, Send
 from ..congestion.queue_model import QueueModel
@@ -21,7 +21,7 @@
         self._load_balancer = load_balancer
 
     def send_hedges(self, now: int) -> list[Action]:
-        """Send a second attempt where newer ones were answered and no congestion explains the delay."""
+        """Hedge requests whose endpoint answered newer attempts, unless congestion explains the delay."""
         if self._model.congested or not self._enabled:
             return []
         actions: list[Action] = []
@@ -34,16 +34,16 @@
         return actions
 
     def _may_hedge(self, request: RequestState) -> bool:
-        """Return whether the request is repeatable and its endpoint has answered a newer attempt."""
+        """Return whether the class allows a hedge and the endpoint has answered a newer attempt."""
         sent_since = request.last_attempt_at + request.expected_latency
         answered = self._load_balancer.answered_since(request.last_endpoint, sent_since)
         return answered and request.request_class.is_retryable_after_execution
 
     def _send_hedge(self, now: int, request: RequestState) -> Send | None:
-        """Send a second attempt to another endpoint; None if that fails."""
+        """Send a second attempt to an endpoint not tried yet; None if no attempt is possible."""
         execution = request.execution
         may_have_executed = execution.may_have_executed
-        execution.mark_possibly_executed()  # the attempt in flight still may do so
+        execution.mark_possibly_executed()  # the attempt in flight may still execute it
         send = self._dispatcher.send(now, request, untried_only=True)
         if send:
             self._retry_budget.withdraw(HEDGE_COST)
--- a/qos_gateway/decisions/requests/request_table.py
+++ b/qos_gateway/decisions/requests/request_table.py
@@ -1,25 +1,25 @@
-"""The requests of one gateway and their attempts in flight."""
+"""Table of the requests of one gateway and their attempts in flight."""
 
 from __future__ import annotations
 
 from ...types import Action, CancelAttempt, Endpoint
 from .request_state import RequestState
 
-AttemptKey = tuple[int, int]  # request id and number of the attempt
+AttemptKey = tuple[int, int]  # request id and index of the attempt
 
 
 class RequestTable:
-    """Open requests by id, attempts in flight by key, and the number that occupies endpoints."""
+    """Open requests by id, attempts in flight by key, and the number of those that occupy an endpoint."""
 
     def __init__(self) -> None:
         self.open: dict[int, RequestState] = {}  # requests without a final response
-        self.attempts: dict[AttemptKey, RequestState] = {}  # these may outlive the request
+        self.attempts: dict[AttemptKey, RequestState] = {}  # may outlive their request
         self.in_flight = 0  # attempts whose response has not started
         self.presumed_lost = 0  # of these, attempts whose response was probably lost
 
     @property
     def effective_in_flight(self) -> int:
-        """Return the number of attempts that an endpoint is probably working on."""
+        """Return the number of attempts in flight, except for those presumed lost."""
         return self.in_flight - self.presumed_lost
 
     def add(self, request: RequestState) -> None:
@@ -31,7 +31,7 @@
         return self.open.pop(request_id, None)
 
     def attempt_sent(self, now: int, request: RequestState, endpoint: Endpoint) -> None:
-        """Count an attempt that is sent now (ns)."""
+        """Add an attempt that is sent at `now` (ns)."""
         self.attempts[request.arrival.request_id, request.attempts_sent] = request
         request.attempt_sent(now, endpoint)
         request.account.in_flight += 1
@@ -63,7 +63,7 @@
         self.presumed_lost = len(self.open) - without_attempt - outstanding
 
     def cancellations(self, request: RequestState, except_for: int = -1) -> list[Action]:
-        """Return the cancellations of a request's attempts in flight but for the one of that number."""
+        """Return the cancellations of a request's attempts in flight except for the one with that index."""
         if not request.attempts_in_flight:
             return []
         request_id = request.arrival.request_id
--- a/qos_gateway/decisions/requests/retry_budget.py
+++ b/qos_gateway/decisions/requests/retry_budget.py
@@ -4,12 +4,12 @@
 
 TOKENS_PER_FIRST_ATTEMPT = 0.1  # keeps retries from doubling the load of a failing fleet
 MAX_TOKENS = 10.0
-MIN_RETRY_COST = 0.1  # tokens, after an attempt that took no endpoint's time
+MIN_RETRY_COST = 0.1  # tokens, after an attempt that used no time of an endpoint
 MAX_RETRY_COST = 1.0  # tokens
 
 
 class RetryBudget:
-    """Token bucket that each first attempt fills and each retry or hedge empties."""
+    """Token bucket that first attempts fill; retries and hedges draw from it."""
 
     __slots__ = ("tokens",)
 
@@ -18,7 +18,7 @@
         self.tokens = MAX_TOKENS
 
     def deposit(self) -> None:
-        """Credit one first attempt."""
+        """Add the tokens of one first attempt."""
         self.tokens = min(MAX_TOKENS, self.tokens + TOKENS_PER_FIRST_ATTEMPT)
 
     def allows(self, cost: float) -> bool:
@@ -26,7 +26,7 @@
         return self.tokens >= cost
 
     def withdraw(self, cost: float) -> None:
-        """Charge an attempt that was sent."""
+        """Take the cost (tokens) of an attempt that was sent."""
         self.tokens -= cost
 
     def capture(self, fraction: float) -> float:
--- a/qos_gateway/decisions/requests/retry_policy.py
+++ b/qos_gateway/decisions/requests/retry_policy.py
@@ -1,6 +1,7 @@
 """Retry policy: who may retry a request that may have been executed, where, and until when.
 
-Rule 2 of the protocol page. A request that was certainly not executed may be retried by anyone, anywhere.
+This is rule 2 of the protocol page. A request that was certainly not executed may be retried by the gateway
+or by the client, at any endpoint.
 """
 
 from ...types import Idempotence, IdempotencyScope
@@ -24,7 +25,7 @@
 def allowed_endpoints(now: int, request: RequestState) -> EndpointFilter:
     """Return the endpoints allowed for another attempt at `now` (ns).
 
-    A request with an idempotency key is retried only where the key is known, and within its window.
+    A request with an idempotency key is retried only at endpoints that know the key, and within its window.
     """
     cls = request.request_class
     execution = request.execution
--- a/qos_gateway/decisions/requests/stalled_requests.py
+++ b/qos_gateway/decisions/requests/stalled_requests.py
@@ -1,4 +1,4 @@
-"""Requests whose responses are overdue: presumed lost, cancelled in unresponsive zones, or ended late."""
+"""Handling of overdue responses: presumed lost, cancelled in unresponsive zones, or ended late."""
 
 from ...types import Action, CloseIdleConnections, Idempotence, LogLine
 from ..congestion.outstanding_attempt import OutstandingAttempt
@@ -7,7 +7,7 @@
 from .dispatcher import Dispatcher
 from .request_state import RequestState
 
-LOST_AFTER_LATENCIES = 4.0  # mean latencies between an attempt and a newer one that was answered
+LOST_AFTER_LATENCIES = 4.0  # mean latencies by which an answered attempt is newer
 
 
 class StalledRequestMonitor:
@@ -20,7 +20,7 @@
         self._load_balancer = load_balancer
 
     def outstanding_attempts(self, now: int) -> list[OutstandingAttempt]:
-        """Return the last attempt of each open request, but for those whose response was probably lost."""
+        """Return the last attempt of each open request, except for those whose response was probably lost."""
         latest_answered_send = self._load_balancer.responses.latest_answered_send
         lost_after = [LOST_AFTER_LATENCIES * latency.mean.value for latency in self._model.class_latency]
 
@@ -36,7 +36,7 @@
         ]
 
     def cancel_in_unresponsive_zones(self, now: int) -> list[Action]:
-        """Cancel attempts in zones that stopped responding where the class allows a retry anywhere."""
+        """Cancel attempts in zones that stopped responding, if their class allows a retry at any endpoint."""
         actions: list[Action] = []
         requests = self._requests.open.values()
         for found in self._load_balancer.detect_unresponsive_zones(now, requests):
@@ -55,7 +55,7 @@
         return [action for request in late for action in self._end_late_request(now, request)]
 
     def _end_late_request(self, now: int, request: RequestState) -> list[Action]:
-        """End a late request, unless its endpoint is silent: the attempt's time-out has to show that."""
+        """End a late request, unless its endpoint is silent: only the attempt's timeout reports that."""
         endpoint = self._load_balancer.registry.endpoints.get(request.last_endpoint)
         objective = request.request_class.latency_objective
         if endpoint is None or now - endpoint.last_response_at > objective // 2:
--- a/qos_gateway/decisions/snapshot.py
+++ b/qos_gateway/decisions/snapshot.py
@@ -1,4 +1,4 @@
-"""Typed snapshots of the decision engine's state for the next process of the gateway. Times are in ns."""
+"""Snapshots of the decision engine's state for the next process of the gateway. Times are in ns."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
         return mean
 
     def shifted(self, offset: int) -> MeanSnapshot:
-        """Return the state with its time moved by `offset` (ns)."""
+        """Return the state with its time shifted by `offset` (ns)."""
         return replace(self, updated_at=self.updated_at + offset)
 
     def copy_to(self, mean: DecayingMean) -> None:
-        """Replace the state of a mean by this one."""
+        """Overwrite the state of a mean with this one."""
         mean.updated_at = self.updated_at
         mean.time_constant = self.time_constant
         mean.weighted_sum = self.weighted_sum
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AccountSnapshot:
-    """A customer's buckets, and the last report of the owner or the counter on them."""
+    """A customer's token buckets, and the last report on them by the owner or the counter."""
 
     customer_id: int
     plan_index: int
@@ -56,7 +56,7 @@
     grant_ratio: MeanSnapshot
 
     def shifted(self, offset: int) -> AccountSnapshot:
-        """Return the account with its times moved by `offset` (ns)."""
+        """Return the account with its times shifted by `offset` (ns)."""
         return replace(
             self,
             reported_at=_shifted(self.reported_at, offset),
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointSnapshot:
-    """An endpoint as the old process observed it; it may have been restarted since."""
+    """State of an endpoint in the old process; the endpoint may have restarted since."""
 
     endpoint: int
     started_at: int
@@ -80,7 +80,7 @@
     slowness: MeanSnapshot
 
     def shifted(self, offset: int) -> EndpointSnapshot:
-        """Return the endpoint with its times moved by `offset` (ns), except for the reported start."""
+        """Return the endpoint with its times shifted by `offset` (ns), except for the reported start."""
         return replace(
             self,
             ejected_until=_shifted(self.ejected_until, offset),
@@ -92,14 +92,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadBalancerSnapshot:
-    """The endpoints, and the statistics of all endpoints that slow start needs."""
+    """State of each endpoint, and the statistics over all endpoints that slow start uses."""
 
     endpoints: tuple[EndpointSnapshot, ...]
-    admin_disabled: dict[int, int]  # endpoint to the time since which it is disabled
+    admin_disabled: dict[int, int]  # by endpoint, the time since which it is disabled
     warm_completions: MeanSnapshot
 
     def shifted(self, offset: int) -> LoadBalancerSnapshot:
-        """Return the state with its times moved by `offset` (ns)."""
+        """Return the state with its times shifted by `offset` (ns)."""
         return LoadBalancerSnapshot(
             endpoints=tuple(endpoint.shifted(offset) for endpoint in self.endpoints),
             admin_disabled={endpoint: _shifted(at, offset) for endpoint, at in self.admin_disabled.items()},
@@ -120,10 +120,10 @@
     lease_fractions: dict[int, dict[int, float]]  # by customer and term
 
     def adjusted_to_clock(self, now: int) -> EngineSnapshot:
-        """Return the snapshot with no update later than `now` (ns), by the clock of the next process.
+        """Return the snapshot shifted so that no update is later than `now` (ns) of the next process.
 
-        Each process reads the wall clock once, at its start. Where that was stepped back in between,
-        all times of the snapshot are too late by the step; the latest update then counts as of now.
+        Each process reads the wall clock once, at its start. If the clock was stepped back in between, all
+        times of the snapshot are too late by that step; the latest update is then taken to be at `now`.
         """
         offset = now - self._latest_update()
         if offset >= 0:
@@ -136,7 +136,7 @@
         )
 
     def _latest_update(self) -> int:
-        """Return when the newest of the means was updated."""
+        """Return the time of the latest update of any mean."""
         means = [self.load_balancer.warm_completions, *self.latency]
         means += [endpoint.slowness for endpoint in self.load_balancer.endpoints]
         means += [account.long_demand for account in self.accounts]
@@ -145,5 +145,5 @@
 
 
 def _shifted(time: int, offset: int) -> int:
-    """Return a time moved by `offset`; times that are not positive mean never."""
+    """Return a time shifted by `offset`; values up to 0 mean never and do not change."""
     return time + offset if time > 0 else time
--- a/qos_gateway/decisions/snapshot_format.py
+++ b/qos_gateway/decisions/snapshot_format.py
@@ -1,7 +1,7 @@
-"""The JSON form of the decision engine's snapshots.
+"""JSON format of the decision engine's snapshots.
 
-Processes of different versions write and read the form: its keys, and the order of the values in its rows,
-must not change. A row holds the fields of its class in the order of the class. Times are in ns.
+Processes of different versions exchange snapshots, so the keys and the order of the values in a row must not
+change. A row holds the fields of its class in the order of their declaration. Times are in ns.
 """
 
 from __future__ import annotations
@@ -10,9 +10,9 @@
 
 from .snapshot import AccountSnapshot, EndpointSnapshot, EngineSnapshot, LoadBalancerSnapshot, MeanSnapshot
 
-JsonObject = dict[str, Any]  # decoded JSON, not yet checked
+JsonObject = dict[str, Any]  # decoded JSON that is not validated
 
-# The stored name of each field of `EngineSnapshot`: the only place that maps one to the other.
+# JSON keys of the fields of `EngineSnapshot`.
 ACCOUNTS_KEY = "accounts"
 ENDPOINTS_KEY = "servers"
 ADMIN_DISABLED_KEY = "banned"
@@ -21,15 +21,15 @@
 BASELINE_LATENCY_KEY = "shortest"
 CALL_RATE_KEY = "pace"
 RETRY_TOKENS_KEY = "retries"
-LEASE_FRACTIONS_KEY = "leases"  # versions without leases neither write nor read it
+LEASE_FRACTIONS_KEY = "leases"  # missing in snapshots of versions without leases
 
 
 class SnapshotFormatError(ValueError):
-    """A snapshot is unreadable, or does not fit the settings of this process."""
+    """A snapshot cannot be decoded, or does not fit the settings of this process."""
 
 
 def encode_snapshot(snapshot: EngineSnapshot) -> JsonObject:
-    """Return the JSON form of a snapshot."""
+    """Encode a snapshot as a JSON object."""
     return {
         ACCOUNTS_KEY: [_encode_account(account) for account in snapshot.accounts],
         ENDPOINTS_KEY: [_encode_endpoint(endpoint) for endpoint in snapshot.load_balancer.endpoints],
@@ -46,9 +46,9 @@
 
 
 def decode_snapshot(raw: JsonObject, plan_count: int, class_count: int) -> EngineSnapshot:
-    """Return the snapshot of a JSON form.
+    """Decode a snapshot from a JSON object.
 
-    Raises `SnapshotFormatError` where it is unreadable, or does not fit the numbers of plans and classes.
+    Raises `SnapshotFormatError` if it cannot be decoded, or does not fit the numbers of plans and classes.
     """
     try:
         snapshot = EngineSnapshot(
@@ -68,22 +68,22 @@
             },
         )
     except (AttributeError, KeyError, TypeError, ValueError, OverflowError) as error:
-        raise SnapshotFormatError(f"snapshot not readable: {type(error).__name__}: {error}") from None
+        raise SnapshotFormatError(f"snapshot cannot be decoded: {type(error).__name__}: {error}") from None
     _check_against_settings(snapshot, plan_count, class_count)
     return snapshot
 
 
 def _check_against_settings(snapshot: EngineSnapshot, plan_count: int, class_count: int) -> None:
-    """Raise `SnapshotFormatError` where a plan or a class is missing in the settings, or in the snapshot."""
+    """Raise `SnapshotFormatError` if the plans or the classes do not match the settings."""
     for account in snapshot.accounts:
         if not 0 <= account.plan_index < plan_count:
             raise SnapshotFormatError(
-                f"snapshot: customer {account.customer_id:x} has plan {account.plan_index}, "
+                f"snapshot: customer {account.customer_id:x} has the plan index {account.plan_index}, "
                 f"the settings have {plan_count} plans"
             )
     if not len(snapshot.latency) == len(snapshot.baseline_latency) == class_count:
         raise SnapshotFormatError(
-            f"snapshot: latencies of {len(snapshot.latency)} and {len(snapshot.baseline_latency)} classes, "
+            f"snapshot: {len(snapshot.latency)} latencies and {len(snapshot.baseline_latency)} baselines, "
             f"the settings have {class_count} classes"
         )
 
--- a/qos_gateway/types/__init__.py
+++ b/qos_gateway/types/__init__.py
@@ -1,7 +1,7 @@
-"""Types that pass between a gateway and its decision engine: settings, events and actions.
+"""Interface between a gateway and its decision engine: settings, events and actions.
 
-All classes are immutable and hold no decisions. Times are integer nanoseconds on a clock that never goes
-backwards.
+Instances are not modified after their creation, and the classes make no decisions. Times are integer
+nanoseconds on a monotonic clock.
 """
 
 from .actions import (
--- a/qos_gateway/types/actions.py
+++ b/qos_gateway/types/actions.py
@@ -6,7 +6,7 @@
 from enum import Enum
 
 
-# Not frozen, as a frozen class sets each field by a call: one is made for each attempt.
+# Not frozen for speed, as one is created for each attempt: a frozen class sets each field by a call.
 @dataclass(slots=True)
 class Send:
     """Start an attempt of a request at an endpoint. Times and durations are in ns."""
@@ -25,12 +25,12 @@
     LOAD_LIMIT = "load_limit"  # the limit on all requests in flight is reached
     QUOTA = "quota"  # the customer's quota is used up
     NO_ENDPOINT = "no_endpoint"  # no endpoint is usable, or the deadline is too close
-    NO_RETRY = "no_retry"  # no attempt executed, and no retry is possible
+    NO_RETRY = "no_retry"  # no further attempt is possible, but the client may retry
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Reject a request that was never executed; the client may retry it."""
+    """Reject a request that the client may retry: it was not executed, or a retry is harmless."""
 
     request_id: int
     retry_after: int  # delay in ns after which the client may retry
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Fail a request that may have executed."""
+    """Fail a request that may have executed, and that the client may not retry."""
 
     request_id: int
 
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AddToCounter:
-    """Add to a shared counter; a `CounterReplied` with its total follows."""
+    """Add an amount to a key of the counter; a `CounterReplied` with the total follows."""
 
     key: int
     time_to_live: int  # ns after which the counter drops the key
--- a/qos_gateway/types/events.py
+++ b/qos_gateway/types/events.py
@@ -33,7 +33,7 @@
 
 
 class Health(IntEnum):
-    """State of an endpoint as discovery publishes it."""
+    """State of an endpoint in the list of the discovery agent."""
 
     REMOVED = 0
     READY = 1
@@ -62,7 +62,7 @@
     entries: tuple[Endpoint, ...]
 
 
-# Not frozen, as a frozen class sets each field by a call: one is made for each request.
+# Not frozen for speed, as one is created for each request: a frozen class sets each field by a call.
 @dataclass(slots=True, kw_only=True)
 class Arrival:
     """Request of a client; it gets exactly one final response before its deadline. Times are in ns."""
@@ -100,7 +100,7 @@
 
     request_id: int
     request_finished: bool  # the client has its final response, or has disconnected
-    actual_units: int  # quota units that replace the estimate of the arrival; 0: not reported
+    actual_units: int  # quota units that replace `Arrival.units`; 0: not reported
     endpoint: int
     quota_usage: int  # 1 + percent of the customer's quota rate that the meter measured; 0: not reported
     outcome: Outcome
@@ -153,7 +153,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetEndpointEnabled:
-    """Call of an operator that disables an endpoint, whatever the list says, or enables it again."""
+    """Request of an admin to disable an endpoint, whatever its listed state, or to enable it again."""
 
     endpoint: int
     enabled: bool
--- a/qos_gateway/types/settings.py
+++ b/qos_gateway/types/settings.py
@@ -29,39 +29,39 @@
     """Class of requests. Durations are in ns."""
 
     name: str
-    latency_objective: int  # latency up to which a response has its full value
+    latency_objective: int  # latency up to which a response has its full weight
     deadline: int  # longest time from a request's arrival to its final response
-    priority_weight: float  # value of a response within the objective
-    late_priority_weight: float  # value of a later response, as a fraction of `priority_weight`
+    priority_weight: float  # weight of a response within the objective
+    late_priority_weight: float  # weight of a later response, as a fraction of `priority_weight`
     idempotence: Idempotence
     idempotency_scope: IdempotencyScope
     idempotency_window: int  # duration for which endpoints know a key after its first attempt
 
     @property
     def is_retryable_after_execution(self) -> bool:
-        """Return whether a request may be retried at any endpoint after it may have executed."""
+        """Return whether a request that may have executed may be retried, at least at some endpoints."""
         return self.idempotence is not Idempotence.NOT_IDEMPOTENT
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Plan:
-    """Quota of each customer of one plan over all gateways; 0 means that a limit does not exist."""
+    """Quota of each customer of one plan over all gateways; 0 means no limit."""
 
     name: str
     rate: float  # units per second of the quota
-    burst: float  # units that the quota accumulates at most
-    max_in_flight: int  # attempts in flight at the same time
+    burst: float  # maximum units that the quota accumulates
+    max_in_flight: int  # maximum attempts in flight at the same time
     weight_factor: float  # factor on the priority weight of the plan's requests
-    excess_weight: float  # value of a request beyond the quota, as a fraction of its weight
-    excess_cost: float  # cost of a request beyond the quota, as a fraction of its weight
+    excess_weight: float  # weight of a request beyond the quota, as a fraction of its full weight
+    excess_cost: float  # cost of a request beyond the quota, as a fraction of its full weight
     ceiling_rate: float  # units per second of the hard ceiling
-    ceiling_burst: float  # units that the hard ceiling accumulates at most
+    ceiling_burst: float  # maximum units that the hard ceiling accumulates
     ceiling_slack: float  # units by which all gateways together may exceed the hard ceiling
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Settings:
-    """Input of all decisions that does not change while the gateway runs. Durations are in ns."""
+    """Inputs of decisions that stay constant while the gateway runs. Durations are in ns."""
 
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
@@ -69,7 +69,7 @@
     position: int  # index of this gateway among all gateways, from 0
     gateway_count: int
     report_names: tuple[str, ...]  # names of the values of a load report, in their order
-    max_attempts: int  # attempts per request
+    max_attempts: int  # maximum attempts per request
     hedging: bool  # whether a request may have two attempts in flight
     may_cancel: bool  # whether attempts may be cancelled
     may_probe: bool  # whether endpoints may be probed
@@ -86,7 +86,7 @@
     drain_grace: int  # duration for which a draining endpoint still serves
     overload_window: int  # duration of overload that makes an endpoint in slow start collapse
     overload_multiple: float  # load above this multiple of its current capacity is overload
-    initial_capacity_fraction: float  # capacity of an endpoint at its start, as a fraction of its full one
+    initial_capacity_fraction: float  # capacity of an endpoint at its start, relative to its full capacity
     slow_start_window: int  # duration from an endpoint's start to its full capacity
     cross_zone_cost: float  # cost of an attempt in another zone, as a fraction of a request
-    lease_term: int = 0  # term for which parts of quotas are leased; 0: each request is counted
+    lease_term: int = 0  # duration of a lease on a part of a quota; 0: each request is counted
