--- a/tests/decisions/test_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -34,20 +34,20 @@
 def test_request_that_is_not_idempotent_is_retried_when_it_was_not_executed() -> None:
     engine = engine_alone()
     (send,) = sends(engine.handle(MS, arrival(1, MS, UNSAFE)))
-    (again,) = sends(engine.handle(2 * MS, ended(1, send.endpoint, Outcome.OVERLOADED)))
-    assert again.endpoint != send.endpoint
+    (retry,) = sends(engine.handle(2 * MS, ended(1, send.endpoint, Outcome.OVERLOADED)))
+    assert retry.endpoint != send.endpoint
 
 
-def test_keyed_retry_stays_in_its_cell_and_window() -> None:
+def test_keyed_retry_stays_within_its_cell_and_window() -> None:
     engine = DecisionEngine(settings(), 7, 0)
     cells = {1: 1, 2: 1, 3: 2, 4: 2}
     engine.handle(0, full_list(*(listed_endpoint(i, cell=c) for i, c in cells.items())))
     for request in range(8):
         (send,) = sends(engine.handle(MS, arrival(request, MS, KEYED)))
-        (again,) = sends(engine.handle(2 * MS, ended(request, send.endpoint, Outcome.ERROR)))
-        assert cells[again.endpoint] == cells[send.endpoint]
-        assert (send.send_deadline, again.send_deadline) == (0, MS + 2 * SECOND)
-        late = ended(request, again.endpoint, Outcome.ERROR, attempt=1)
+        (retry,) = sends(engine.handle(2 * MS, ended(request, send.endpoint, Outcome.ERROR)))
+        assert cells[retry.endpoint] == cells[send.endpoint]
+        assert (send.send_deadline, retry.send_deadline) == (0, MS + 2 * SECOND)
+        late = ended(request, retry.endpoint, Outcome.ERROR, attempt=1)
         assert engine.handle(3 * SECOND, late) == [Fail(request)]
         engine = DecisionEngine(settings(), request, 0)
         engine.handle(0, full_list(*(listed_endpoint(i, cell=c) for i, c in cells.items())))
@@ -74,7 +74,7 @@
     assert engine.request_table.in_flight == 0
 
 
-def test_hedging_has_a_budget_and_spares_requests_that_are_not_idempotent() -> None:
+def test_hedges_stay_within_the_budget_and_exclude_requests_that_are_not_idempotent() -> None:
     engine = engine_alone(plans=(plan(rate=1000.0, burst=1000.0),))
     for cls in (SAFE, UNSAFE):
         answer_requests(engine, cls)
@@ -89,34 +89,40 @@
     assert engine.dispatcher.retry_budget.tokens == 0.0
 
 
-@pytest.mark.parametrize(("latency_objective", "wait"), [(300, 50), (1200, 200), (6000, 200)])
-def test_retry_after_leaves_time_for_the_latency_objective(latency_objective: int, wait: int) -> None:
+@pytest.mark.parametrize(("latency_objective", "retry_after_ms"), [(300, 50), (1200, 200), (6000, 200)])
+def test_retry_after_leaves_time_for_the_latency_objective(
+    latency_objective: int, retry_after_ms: int
+) -> None:
     engine = engine_alone(
         classes=tuple(replace(each, latency_objective=latency_objective * MS) for each in CLASSES)
     )
-    (refusal,) = rejections(engine.handle(5 * SECOND, replace(arrival(1, 0), deadline=SECOND)))
-    assert refusal.retry_after == wait * MS
+    (rejection,) = rejections(engine.handle(5 * SECOND, replace(arrival(1, 0), deadline=SECOND)))
+    assert rejection.retry_after == retry_after_ms * MS
 
 
-@pytest.mark.parametrize(("elapsed", "left"), [(MS, 0.9), (50 * MS, 0.5), (100 * MS, 0.0), (SECOND, 0.0)])
-def test_retry_costs_the_time_that_the_failed_attempt_took(elapsed: int, left: float) -> None:
+@pytest.mark.parametrize(
+    ("elapsed", "remaining_tokens"), [(MS, 0.9), (50 * MS, 0.5), (100 * MS, 0.0), (SECOND, 0.0)]
+)
+def test_retry_cost_grows_with_the_latency_of_the_failed_attempt(
+    elapsed: int, remaining_tokens: float
+) -> None:
     engine = engine_alone()
     answer_requests(engine, SAFE)
     (send,) = sends(engine.handle(SECOND, arrival(1, SECOND)))
     engine.dispatcher.retry_budget.tokens = 1.0
-    broken = ended(1, send.endpoint, Outcome.RESET, elapsed=elapsed)
-    assert len(sends(engine.handle(SECOND + elapsed, broken))) == 1
-    assert engine.dispatcher.retry_budget.tokens == pytest.approx(left, abs=0.02)
+    reset = ended(1, send.endpoint, Outcome.RESET, elapsed=elapsed)
+    assert len(sends(engine.handle(SECOND + elapsed, reset))) == 1
+    assert engine.dispatcher.retry_budget.tokens == pytest.approx(remaining_tokens, abs=0.02)
 
 
-def test_retries_have_a_budget() -> None:
+def test_retries_stay_within_the_budget() -> None:
     engine = engine_alone(plans=(plan(rate=1000.0, burst=1000.0),))
-    extra = 0
+    retry_count = 0
     for i in range(100):
         now = i * 300 * MS
         for send in sends(engine.handle(now, arrival(i, now))):
-            extra += len(sends(engine.handle(now + MS, ended(i, send.endpoint, Outcome.ERROR))))
-    assert 0 < extra <= 20
+            retry_count += len(sends(engine.handle(now + MS, ended(i, send.endpoint, Outcome.ERROR))))
+    assert 0 < retry_count <= 20
 
 
 def test_lost_responses_do_not_count_as_congestion() -> None:
@@ -133,14 +139,14 @@
     assert engine.model.concurrency_limit is None
 
 
-def test_attempts_time_out_only_once_responses_were_lost() -> None:
-    g = DecisionEngine(settings(plans=(plan(rate=1000.0, burst=1000.0),)), 7, 0)
-    g.handle(0, full_list(*(listed_endpoint(i) for i in range(1, 5))))
-    (first,) = [a for a in g.handle(MS, arrival(1, MS)) if isinstance(a, Send)]
+def test_attempts_have_a_timeout_only_after_lost_responses() -> None:
+    engine = DecisionEngine(settings(plans=(plan(rate=1000.0, burst=1000.0),)), 7, 0)
+    engine.handle(0, full_list(*(listed_endpoint(i) for i in range(1, 5))))
+    (first,) = [a for a in engine.handle(MS, arrival(1, MS)) if isinstance(a, Send)]
     assert first.timeout == 0
-    again = g.handle(SECOND, ended(1, first.endpoint, Outcome.TIMEOUT))
-    (second,) = [a for a in again if isinstance(a, Send)]
+    actions = engine.handle(SECOND, ended(1, first.endpoint, Outcome.TIMEOUT))
+    (second,) = [a for a in actions if isinstance(a, Send)]
     assert 0 < second.timeout < SECOND
     assert second.endpoint != first.endpoint
-    (unsafe,) = [a for a in g.handle(SECOND, arrival(2, SECOND, UNSAFE)) if isinstance(a, Send)]
+    (unsafe,) = [a for a in engine.handle(SECOND, arrival(2, SECOND, UNSAFE)) if isinstance(a, Send)]
     assert unsafe.timeout == 0
--- a/tests/decisions/test_engine.py
+++ b/tests/decisions/test_engine.py
@@ -18,15 +18,15 @@
 from tests.support.fleet import MANY
 
 
-def test_memory_does_not_grow_with_customers_and_endpoints_that_come_once() -> None:
+def test_memory_is_bounded_with_short_lived_customers_and_endpoints() -> None:
     engine = engine_alone()
     sizes = []
     for second in range(240):
         now = second * SECOND
-        new = full_list(
+        update = full_list(
             listed_endpoint(100 + second), listed_endpoint(99 + second, Health.REMOVED), kind=ListKind.DELTA
         )
-        engine.handle(now, new)
+        engine.handle(now, update)
         for i in range(20):
             number = second * 20 + i
             for send in sends(engine.handle(now, arrival(number, now, customer_id=number))):
@@ -67,24 +67,24 @@
 
     def feed(self, now: int, event: Event) -> None:
         super().feed(now, event)
-        for held in list(self.gateway.admission.pending_reservations):
-            answer = self.log and held % 3
-            if answer:
-                word = encode_reservation(
+        for tag in list(self.gateway.admission.pending_reservations):
+            reply = self.log and tag % 3
+            if reply:
+                message = encode_reservation(
                     Reservation(
-                        kind=ReservationKind.GRANTED if answer == 1 else ReservationKind.DENIED,
+                        kind=ReservationKind.GRANTED if reply == 1 else ReservationKind.DENIED,
                         customer_id=1,
                         plan_index=0,
                         units=5.0,
-                        tag=held,
+                        tag=tag,
                         sender_age=0,
                     )
                 )
-                super().feed(now, PeerMessage(1, word))
+                super().feed(now, PeerMessage(1, message))
         if not isinstance(self.gateway.quota, OwnerQuota):
-            for name, calls in list(self.gateway.quota.counter.pending_calls.items()):
+            for key, calls in list(self.gateway.quota.counter.pending_calls.items()):
                 if calls:
-                    super().feed(now, CounterReplied(MS, Outcome(1 + len(self.log) % 3), name, 2.0))
+                    super().feed(now, CounterReplied(MS, Outcome(1 + len(self.log) % 3), key, 2.0))
 
     def end(self, now: int, attempt: tuple[int, int], outcome: Outcome) -> None:
         super().end(now, attempt, outcome)
@@ -104,24 +104,26 @@
     RemoteQuotaFuzzer(may_message=False, has_counter=True).play(steps)
 
 
-def test_work_of_an_event_does_not_grow_with_the_gateways() -> None:
-    def calls(gateways: int) -> int:
-        g = DecisionEngine(settings(gateway_count=gateways, messages_per_s=1.0), 7, 0)
-        g.handle(0, full_list(*(listed_endpoint(i) for i in range(1, 9))))
-        seen = 0
+def test_cost_of_an_event_does_not_grow_with_the_gateway_count() -> None:
+    def count_calls(gateway_count: int) -> int:
+        engine = DecisionEngine(settings(gateway_count=gateway_count, messages_per_s=1.0), 7, 0)
+        engine.handle(0, full_list(*(listed_endpoint(i) for i in range(1, 9))))
+        call_count = 0
 
-        def note(_frame: object, what: str, _arg: object) -> None:
-            nonlocal seen
-            seen += what in ("call", "c_call")
+        def count_call(_frame: object, event: str, _arg: object) -> None:
+            nonlocal call_count
+            call_count += event in ("call", "c_call")
 
-        sys.setprofile(note)
+        sys.setprofile(count_call)
         try:
             for i in range(300):
-                g.handle(i * 10 * MS, arrival(i, i * 10 * MS, customer_id=i % 40, gateway_spread=gateways))
+                engine.handle(
+                    i * 10 * MS, arrival(i, i * 10 * MS, customer_id=i % 40, gateway_spread=gateway_count)
+                )
                 if i % 10 == 0:
-                    g.handle(i * 10 * MS, TimerFired(TICK_TIMER))
+                    engine.handle(i * 10 * MS, TimerFired(TICK_TIMER))
         finally:
             sys.setprofile(None)
-        return seen
+        return call_count
 
-    assert calls(1000) <= 1.1 * calls(100)
+    assert count_calls(1000) <= 1.1 * count_calls(100)
--- a/tests/state/test_earlier_versions.py
+++ b/tests/state/test_earlier_versions.py
@@ -26,31 +26,31 @@
 PEER_MESSAGES: dict[str, list[dict[str, Any]]] = json.loads((FIXTURES / "peer_messages.json").read_text())
 
 
-def test_handover_state_of_an_earlier_version_is_restored_and_captured_alike() -> None:
+def test_handover_state_of_an_earlier_version_is_restored_and_captured_unchanged() -> None:
     states = json.loads((FIXTURES / "handover_state.json").read_text())
     ceiling = plan(ceiling_rate=20.0, ceiling_burst=40.0, ceiling_slack=8.0)
-    made = settings(
+    engine_settings = settings(
         may_message=False, has_counter=True, gateway_count=2, lease_term=10 * SECOND, plans=(plan(), ceiling)
     )
-    gateway = DecisionEngine(made, 7, 0)
-    gateway.handle(
+    engine = DecisionEngine(engine_settings, 7, 0)
+    engine.handle(
         0, full_list(listed_endpoint(1), listed_endpoint(2, started_at=START - SECOND), listed_endpoint(3))
     )
-    restore_json(gateway, START + SECOND, states["written"], made)
-    captured = capture_json(gateway, START + SECOND)
+    restore_json(engine, START + SECOND, states["written"], engine_settings)
+    captured = capture_json(engine, START + SECOND)
     # As text, for the order of the keys belongs to the form too.
     assert json.dumps(captured) == json.dumps(states["written_again_by_the_next"])
 
 
 @pytest.mark.parametrize("message", PEER_MESSAGES["owner"])
-def test_messages_with_a_customers_owner_have_the_same_bytes(message: dict[str, Any]) -> None:
+def test_messages_between_gateway_and_owner_have_the_same_bytes(message: dict[str, Any]) -> None:
     written = bytes.fromhex(message.pop("bytes"))
     assert encode_reservation(Reservation(**message)) == written
     assert decode_reservation(written) == Reservation(**message)
 
 
 @pytest.mark.parametrize("message", PEER_MESSAGES["gossip"])
-def test_gossip_has_the_same_bytes(message: dict[str, Any]) -> None:
+def test_gossip_messages_have_the_same_bytes(message: dict[str, Any]) -> None:
     written = bytes.fromhex(message["bytes"])
     totals = [CustomerTotal(*each) for each in message["totals"]]
     assert encode_totals(message["incarnation"], message["age"], totals) == written
--- a/tests/state/test_handover_clock.py
+++ b/tests/state/test_handover_clock.py
@@ -14,8 +14,8 @@
 HOUR = 3600 * SECOND
 SETTINGS = settings(plans=(plan(rate=100.0, burst=100.0),))
 START = 10 * HOUR
-REQUESTS = 50
-DISABLED = 4
+REQUEST_COUNT = 50
+DISABLED_ENDPOINT = 4
 
 
 def new_engine(now: int) -> DecisionEngine:
@@ -27,39 +27,39 @@
 def serve(engine: DecisionEngine, begin: int, first_request: int) -> list[Action]:
     """Let a gateway serve requests with ticks in between; return the actions on the requests."""
     actions: list[Action] = []
-    for number in range(first_request, first_request + REQUESTS):
-        now = begin + number % REQUESTS * TICK_INTERVAL_NS
+    for number in range(first_request, first_request + REQUEST_COUNT):
+        now = begin + number % REQUEST_COUNT * TICK_INTERVAL_NS
         engine.handle(now, TimerFired(TICK_TIMER))
-        made = engine.handle(now, arrival(number, now))
-        for send in sends(made):
+        request_actions = engine.handle(now, arrival(number, now))
+        for send in sends(request_actions):
             engine.handle(now + 10 * MS, ended(number, send.endpoint, elapsed=10 * MS))
-        actions += made
+        actions += request_actions
     return actions
 
 
 @pytest.mark.parametrize("step", [-HOUR, -5 * SECOND, 0, HOUR])
-def test_next_process_serves_on_whatever_its_clock_reads(step: int) -> None:
+def test_next_process_continues_to_serve_after_a_clock_step(step: int) -> None:
     # After a step back every tick of the next process raised OverflowError.
     old = new_engine(START)
     serve(old, START, 0)
-    captured_at = START + REQUESTS * TICK_INTERVAL_NS
-    old.handle(captured_at, SetEndpointEnabled(DISABLED, False))
+    captured_at = START + REQUEST_COUNT * TICK_INTERVAL_NS
+    old.handle(captured_at, SetEndpointEnabled(DISABLED_ENDPOINT, False))
     old.load_balancer.registry.endpoints[1].ejected_until = captured_at + SECOND
     now = captured_at + step
     new = new_engine(now)
     restore_json(new, now, capture_json(old, captured_at), SETTINGS)
     registry = new.load_balancer.registry
     assert registry.endpoints[1].ejected_until <= now + SECOND + TICK_INTERVAL_NS
-    assert registry.admin_disabled.keys() == {DISABLED}
-    assert registry.admin_disabled[DISABLED] <= now + TICK_INTERVAL_NS
-    served = serve(new, now, REQUESTS)
+    assert registry.admin_disabled.keys() == {DISABLED_ENDPOINT}
+    assert registry.admin_disabled[DISABLED_ENDPOINT] <= now + TICK_INTERVAL_NS
+    served = serve(new, now, REQUEST_COUNT)
     assert all(isinstance(action, Send) for action in served)
 
 
 def test_step_back_keeps_ejections_and_latencies() -> None:
     old = new_engine(START)
     serve(old, START, 0)
-    captured_at = START + REQUESTS * TICK_INTERVAL_NS
+    captured_at = START + REQUEST_COUNT * TICK_INTERVAL_NS
     old.load_balancer.registry.endpoints[1].ejected_until = captured_at + SECOND
     now = captured_at - HOUR
     new = new_engine(now)
--- a/tests/state/test_handover_snapshot.py
+++ b/tests/state/test_handover_snapshot.py
@@ -23,11 +23,11 @@
 
 
 def new_engine() -> DecisionEngine:
-    made = DecisionEngine(SETTINGS, 7, 0)
-    made.handle(
+    engine = DecisionEngine(SETTINGS, 7, 0)
+    engine.handle(
         0, full_list(listed_endpoint(1), listed_endpoint(2, started_at=START - SECOND), listed_endpoint(3))
     )
-    return made
+    return engine
 
 
 def used_engine(count: int = 5) -> DecisionEngine:
@@ -35,25 +35,25 @@
     engine = new_engine()
     for n in range(count):
         engine.handle(START, arrival(n, START))
-        name = 1 << 16 | (START // (60 * SECOND)) & 0xFFFF
-        engine.handle(START, CounterReplied(0, Outcome.OK, name, float(n + 1)))
+        key = 1 << 16 | (START // (60 * SECOND)) & 0xFFFF
+        engine.handle(START, CounterReplied(0, Outcome.OK, key, float(n + 1)))
     engine.handle(START, ended(0, 1, elapsed=SECOND // 5))
     return engine
 
 
-def handed_over(old: DecisionEngine, now: int = START) -> DecisionEngine:
+def hand_over(old: DecisionEngine, now: int = START) -> DecisionEngine:
     new = new_engine()
     restore_json(new, now, capture_json(old, now), SETTINGS)
     return new
 
 
-def test_both_together_hold_the_buckets_of_one_then_and_later() -> None:
+def test_both_processes_together_hold_the_tokens_of_one_during_and_after_the_handover() -> None:
     old = used_engine()
     before = old.quota.accounts[1]
-    part, ceiling = before.buckets.local_tokens, before.buckets.ceiling_tokens
-    new = handed_over(old)
+    local, ceiling = before.buckets.local_tokens, before.buckets.ceiling_tokens
+    new = hand_over(old)
     both = old.quota.accounts[1], new.quota.accounts[1]
-    assert sum(a.buckets.local_tokens for a in both) == pytest.approx(part)
+    assert sum(a.buckets.local_tokens for a in both) == pytest.approx(local)
     assert sum(a.buckets.ceiling_tokens for a in both) == pytest.approx(ceiling)
     single = used_engine().quota
     for quota in (old.quota, new.quota, single):
@@ -68,9 +68,9 @@
     )
 
 
-def test_first_request_adds_no_second_slack_and_open_attempts_count_on() -> None:
+def test_first_request_adds_no_second_slack_and_open_attempts_still_count() -> None:
     old = used_engine()
-    new = handed_over(old)
+    new = hand_over(old)
     ceiling = new.quota.accounts[1].buckets.ceiling_tokens
     new.handle(START, arrival(90, START))
     assert new.quota.accounts[1].buckets.ceiling_tokens <= ceiling
@@ -84,7 +84,7 @@
     old_registry = old.load_balancer.registry
     old_registry.endpoints[1].ejected_until = START + SECOND
     old_registry.endpoints[2].slow_start_bucket.tokens = 1.5
-    new = handed_over(old)
+    new = hand_over(old)
     new_registry = new.load_balancer.registry
     assert new_registry.admin_disabled == {3: START, 77: START}
     assert new_registry.endpoints[1].ejected_until == START + SECOND
@@ -97,7 +97,7 @@
     assert [a.endpoint for a in sends] in ([], [2])
 
 
-def test_endpoint_restarted_since_has_no_state_of_the_old_process() -> None:
+def test_endpoint_that_restarted_meanwhile_gets_no_state_of_the_old_process() -> None:
     old = used_engine()
     old.load_balancer.registry.endpoints[1].ejected_until = START + SECOND
     new = new_engine()
@@ -106,7 +106,7 @@
     assert new.load_balancer.registry.endpoints[1].ejected_until == 0
 
 
-def broken(**changes: Any) -> dict[str, Any]:
+def altered_snapshot(**changes: Any) -> dict[str, Any]:
     return {**capture_json(used_engine(), START), **changes}
 
 
@@ -114,15 +114,15 @@
     "raw",
     [
         {},
-        broken(accounts=[[1, 2]]),
-        broken(accounts=None),
-        broken(servers=[["x"] * 9]),
-        broken(banned="abc"),
-        broken(latency=[]),
-        broken(sends=[1]),
-        broken(pace="fast"),
-        broken(retries=None),
-        broken(accounts=[[1, 9, 2, [], 0, 1.0, 1.0, 1.0, 0, [0, 1, 0.0, 0.0], [0, 1, 0.0, 0.0]]]),
+        altered_snapshot(accounts=[[1, 2]]),
+        altered_snapshot(accounts=None),
+        altered_snapshot(servers=[["x"] * 9]),
+        altered_snapshot(banned="abc"),
+        altered_snapshot(latency=[]),
+        altered_snapshot(sends=[1]),
+        altered_snapshot(pace="fast"),
+        altered_snapshot(retries=None),
+        altered_snapshot(accounts=[[1, 9, 2, [], 0, 1.0, 1.0, 1.0, 0, [0, 1, 0.0, 0.0], [0, 1, 0.0, 0.0]]]),
     ],
 )
 def test_unreadable_snapshot_changes_nothing(raw: dict[str, Any]) -> None:
