--- a/tests/decisions/test_clock_steps.py
+++ b/tests/decisions/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""Slow start where the gateway's clock and that of the reported starts differ."""
+"""Slow start of endpoints whose reported start comes from another clock than the gateway's."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 WARM_ENDPOINTS = range(1, 6)
 STARTED_ENDPOINT = 9
 REQUEST_INTERVAL_NS = 10 * MS
-MAX_RATIO = 1.5  # of attempts in the first seconds, by those with equal clocks
+MAX_RATIO = 1.5  # between the attempts with and without a clock error
 OBSERVATION_NS = 3 * SECOND
 
 
 class Traffic:
-    """Steady requests to one engine; counts the attempts at the endpoint that starts."""
+    """Sends requests to an engine at a constant rate; counts the attempts at the started endpoint."""
 
     def __init__(self, engine: DecisionEngine) -> None:
         self.engine = engine
@@ -43,7 +43,7 @@
 
 
 def engine_after_reported_start(clock_error: int) -> DecisionEngine:
-    """Return a gateway that is told of a start; its clock is ahead of the reported time by an error."""
+    """Return an engine with one reported start; its clock is ahead of the reported time by `clock_error`."""
     engine = DecisionEngine(SETTINGS, 7, START_TIME)
     engine.handle(START_TIME, full_list(*map(listed_endpoint, WARM_ENDPOINTS)))
     Traffic(engine).count_attempts(START_TIME, REPORTED_AT - START_TIME)
@@ -58,14 +58,14 @@
 
 @pytest.mark.parametrize("clock_error", [HOUR, -HOUR, -5 * SECOND])
 def test_reported_start_begins_a_slow_start_despite_a_clock_error(clock_error: int) -> None:
-    # With a clock an hour ahead the endpoint got as many attempts as a warm one.
+    # Without correction, a clock an hour ahead gave the endpoint as many attempts as a warm one.
     expected = count_first_attempts(0)
     assert expected / MAX_RATIO <= count_first_attempts(clock_error) <= expected * MAX_RATIO
 
 
 @pytest.mark.parametrize("clock_error", [HOUR, 0, -HOUR])
 def test_slow_start_ends_after_its_window(clock_error: int) -> None:
-    # With a clock an hour behind it lasted for an hour more.
+    # Without correction, a clock an hour behind prolonged the slow start by an hour.
     traffic = Traffic(engine_after_reported_start(clock_error))
     traffic.count_attempts(REPORTED_AT, SLOW_START_NS)
     attempts = traffic.count_attempts(REPORTED_AT + SLOW_START_NS, OBSERVATION_NS)
--- a/tests/decisions/test_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Attempts, retries and hedges, each on a gateway acting alone."""
+"""Attempts, retries and hedges of a single gateway."""
 
 from __future__ import annotations
 
@@ -58,9 +58,8 @@
     engine = engine_alone()
     answer_requests(engine, cls)
     (first,) = sends(engine.handle(200 * MS, arrival(1, 200 * MS, cls)))
-    assert not sends(
-        engine.handle(800 * MS, TimerFired(TICK_TIMER))
-    )  # an endpoint that answers nothing may be slow
+    # Not hedged yet: an endpoint that has answered no newer attempt may just be slow.
+    assert not sends(engine.handle(800 * MS, TimerFired(TICK_TIMER)))
     engine.load_balancer.registry.endpoints[first.endpoint].latest_answered_send = 350 * MS
     (second,) = sends(engine.handle(800 * MS, TimerFired(TICK_TIMER)))
     assert second.request_id == 1
--- a/tests/decisions/test_engine.py
+++ b/tests/decisions/test_engine.py
@@ -1,4 +1,4 @@
-"""The decision engine under any order of events."""
+"""The decision engine: one final response per request, bounded memory, and the cost of an event."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 
 class RemoteQuotaFuzzer(EventFuzzer):
-    """The same orders of events, with an owner or the counter that holds the quota."""
+    """Plays the events with quotas that an owner or the counter holds, and replies to reservations."""
 
     def __init__(self, **changes: Any) -> None:
         super().__init__()
--- a/tests/decisions/test_late_requests.py
+++ b/tests/decisions/test_late_requests.py
@@ -1,4 +1,4 @@
-"""Requests past their latency objective in congestion are cancelled, at endpoints that respond."""
+"""Cancellation of requests past their latency objective: under congestion, at responsive endpoints."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 def run_late_request(
     class_index: int = SAFE, congested: bool = True, responsive: bool = True
 ) -> tuple[DecisionEngine, list[Action]]:
-    """Let request 1 pass its latency objective; return the engine and the actions of the next tick."""
+    """Run request 1 past its latency objective; return the engine and the actions of the next tick."""
     engine = DecisionEngine(settings(may_message=False, gateway_count=1), 7, 0)
     engine.handle(0, full_list(listed_endpoint(1)))
     assert isinstance(engine.handle(START, arrival(1, START, class_index))[0], Send)
--- a/tests/state/test_earlier_versions.py
+++ b/tests/state/test_earlier_versions.py
@@ -1,4 +1,4 @@
-"""Bytes of a handover state and of peer messages that an earlier version wrote are read and written alike."""
+"""Handover state and peer messages of an earlier version are decoded and encoded without changes."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     )
     restore_json(engine, START + SECOND, states["written"], engine_settings)
     captured = capture_json(engine, START + SECOND)
-    # As text, for the order of the keys belongs to the form too.
+    # Compared as text, since the order of the keys is part of the format.
     assert json.dumps(captured) == json.dumps(states["written_again_by_the_next"])
 
 
--- a/tests/state/test_handover_clock.py
+++ b/tests/state/test_handover_clock.py
@@ -1,4 +1,4 @@
-"""Handover to a process whose clock reads otherwise, as the wall clock was stepped in between."""
+"""Handover to a process whose clock differs, because the wall clock was stepped in between."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def serve(engine: DecisionEngine, begin: int, first_request: int) -> list[Action]:
-    """Let a gateway serve requests with ticks in between; return the actions on the requests."""
+    """Serve one request per tick; return the actions for the requests."""
     actions: list[Action] = []
     for number in range(first_request, first_request + REQUEST_COUNT):
         now = begin + number % REQUEST_COUNT * TICK_INTERVAL_NS
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("step", [-HOUR, -5 * SECOND, 0, HOUR])
 def test_next_process_continues_to_serve_after_a_clock_step(step: int) -> None:
-    # After a step back every tick of the next process raised OverflowError.
+    # Without adjusted times, a step back made every tick of the next process raise OverflowError.
     old = new_engine(START)
     serve(old, START, 0)
     captured_at = START + REQUEST_COUNT * TICK_INTERVAL_NS
--- a/tests/state/test_handover_snapshot.py
+++ b/tests/state/test_handover_snapshot.py
@@ -1,4 +1,4 @@
-"""State that one process of a gateway hands to the next: both together hold no more than one did."""
+"""Handover of state to the next process: both together never hold more quota than one process."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def used_engine(count: int = 5) -> DecisionEngine:
-    """Return a gateway with unanswered requests of customer 1 and an unresponsive counter."""
+    """Return an engine with requests of customer 1 counted by the counter; only the first has ended."""
     engine = new_engine()
     for n in range(count):
         engine.handle(START, arrival(n, START))
@@ -80,7 +80,7 @@
 def test_disabling_ejections_and_latency_are_restored_and_slow_start_tokens_are_not_doubled() -> None:
     old = used_engine()
     old.handle(START, SetEndpointEnabled(3, False))
-    old.handle(START, SetEndpointEnabled(77, False))  # not listed at the moment
+    old.handle(START, SetEndpointEnabled(77, False))  # not in the endpoint list
     old_registry = old.load_balancer.registry
     old_registry.endpoints[1].ejected_until = START + SECOND
     old_registry.endpoints[2].slow_start_bucket.tokens = 1.5
