--- a/qos_gateway/decisions/snapshot.py
+++ b/qos_gateway/decisions/snapshot.py
@@ -1,4 +1,4 @@
-"""Typed snapshots of the decision engine's state for the next process of the gateway. Times are in ns."""
+"""Snapshots of the decision engine's state for the next process of the gateway. Times are in ns."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
         self.copy_to(mean)
         return mean
 
-    def moved(self, shift: int) -> MeanSnapshot:
-        """Return the state with its time moved by `shift` (ns)."""
-        return replace(self, updated_at=self.updated_at + shift)
+    def shifted(self, offset: int) -> MeanSnapshot:
+        """Return the state with its time shifted by `offset` (ns)."""
+        return replace(self, updated_at=self.updated_at + offset)
 
     def copy_to(self, mean: DecayingMean) -> None:
-        """Replace the state of a mean by this one."""
+        """Overwrite the state of a mean with this one."""
         mean.updated_at = self.updated_at
         mean.time_constant = self.time_constant
         mean.weighted_sum = self.weighted_sum
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AccountSnapshot:
-    """A customer's buckets, and the last report of the owner or the counter on them."""
+    """A customer's token buckets, and the last report on them by the owner or the counter."""
 
     customer_id: int
     plan_index: int
@@ -55,19 +55,19 @@
     long_demand: MeanSnapshot
     grant_ratio: MeanSnapshot
 
-    def moved(self, shift: int) -> AccountSnapshot:
-        """Return the account with its times moved by `shift` (ns)."""
+    def shifted(self, offset: int) -> AccountSnapshot:
+        """Return the account with its times shifted by `offset` (ns)."""
         return replace(
             self,
-            reported_at=_moved(self.reported_at, shift),
-            long_demand=self.long_demand.moved(shift),
-            grant_ratio=self.grant_ratio.moved(shift),
+            reported_at=_shifted(self.reported_at, offset),
+            long_demand=self.long_demand.shifted(offset),
+            grant_ratio=self.grant_ratio.shifted(offset),
         )
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointSnapshot:
-    """An endpoint as the old process observed it; it may have been restarted since."""
+    """State of an endpoint in the old process; the endpoint may have restarted since."""
 
     endpoint: int
     started_at: int
@@ -79,31 +79,31 @@
     assumed_start: int
     slowness: MeanSnapshot
 
-    def moved(self, shift: int) -> EndpointSnapshot:
-        """Return the endpoint with its times moved by `shift` (ns), except for the reported start."""
+    def shifted(self, offset: int) -> EndpointSnapshot:
+        """Return the endpoint with its times shifted by `offset` (ns), except for the reported start."""
         return replace(
             self,
-            ejected_until=_moved(self.ejected_until, shift),
-            disabled_at=_moved(self.disabled_at, shift),
-            assumed_start=_moved(self.assumed_start, shift),
-            slowness=self.slowness.moved(shift),
+            ejected_until=_shifted(self.ejected_until, offset),
+            disabled_at=_shifted(self.disabled_at, offset),
+            assumed_start=_shifted(self.assumed_start, offset),
+            slowness=self.slowness.shifted(offset),
         )
 
 
 @dataclass(frozen=True, slots=True)
 class LoadBalancerSnapshot:
-    """The endpoints, and the statistics of all endpoints that slow start needs."""
+    """State of each endpoint, and the statistics over all endpoints that slow start uses."""
 
     endpoints: tuple[EndpointSnapshot, ...]
-    admin_disabled: dict[int, int]  # endpoint to the time since which it is disabled
+    admin_disabled: dict[int, int]  # by endpoint, the time since which it is disabled
     warm_completions: MeanSnapshot
 
-    def moved(self, shift: int) -> LoadBalancerSnapshot:
-        """Return the state with its times moved by `shift` (ns)."""
+    def shifted(self, offset: int) -> LoadBalancerSnapshot:
+        """Return the state with its times shifted by `offset` (ns)."""
         return LoadBalancerSnapshot(
-            endpoints=tuple(endpoint.moved(shift) for endpoint in self.endpoints),
-            admin_disabled={endpoint: _moved(at, shift) for endpoint, at in self.admin_disabled.items()},
-            warm_completions=self.warm_completions.moved(shift),
+            endpoints=tuple(endpoint.shifted(offset) for endpoint in self.endpoints),
+            admin_disabled={endpoint: _shifted(at, offset) for endpoint, at in self.admin_disabled.items()},
+            warm_completions=self.warm_completions.shifted(offset),
         )
 
 
@@ -119,24 +119,24 @@
     retry_tokens: float
     lease_fractions: dict[int, dict[int, float]]  # by customer and term
 
-    def at_clock(self, now: int) -> EngineSnapshot:
-        """Return the snapshot with no update later than `now` (ns), by the clock of the next process.
+    def adjusted_to_clock(self, now: int) -> EngineSnapshot:
+        """Return the snapshot shifted so that no update is later than `now` (ns) of the next process.
 
-        Each process reads the wall clock once, at its start. Where that was stepped back in between,
-        all times of the snapshot are too late by the step; the latest update then counts as of now.
+        Each process reads the wall clock once, at its start. If the clock was stepped back in between, all
+        times of the snapshot are too late by that step; the latest update is then taken to be at `now`.
         """
-        shift = now - self._latest_update()
-        if shift >= 0:
+        offset = now - self._latest_update()
+        if offset >= 0:
             return self
         return replace(
             self,
-            accounts=tuple(account.moved(shift) for account in self.accounts),
-            load_balancer=self.load_balancer.moved(shift),
-            latency=tuple(mean.moved(shift) for mean in self.latency),
+            accounts=tuple(account.shifted(offset) for account in self.accounts),
+            load_balancer=self.load_balancer.shifted(offset),
+            latency=tuple(mean.shifted(offset) for mean in self.latency),
         )
 
     def _latest_update(self) -> int:
-        """Return when the newest of the means was updated."""
+        """Return the time of the latest update of any mean."""
         means = [self.load_balancer.warm_completions, *self.latency]
         means += [endpoint.slowness for endpoint in self.load_balancer.endpoints]
         means += [account.long_demand for account in self.accounts]
@@ -144,6 +144,6 @@
         return max(mean.updated_at for mean in means)
 
 
-def _moved(time: int, shift: int) -> int:
-    """Return a time moved by `shift`; times that are not positive mean never."""
-    return time + shift if time > 0 else time
+def _shifted(time: int, offset: int) -> int:
+    """Return a time shifted by `offset`; values up to 0 mean never and do not change."""
+    return time + offset if time > 0 else time
