--- a/qos_gateway/decisions/congestion/class_latency.py
+++ b/qos_gateway/decisions/congestion/class_latency.py
@@ -21,18 +21,18 @@
     Times are in ns.
     """
 
-    __slots__ = ("baseline", "mean", "recent")
+    __slots__ = ("baseline", "mean", "recent_mean")
 
     def __init__(self, time_constant: int) -> None:
         """Start both means with the same time constant."""
         self.mean = DecayingMean(time_constant)  # by the class's own rate of responses
-        self.recent = DecayingMean(time_constant)  # by the rate of all classes
+        self.recent_mean = DecayingMean(time_constant)  # by the rate of all classes
         self.baseline = 0.0  # 0 while unknown
 
     def add(self, now: int, latency: float, weight: float = 1.0) -> None:
         """Add a response's latency to both means."""
         self.mean.add(now, latency, weight)
-        self.recent.add(now, latency, weight)
+        self.recent_mean.add(now, latency, weight)
 
     def restore(self, mean: DecayingMean, baseline: float) -> None:
         """Continue with the mean and the baseline of another process."""
@@ -42,15 +42,15 @@
     def set_time_constants(self, mean: int, recent: int) -> None:
         """Set the time constant of each mean."""
         self.mean.time_constant = mean
-        self.recent.time_constant = recent
+        self.recent_mean.time_constant = recent
 
-    def samples_with(self, now: int, ages: list[int]) -> LatencySamples:
+    def samples_with_outstanding(self, now: int, ages: list[int]) -> LatencySamples:
         """Return the recent latencies together with the ages of attempts without a response."""
-        recent = self.recent
+        recent = self.recent_mean
         decay = decay_factor(now - recent.updated_at, recent.time_constant)
         return LatencySamples(recent.weight * decay + len(ages), recent.weighted_sum * decay + sum(ages))
 
-    def move_baseline(self, growth: float) -> None:
+    def update_baseline(self, growth: float) -> None:
         """Move the baseline down to the mean, or up by a factor where the mean is above it."""
         grown = self.baseline * growth
         self.baseline = min(grown, self.mean.value) if grown else self.mean.value
--- a/qos_gateway/decisions/congestion/delay_detection.py
+++ b/qos_gateway/decisions/congestion/delay_detection.py
@@ -12,21 +12,21 @@
 
 from ...units import SECOND
 
-PERIOD_NS = SECOND // 2  # of sends that count with the same number in flight
+SAMPLING_PERIOD_NS = SECOND // 2  # of sends that count with the same number in flight
 MAX_PERIODS = 16
 MIN_SAMPLES = 16  # responses, for a conclusion
 MIN_PERIODS = 4  # the first ones are those in which the latency changes
-MIN_IN_FLIGHT_DEVIATION = 0.05  # of the mean number in flight
-SIGNIFICANT_ERRORS = 3.0  # standard errors of the slope
-MAX_QUEUE_SHARE = 0.5  # of the wait, for most of it to count as a delay
-REFUTING_RISE = 0.25  # of the wait that was taken for a delay
-TRIAL_NS = 5 * SECOND  # in which a rise of the latency refutes a conclusion
-FIRST_PAUSE_NS = 10 * SECOND  # after a refuted conclusion; doubled by each further one
-MAX_PAUSE_NS = 160 * SECOND
+MIN_IN_FLIGHT_DEVIATION_FRACTION = 0.05  # of the mean number in flight
+SLOPE_MARGIN_STANDARD_ERRORS = 3.0  # standard errors of the slope
+MAX_QUEUE_FRACTION = 0.5  # of the wait, for most of it to count as a delay
+REFUTING_RISE_FRACTION = 0.25  # of the wait that was taken for a delay
+CONFIRMATION_TIME_NS = 5 * SECOND  # in which a rise of the latency refutes a conclusion
+INITIAL_BACKOFF_NS = 10 * SECOND  # after a refuted conclusion; doubled by each further one
+MAX_BACKOFF_NS = 160 * SECOND
 
 
 @dataclass(slots=True)
-class SendPeriod:
+class SamplingPeriod:
     """Attempts that were sent within one period: the number in flight then, and their latencies (ns)."""
 
     start: int
@@ -43,21 +43,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LatencyLine:
+class LatencyRegression:
     """Latency (ns) over the number in flight."""
 
     slope: float
-    slope_error: float
+    slope_standard_error: float
     mean_in_flight: float
     mean_latency: float
 
     @property
-    def latency_of_none(self) -> float:
+    def intercept(self) -> float:
         """Return the latency without any request in flight: the delay."""
         return self.mean_latency - max(0.0, self.slope) * self.mean_in_flight
 
 
-def fit_line(periods: list[SendPeriod]) -> LatencyLine | None:
+def fit_regression(periods: list[SamplingPeriod]) -> LatencyRegression | None:
     """Return the least squares line, None without enough samples or different numbers in flight."""
     samples = sum(period.samples for period in periods)
     if samples < MIN_SAMPLES:
@@ -67,15 +67,15 @@
     xx = sum(period.samples * (period.in_flight - mean_x) ** 2 for period in periods)
     xy = sum((period.in_flight - mean_x) * (period.total - period.samples * mean_y) for period in periods)
     yy = sum(period.total_of_squares for period in periods) - samples * mean_y * mean_y
-    if xx < samples * (MIN_IN_FLIGHT_DEVIATION * mean_x) ** 2 or not xx:
+    if xx < samples * (MIN_IN_FLIGHT_DEVIATION_FRACTION * mean_x) ** 2 or not xx:
         return None
     slope = xy / xx
     residual = max(0.0, yy - slope * xy) / (samples - 2)
-    return LatencyLine(slope, sqrt(residual / xx), mean_x, mean_y)
+    return LatencyRegression(slope, sqrt(residual / xx), mean_x, mean_y)
 
 
 @dataclass(frozen=True, slots=True)
-class Conclusion:
+class DelayEstimate:
     """A delay that was found, with what was known before; times in ns."""
 
     at: int
@@ -84,61 +84,64 @@
 
     def is_refuted_by(self, latency: float) -> bool:
         """Return whether the latency has risen since, with more in flight, as under a queue."""
-        return latency - self.latency > REFUTING_RISE * (self.latency - self.previous_delay)
+        return latency - self.latency > REFUTING_RISE_FRACTION * (self.latency - self.previous_delay)
 
 
-class DelayDetection:
+class DelayDetector:
     """Collects the latencies of one time of congestion, and finds the delay in them. Times are in ns."""
 
     def __init__(self) -> None:
-        self._periods: deque[SendPeriod] = deque(maxlen=MAX_PERIODS)
-        self._trial: Conclusion | None = None  # the last conclusion, until it has held for a while
-        self._pause = FIRST_PAUSE_NS
-        self._paused_until = 0
+        self._periods: deque[SamplingPeriod] = deque(maxlen=MAX_PERIODS)
+        self._unconfirmed: DelayEstimate | None = None  # the last conclusion, until it has held for a while
+        self._backoff = INITIAL_BACKOFF_NS
+        self._suspended_until = 0
 
-    def end_congestion(self) -> None:
+    def clear(self) -> None:
         """Forget all latencies."""
         self._periods.clear()
 
-    def begin_period(self, now: int, in_flight: float) -> None:
+    def begin_period_if_due(self, now: int, in_flight: float) -> None:
         """Begin another period of sends where the last one is over."""
-        if not self._periods or now - self._periods[-1].start >= PERIOD_NS:
-            self._periods.append(SendPeriod(now, in_flight))
+        if not self._periods or now - self._periods[-1].start >= SAMPLING_PERIOD_NS:
+            self._periods.append(SamplingPeriod(now, in_flight))
 
     def add(self, sent_at: int, latency: int) -> None:
         """Add a response to an attempt that was sent at a time."""
         for period in reversed(self._periods):
             if sent_at >= period.start:
-                if sent_at < period.start + PERIOD_NS:
+                if sent_at < period.start + SAMPLING_PERIOD_NS:
                     period.add(latency)
                 return
 
-    def find_delay(self, now: int, baseline_delay: float) -> float | None:
+    def estimate_delay(self, now: int, baseline_delay: float) -> float | None:
         """Return the delay where latencies show that most of what is beyond `baseline_delay` is no queue."""
-        if now < self._paused_until:
+        if now < self._suspended_until:
             return None
-        settled = [period for period in self._periods if period.start + PERIOD_NS + baseline_delay <= now]
-        line = fit_line(settled) if len(settled) >= MIN_PERIODS else None
-        if line is None or line.mean_latency <= baseline_delay:
+        complete = [
+            period for period in self._periods if period.start + SAMPLING_PERIOD_NS + baseline_delay <= now
+        ]
+        regression = fit_regression(complete) if len(complete) >= MIN_PERIODS else None
+        if regression is None or regression.mean_latency <= baseline_delay:
             return None
-        queue_slope = (line.mean_latency - baseline_delay) / line.mean_in_flight
-        if line.slope + SIGNIFICANT_ERRORS * line.slope_error >= MAX_QUEUE_SHARE * queue_slope:
+        max_slope = regression.slope + SLOPE_MARGIN_STANDARD_ERRORS * regression.slope_standard_error
+        queue_slope = (regression.mean_latency - baseline_delay) / regression.mean_in_flight
+        if max_slope >= MAX_QUEUE_FRACTION * queue_slope:
             return None
         self._periods.clear()
-        self._trial = Conclusion(now, baseline_delay, line.mean_latency)
-        return max(baseline_delay, line.latency_of_none)
+        self._unconfirmed = DelayEstimate(now, baseline_delay, regression.mean_latency)
+        return max(baseline_delay, regression.intercept)
 
-    def refuted_delay(self, now: int, latency: float) -> float | None:
+    def revert_if_refuted(self, now: int, latency: float) -> float | None:
         """Return the delay known before the last conclusion where the latency has refuted that."""
-        trial = self._trial
-        if trial is None:
+        estimate = self._unconfirmed
+        if estimate is None:
             return None
-        if trial.is_refuted_by(latency):
-            self._trial = None
-            self._paused_until = now + self._pause
-            self._pause = min(MAX_PAUSE_NS, 2 * self._pause)
-            return trial.previous_delay
-        if now - trial.at > TRIAL_NS:
-            self._trial = None
-            self._pause = FIRST_PAUSE_NS
+        if estimate.is_refuted_by(latency):
+            self._unconfirmed = None
+            self._suspended_until = now + self._backoff
+            self._backoff = min(MAX_BACKOFF_NS, 2 * self._backoff)
+            return estimate.previous_delay
+        if now - estimate.at > CONFIRMATION_TIME_NS:
+            self._unconfirmed = None
+            self._backoff = INITIAL_BACKOFF_NS
         return None
--- a/qos_gateway/decisions/congestion/mean_value_analysis.py
+++ b/qos_gateway/decisions/congestion/mean_value_analysis.py
@@ -5,26 +5,29 @@
 from dataclasses import dataclass
 
 
-def response_times(demand: float, delay: float, max_in_flight: int) -> list[float]:
+def response_times(service_demand: float, delay: float, max_in_flight: int) -> list[float]:
     """Return the response times for 0 to `max_in_flight` requests in flight; all times in one unit."""
-    times = [delay + demand]
+    times = [delay + service_demand]
     queued = 0.0
     for in_flight in range(1, max_in_flight + 1):
-        wait = demand * (1.0 + queued)
+        wait = service_demand * (1.0 + queued)
         times.append(delay + wait)
         queued = in_flight * wait / (delay + wait)
     return times
 
 
-def fit_demand(delay: float, in_flight: int, response_time: float, steps: int) -> float:
-    """Return an upper bound, by bisection, of the demand for which `in_flight` take `response_time`."""
+def fit_service_demand(delay: float, in_flight: int, response_time: float, steps: int) -> float:
+    """Return the service demand for which `in_flight` requests take `response_time`.
+
+    Found by bisection; the result is the upper bound of the last interval.
+    """
     low, high = 0.0, response_time
     for _ in range(steps):
-        demand = (low + high) / 2
-        if response_times(demand, delay, in_flight)[in_flight] > response_time:
-            high = demand
+        service_demand = (low + high) / 2
+        if response_times(service_demand, delay, in_flight)[in_flight] > response_time:
+            high = service_demand
         else:
-            low = demand
+            low = service_demand
     return high
 
 
@@ -33,18 +36,18 @@
     """A network with its response times by the number in flight, from 0 on."""
 
     delay: float = 0.0
-    times: tuple[float, ...] = (0.0,)
+    response_times: tuple[float, ...] = (0.0,)
 
     @classmethod
     def fitted(cls, delay: float, in_flight: int, response_time: float, steps: int) -> ClosedNetwork:
-        """Fit the demand to one response time; response times are computed up to four times `in_flight`."""
-        demand = fit_demand(delay, in_flight, response_time, steps)
-        return cls(delay, tuple(response_times(demand, delay, 4 * in_flight + 20)))
+        """Fit the service demand to one response time; compute response times up to `4 * in_flight + 20`."""
+        service_demand = fit_service_demand(delay, in_flight, response_time, steps)
+        return cls(delay, tuple(response_times(service_demand, delay, 4 * in_flight + 20)))
 
     def wait(self, in_flight: float) -> float:
         """Return the predicted time in the queue; beyond the computed numbers, that of the last one."""
-        return self.times[min(max(0, round(in_flight)), len(self.times) - 1)] - self.delay
+        return self.response_times[min(max(0, round(in_flight)), len(self.response_times) - 1)] - self.delay
 
-    def in_flight_within(self, wait: float) -> int:
+    def max_in_flight_for_wait(self, wait: float) -> int:
         """Return the largest number in flight with at most that time in the queue; -1 for none."""
-        return sum(time - self.delay <= wait for time in self.times) - 1
+        return sum(time - self.delay <= wait for time in self.response_times) - 1
--- a/qos_gateway/decisions/congestion/queue_model.py
+++ b/qos_gateway/decisions/congestion/queue_model.py
@@ -7,18 +7,18 @@
 from ..statistics.decaying_mean import DecayingMean
 from ..statistics.time_constants import LONG_MEMORY_NS, SHORT_MEMORY_NS, TICK_INTERVAL_NS
 from .class_latency import ClassLatency
-from .delay_detection import DelayDetection
+from .delay_detection import DelayDetector
 from .mean_value_analysis import ClosedNetwork
 from .outstanding_attempt import OutstandingAttempt
 
-LATENCY_SAMPLES = 8.0  # responses in a mean: a lower rate has a longer time constant
+TARGET_LATENCY_SAMPLES = 8.0  # responses in a mean: a lower rate has a longer time constant
 MIN_RESPONSES_PER_S = 1e-3  # keeps the time constant finite
 MIN_LATENCY_SAMPLES = 0.5  # from which a class's latency is used
 MIN_BASELINE_SAMPLES = 4.0  # from which a class's baseline is moved
 MIN_TOTAL_SAMPLES = 1e-6  # over all classes, from which the model is fitted
 BASELINE_GROWTH_PER_S = 0.01  # fraction of the baseline
 CONGESTION_THRESHOLD = 0.15  # wait as a fraction of the headroom: below it is noise
-OBJECTIVE_PER_BASELINE = 8  # estimate for classes without a response
+OBJECTIVE_TO_BASELINE_RATIO = 8  # estimate for classes without a response
 TARGET_WAIT_FRACTION = 0.4  # mean wait as a fraction of the headroom: latencies vary
 BISECTION_STEPS = 20  # of the demand: to a millionth of the mean latency
 MIN_HEADROOM_FRACTION = 1 / 4  # of the latency objective
@@ -35,7 +35,7 @@
         self.mean_latency = 0.0  # over all classes
         self.delay = 0.0  # mean latency outside the queue, over all classes
         self.network = ClosedNetwork()
-        self.delay_detection = DelayDetection()
+        self.delay_detector = DelayDetector()
         self.congested = False
         self.concurrency_limit: int | None = None  # None without congestion
 
@@ -44,16 +44,16 @@
         self.mean_in_flight.add(now, in_flight)
         total = weight = delay = headroom = 0.0
         # All classes share one queue: its latency shows in as many responses of any class.
-        time_constant = _time_constant(sum(latency.recent.rate(now) for latency in self.class_latency))
+        time_constant = _time_constant(sum(latency.recent_mean.rate(now) for latency in self.class_latency))
         for class_index, latency in enumerate(self.class_latency):
             mean = latency.mean
             latency.set_time_constants(_time_constant(mean.rate(now)), time_constant)
             if mean.weight < MIN_LATENCY_SAMPLES:
                 continue
-            late = [a.age for a in outstanding if a.class_index == class_index and a.age > mean.value]
-            samples = latency.samples_with(now, late)
+            overdue = [a.age for a in outstanding if a.class_index == class_index and a.age > mean.value]
+            samples = latency.samples_with_outstanding(now, overdue)
             if mean.weight >= MIN_BASELINE_SAMPLES:
-                latency.move_baseline(1.0 + BASELINE_GROWTH_PER_S * TICK_INTERVAL_NS / SECOND)
+                latency.update_baseline(1.0 + BASELINE_GROWTH_PER_S * TICK_INTERVAL_NS / SECOND)
             total += samples.total
             weight += samples.weight
             delay += latency.baseline_or_mean() * samples.weight
@@ -67,35 +67,35 @@
             self._detect_congestion(CONGESTION_THRESHOLD * headroom / weight)
             self._detect_delay(now)
 
-    def _detect_congestion(self, noise: float) -> None:
-        """Detect a wait beyond `noise` (ns), and fit the network and the concurrency limit to it."""
+    def _detect_congestion(self, threshold: float) -> None:
+        """Detect a wait beyond `threshold` (ns), and fit the network and the concurrency limit to it."""
         in_flight = ceil(self.mean_in_flight.value)
-        self.congested = self.mean_latency - self.delay > noise and in_flight > 1
+        self.congested = self.mean_latency - self.delay > threshold and in_flight > 1
         if self.congested:
             self.network = ClosedNetwork.fitted(self.delay, in_flight, self.mean_latency, BISECTION_STEPS)
             headroom = min(self.headroom(class_index) for class_index in range(len(self.objectives)))
-            within = self.network.in_flight_within(TARGET_WAIT_FRACTION * headroom)
+            within = self.network.max_in_flight_for_wait(TARGET_WAIT_FRACTION * headroom)
             self.concurrency_limit = max(MIN_CONCURRENCY_LIMIT, within)
 
     def add_latency(self, now: int, class_index: int, latency: int) -> None:
         """Add the latency of a successful attempt that has just ended."""
         self.class_latency[class_index].add(now, latency)
         if self.congested:
-            self.delay_detection.add(now - latency, latency)
+            self.delay_detector.add(now - latency, latency)
 
     def _detect_delay(self, now: int) -> None:
         """Where latencies show that the wait is no queue, take it for the delay that it is."""
-        detection = self.delay_detection
-        refuted = detection.refuted_delay(now, self.mean_latency)
+        detector = self.delay_detector
+        refuted = detector.revert_if_refuted(now, self.mean_latency)
         if refuted is not None:
             self._scale_baselines(min(refuted, self.delay))
         if not self.congested:
-            detection.end_congestion()
+            detector.clear()
             return
-        detection.begin_period(now, self.mean_in_flight.value)
-        found = detection.find_delay(now, self.delay)
-        if found is not None:
-            self._scale_baselines(found)
+        detector.begin_period_if_due(now, self.mean_in_flight.value)
+        delay = detector.estimate_delay(now, self.delay)
+        if delay is not None:
+            self._scale_baselines(delay)
 
     def _scale_baselines(self, delay: float) -> None:
         """Scale the baselines of all classes so that their mean is `delay` (ns)."""
@@ -111,10 +111,10 @@
     def uncongested_latency(self, class_index: int) -> float:
         """Return the class's baseline; while it is unknown, an estimate by its objective."""
         known = self.class_latency[class_index].baseline_or_mean()
-        return known or self.objectives[class_index] / OBJECTIVE_PER_BASELINE
+        return known or self.objectives[class_index] / OBJECTIVE_TO_BASELINE_RATIO
 
 
 def _time_constant(rate: float) -> int:
     """Return the time constant (ns) for responses at this rate (per second)."""
-    enough_samples = LATENCY_SAMPLES * SECOND / max(MIN_RESPONSES_PER_S, rate)
+    enough_samples = TARGET_LATENCY_SAMPLES * SECOND / max(MIN_RESPONSES_PER_S, rate)
     return int(min(LONG_MEMORY_NS, max(SHORT_MEMORY_NS, enough_samples)))
--- a/tests/decisions/test_delay_detection.py
+++ b/tests/decisions/test_delay_detection.py
@@ -14,11 +14,11 @@
     settled_share,
 )
 from qos_gateway.decisions.congestion.delay_detection import (
-    FIRST_PAUSE_NS,
+    CONFIRMATION_TIME_NS,
+    INITIAL_BACKOFF_NS,
     MIN_PERIODS,
-    PERIOD_NS,
-    TRIAL_NS,
-    DelayDetection,
+    SAMPLING_PERIOD_NS,
+    DelayDetector,
 )
 from tests.support.builders import MS, SECOND
 
@@ -49,7 +49,7 @@
 ) -> None:
     scenarios = [queue_scenario(QUEUE, load, gateways, seed) for seed in SEEDS]
     served = mean([settled_share(scenario) for scenario in scenarios])
-    monkeypatch.setattr(DelayDetection, "find_delay", lambda *_: None)
+    monkeypatch.setattr(DelayDetector, "estimate_delay", lambda *_: None)
     assert served >= mean([settled_share(scenario) for scenario in scenarios]) - SAMPLING_ERROR
 
 
@@ -59,50 +59,50 @@
 ) -> None:
     scenario = queue_scenario(SLOWER_QUEUE, load)
     served = settled_share(scenario)
-    monkeypatch.setattr(DelayDetection, "find_delay", lambda *_: None)
+    monkeypatch.setattr(DelayDetector, "estimate_delay", lambda *_: None)
     assert served > settled_share(scenario)
 
 
-def congested_detection(latency_by_in_flight: dict[int, int]) -> tuple[DelayDetection, int]:
+def congested_detector(latency_by_in_flight: dict[int, int]) -> tuple[DelayDetector, int]:
     """Return a detection after periods with these numbers in flight, and the time then."""
-    detection = DelayDetection()
+    detector = DelayDetector()
     now = FIRST_SEND
     for in_flight, latency in latency_by_in_flight.items():
-        detection.begin_period(now, in_flight)
+        detector.begin_period_if_due(now, in_flight)
         for _ in range(8):
-            detection.add(now, latency)
-        now += PERIOD_NS
-    return detection, now + SECOND
+            detector.add(now, latency)
+        now += SAMPLING_PERIOD_NS
+    return detector, now + SECOND
 
 
 def test_latency_that_does_not_fall_with_the_number_in_flight_is_a_delay() -> None:
-    detection, now = congested_detection(dict.fromkeys((10, 8, 6, 4), 600 * MS))
-    assert detection.find_delay(now, BASELINE_DELAY) == pytest.approx(600 * MS)
+    detector, now = congested_detector(dict.fromkeys((10, 8, 6, 4), 600 * MS))
+    assert detector.estimate_delay(now, BASELINE_DELAY) == pytest.approx(600 * MS)
 
 
 def test_latency_that_falls_with_the_number_in_flight_is_a_queue() -> None:
-    detection, now = congested_detection({n: n * 60 * MS for n in (10, 8, 6, 4)})
-    assert detection.find_delay(now, BASELINE_DELAY) is None
+    detector, now = congested_detector({n: n * 60 * MS for n in (10, 8, 6, 4)})
+    assert detector.estimate_delay(now, BASELINE_DELAY) is None
 
 
 def test_nothing_is_concluded_from_one_number_in_flight_or_few_periods() -> None:
-    detection, now = congested_detection({10: 600 * MS})
-    assert detection.find_delay(now, BASELINE_DELAY) is None
+    detector, now = congested_detector({10: 600 * MS})
+    assert detector.estimate_delay(now, BASELINE_DELAY) is None
     numbers = range(10, 10 - MIN_PERIODS + 1, -1)
-    detection, now = congested_detection(dict.fromkeys(numbers, 600 * MS))
-    assert detection.find_delay(now, BASELINE_DELAY) is None
+    detector, now = congested_detector(dict.fromkeys(numbers, 600 * MS))
+    assert detector.estimate_delay(now, BASELINE_DELAY) is None
 
 
 def test_conclusion_is_taken_back_where_the_latency_rises_after_it() -> None:
-    detection, now = congested_detection(dict.fromkeys((10, 8, 6, 4), 600 * MS))
-    detection.find_delay(now, BASELINE_DELAY)
-    assert detection.refuted_delay(now + SECOND, 620 * MS) is None
-    assert detection.refuted_delay(now + SECOND, 800 * MS) == BASELINE_DELAY
-    assert detection.find_delay(now + SECOND + FIRST_PAUSE_NS // 2, BASELINE_DELAY) is None
+    detector, now = congested_detector(dict.fromkeys((10, 8, 6, 4), 600 * MS))
+    detector.estimate_delay(now, BASELINE_DELAY)
+    assert detector.revert_if_refuted(now + SECOND, 620 * MS) is None
+    assert detector.revert_if_refuted(now + SECOND, 800 * MS) == BASELINE_DELAY
+    assert detector.estimate_delay(now + SECOND + INITIAL_BACKOFF_NS // 2, BASELINE_DELAY) is None
 
 
 def test_conclusion_that_held_for_a_while_is_kept() -> None:
-    detection, now = congested_detection(dict.fromkeys((10, 8, 6, 4), 600 * MS))
-    detection.find_delay(now, BASELINE_DELAY)
-    assert detection.refuted_delay(now + TRIAL_NS + 1, 600 * MS) is None
-    assert detection.refuted_delay(now + TRIAL_NS + 2, 2 * SECOND) is None
+    detector, now = congested_detector(dict.fromkeys((10, 8, 6, 4), 600 * MS))
+    detector.estimate_delay(now, BASELINE_DELAY)
+    assert detector.revert_if_refuted(now + CONFIRMATION_TIME_NS + 1, 600 * MS) is None
+    assert detector.revert_if_refuted(now + CONFIRMATION_TIME_NS + 2, 2 * SECOND) is None
