--- a/qos_gateway/decisions/admission/admission_controller.py
+++ b/qos_gateway/decisions/admission/admission_controller.py
@@ -6,7 +6,7 @@
 from ..quota.quota_decision import QuotaReply, Verdict
 from ..requests.dispatcher import Dispatcher
 from ..requests.request_state import RequestState
-from ..statistics.time_constants import LONG_MEMORY_NS
+from ..statistics.time_constants import LONG_TIME_CONSTANT_NS
 from .commitment import Commitment
 from .commitment_table import CommitmentTable
 from .load_shedding import LoadShedding
@@ -32,7 +32,7 @@
         self.requests = dispatcher.requests
         self.retry_budget = dispatcher.retry_budget
         self.commitments = commitments
-        self.priority_demand = PriorityDemand(LONG_MEMORY_NS)
+        self.priority_demand = PriorityDemand(LONG_TIME_CONSTANT_NS)
         self.load_shedding = LoadShedding(model, self.requests, self.priority_demand)
         self.pending_reservations = PendingReservations()
 
--- a/qos_gateway/decisions/admission/commitment.py
+++ b/qos_gateway/decisions/admission/commitment.py
@@ -9,7 +9,7 @@
 from ..quota.account.bucket_reports import NEVER
 from ..quota.account.customer_account import CustomerAccount
 from ..statistics.decaying_mean import DecayingMean
-from ..statistics.time_constants import SHORT_MEMORY_NS
+from ..statistics.time_constants import SHORT_TIME_CONSTANT_NS
 
 MIN_CONCURRENCY = 2  # requested for each customer, so that a small burst passes
 PRIORITY_SMOOTHING = 0.2  # weight of the newest request in a customer's mean priority
@@ -34,7 +34,7 @@
     priority_weight: float = 0.0  # mean priority of the customer's requests
     headroom: float = 0.0  # mean wait that the customer's classes allow
     latency_objective: int = 0  # RMAX: the longest objective of the customer's classes
-    mean_in_flight: DecayingMean = field(default_factory=lambda: DecayingMean(SHORT_MEMORY_NS))
+    mean_in_flight: DecayingMean = field(default_factory=lambda: DecayingMean(SHORT_TIME_CONSTANT_NS))
 
     @property
     def expected_in_flight(self) -> float:
--- a/qos_gateway/decisions/admission/load_shedding.py
+++ b/qos_gateway/decisions/admission/load_shedding.py
@@ -5,11 +5,11 @@
 from ...types import Action, LogLine
 from ..congestion.queue_model import QueueModel
 from ..requests.request_table import RequestTable
-from ..statistics.time_constants import LONG_MEMORY_NS
+from ..statistics.time_constants import LONG_TIME_CONSTANT_NS
 from .priority_demand import PriorityDemand
 
 LOWEST_PRIORITY_FRACTION = 0.7  # part of the limit that requests of the lowest priority may fill
-CONGESTION_LOG_INTERVAL_NS = LONG_MEMORY_NS
+CONGESTION_LOG_INTERVAL_NS = LONG_TIME_CONSTANT_NS
 
 
 class LoadShedding:
--- a/qos_gateway/decisions/congestion/queue_model.py
+++ b/qos_gateway/decisions/congestion/queue_model.py
@@ -5,7 +5,7 @@
 from ...types import Settings
 from ...units import SECOND
 from ..statistics.decaying_mean import DecayingMean
-from ..statistics.time_constants import LONG_MEMORY_NS, SHORT_MEMORY_NS, TICK_INTERVAL_NS
+from ..statistics.time_constants import LONG_TIME_CONSTANT_NS, SHORT_TIME_CONSTANT_NS, TICK_INTERVAL_NS
 from .class_latency import ClassLatency
 from .delay_detection import DelayDetector
 from .mean_value_analysis import ClosedNetwork
@@ -30,8 +30,8 @@
 
     def __init__(self, settings: Settings) -> None:
         self.objectives = [float(c.latency_objective) for c in settings.classes]
-        self.class_latency = [ClassLatency(SHORT_MEMORY_NS) for _ in settings.classes]
-        self.mean_in_flight = DecayingMean(SHORT_MEMORY_NS)
+        self.class_latency = [ClassLatency(SHORT_TIME_CONSTANT_NS) for _ in settings.classes]
+        self.mean_in_flight = DecayingMean(SHORT_TIME_CONSTANT_NS)
         self.mean_latency = 0.0  # over all classes
         self.delay = 0.0  # mean latency outside the queue, over all classes
         self.network = ClosedNetwork()
@@ -117,4 +117,4 @@
 def _time_constant(rate: float) -> int:
     """Return the time constant (ns) for responses at this rate (per second)."""
     enough_samples = TARGET_LATENCY_SAMPLES * SECOND / max(MIN_RESPONSES_PER_S, rate)
-    return int(min(LONG_MEMORY_NS, max(SHORT_MEMORY_NS, enough_samples)))
+    return int(min(LONG_TIME_CONSTANT_NS, max(SHORT_TIME_CONSTANT_NS, enough_samples)))
--- a/qos_gateway/decisions/load_balancing/endpoint_state.py
+++ b/qos_gateway/decisions/load_balancing/endpoint_state.py
@@ -8,11 +8,12 @@
 from ...units import SECOND
 from ..snapshot import EndpointSnapshot, MeanSnapshot
 from ..statistics.decaying_mean import DecayingMean
-from ..statistics.time_constants import LONG_MEMORY_NS, SHORT_MEMORY_NS
+from ..statistics.time_constants import LONG_TIME_CONSTANT_NS, SHORT_TIME_CONSTANT_NS
 
 BASE_EJECTION_TIME_NS = SECOND // 2  # of the first ejection, doubled by each further one without a success
 MAX_EJECTION_TIME_NS = 8 * SECOND
-OVERLOAD_MEMORY_NS = LONG_MEMORY_NS  # time for which an endpoint counts as overloaded after a rejection
+# Time for which an endpoint counts as overloaded after a rejection.
+OVERLOAD_MEMORY_NS = LONG_TIME_CONSTANT_NS
 
 ClassAndPlan = tuple[int, int]  # indexes of a request class and of a customer's plan in the settings
 
@@ -54,7 +55,7 @@
     slow_start_bucket: SlowStartBucket
     corrected_start: int = 0  # where the reported start cannot be true by this gateway's clock
     # Latency relative to the mean of the request's class.
-    slowness: DecayingMean = field(default_factory=lambda: DecayingMean(SHORT_MEMORY_NS))
+    slowness: DecayingMean = field(default_factory=lambda: DecayingMean(SHORT_TIME_CONSTANT_NS))
     ejection_time: int = BASE_EJECTION_TIME_NS  # length of the next ejection
     in_service: bool = True  # reported as ready
     in_flight: int = 0  # attempts of this gateway
--- a/qos_gateway/decisions/load_balancing/load_balancer.py
+++ b/qos_gateway/decisions/load_balancing/load_balancer.py
@@ -7,7 +7,7 @@
 
 from ...types import AttemptEnded, Endpoint, Outcome, Settings, Topology
 from ..snapshot import LoadBalancerSnapshot
-from ..statistics.time_constants import LONG_MEMORY_NS
+from ..statistics.time_constants import LONG_TIME_CONSTANT_NS
 from .endpoint_registry import EndpointRegistry
 from .endpoint_state import ClassAndPlan, EndpointState
 from .outlier_ejection import OutlierEjection
@@ -20,7 +20,8 @@
 GATEWAYS_PER_ENDPOINT = 10  # with it in their subset: each observes it often, and it has few connections
 SLOW_START_COST_FACTOR = 0.7  # wait at an endpoint in slow start with a token, relative to a warm one's
 FAILURE_COST_FACTOR = 3.0  # added cost where similar attempts were recently rejected or timed out
-FAILURE_MEMORY_NS = 3 * LONG_MEMORY_NS  # age from which a class's last result at an endpoint is ignored
+# Age from which a class's last result at an endpoint is ignored.
+FAILURE_MEMORY_NS = 3 * LONG_TIME_CONSTANT_NS
 JITTER = 0.1  # random part of the cost: equal endpoints are used equally
 PEER_IN_FLIGHT_PRIOR = 2.0  # own attempts that count as much as the mean over endpoints
 MIN_SLOWNESS = 0.5  # latency relative to the mean of the class: the number in flight counts as well
--- a/qos_gateway/decisions/load_balancing/outlier_ejection.py
+++ b/qos_gateway/decisions/load_balancing/outlier_ejection.py
@@ -7,7 +7,7 @@
 
 from ...types import Outcome
 from ..statistics.decaying_mean import DecayingMean
-from ..statistics.time_constants import LONG_MEMORY_NS
+from ..statistics.time_constants import LONG_TIME_CONSTANT_NS
 from .endpoint_state import EndpointState
 from .zones import RequestT, UnresponsiveZone, ZoneTable
 
@@ -27,7 +27,7 @@
 
     def __init__(self) -> None:
         self.zones = ZoneTable()
-        self.reset_ratio = DecayingMean(LONG_MEMORY_NS)  # resets and errors among these and successes
+        self.reset_ratio = DecayingMean(LONG_TIME_CONSTANT_NS)  # resets and errors among these and successes
 
     def record_outcome(self, now: int, state: EndpointState, outcome: Outcome) -> None:
         """Record how an attempt ended; eject its endpoint after too many consecutive failures."""
--- a/qos_gateway/decisions/load_balancing/response_statistics.py
+++ b/qos_gateway/decisions/load_balancing/response_statistics.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..statistics.decaying_mean import DecayingMean
-from ..statistics.time_constants import LONG_MEMORY_NS
+from ..statistics.time_constants import LONG_TIME_CONSTANT_NS
 
 UNANSWERED_PRIOR_WEIGHT = 3.0  # answered attempts that a class's ratio starts from
 
@@ -13,7 +13,7 @@
 
     def __init__(self, class_count: int) -> None:
         # Time-outs among all attempts that were answered or timed out, by class.
-        self.unanswered_ratio = [DecayingMean(LONG_MEMORY_NS) for _ in range(class_count)]
+        self.unanswered_ratio = [DecayingMean(LONG_TIME_CONSTANT_NS) for _ in range(class_count)]
         self.latest_answered_send = 0  # ns; start of the most recently started attempt that succeeded
 
     def record_class_result(self, now: int, class_index: int, unanswered: float) -> None:
--- a/qos_gateway/decisions/load_balancing/slow_start.py
+++ b/qos_gateway/decisions/load_balancing/slow_start.py
@@ -12,7 +12,7 @@
 from ...units import SECOND
 from ..snapshot import MeanSnapshot
 from ..statistics.decaying_mean import DecayingMean
-from ..statistics.time_constants import SHORT_MEMORY_NS
+from ..statistics.time_constants import SHORT_TIME_CONSTANT_NS
 from .endpoint_state import EndpointState
 
 RATE_MULTIPLE = 1.4  # token rate at full capacity, relative to the completion rate of a warm endpoint
@@ -36,14 +36,14 @@
         self.settings = settings
         self.warming_up: set[int] = set()  # ids of usable endpoints whose slow start may not be over
         # Completions, not attempts sent: under overload far more are sent than endpoints can complete.
-        self.warm_completions = DecayingMean(SHORT_MEMORY_NS)
-        self.warm_endpoints = DecayingMean(SHORT_MEMORY_NS)  # their number, over the same time
+        self.warm_completions = DecayingMean(SHORT_TIME_CONSTANT_NS)
+        self.warm_endpoints = DecayingMean(SHORT_TIME_CONSTANT_NS)  # their number, over the same time
         self.all_warming_up = (
             False  # the two means are of endpoints in slow start, counted by their fractions
         )
         self._remembered_rate = 0.0  # completions per second of an endpoint, when the last one was warm
         self._sharers = 1.0  # gateways that may send to the same endpoint
-        self.warm_endpoints.updated_at = -SHORT_MEMORY_NS  # gives the first endpoint list full weight
+        self.warm_endpoints.updated_at = -SHORT_TIME_CONSTANT_NS  # gives the first endpoint list full weight
         self.handover_fraction = NO_HANDOVER_FRACTION  # fraction of the tokens that belongs to this process
 
     def fraction(self, now: int, state: EndpointState) -> float:
@@ -83,7 +83,7 @@
         """Keep the completions per endpoint while the endpoints that are counted change."""
         previous = self.warm_endpoints.value
         if previous > 0.0:
-            self.warm_completions.scale(endpoints / previous)
+            self.warm_completions.scale_weight(endpoints / previous)
             self.warm_endpoints.scale_values(endpoints / previous)
 
     def attempt_started(self, now: int, state: EndpointState) -> None:
--- a/qos_gateway/decisions/quota/account/bucket_reports.py
+++ b/qos_gateway/decisions/quota/account/bucket_reports.py
@@ -7,7 +7,7 @@
 
 from ....units import SECOND
 from ...statistics.decaying_mean import DecayingMean
-from ...statistics.time_constants import RARE_REPORT_MEMORY_NS
+from ...statistics.time_constants import RARE_REPORT_TIME_CONSTANT_NS
 
 NEVER = -(1 << 62)  # ns; before all other times
 REPORT_FRESH_FOR_NS = 1 * SECOND  # age up to which a report of usage elsewhere counts in full
@@ -19,7 +19,7 @@
 class BucketReports:
     """The newest reports of a customer's bucket and of its requests in flight. Times are in ns."""
 
-    grant_ratio: DecayingMean = field(default_factory=lambda: DecayingMean(RARE_REPORT_MEMORY_NS))
+    grant_ratio: DecayingMean = field(default_factory=lambda: DecayingMean(RARE_REPORT_TIME_CONSTANT_NS))
     reported_at: int = -REPORT_EXPIRES_AFTER_NS  # when the bucket's tokens were last reported
     tokens: float = inf  # the tokens that were last reported
     in_flight_elsewhere_at: int = NEVER  # when the requests in flight elsewhere were last reported
--- a/qos_gateway/decisions/quota/account/customer_account.py
+++ b/qos_gateway/decisions/quota/account/customer_account.py
@@ -7,7 +7,7 @@
 from ....types import Plan
 from ....units import SECOND
 from ...snapshot import AccountSnapshot, MeanSnapshot
-from ...statistics.time_constants import LONG_MEMORY_NS
+from ...statistics.time_constants import LONG_TIME_CONSTANT_NS
 from .bucket_reports import BucketReports
 from .counter_calls import CounterCalls
 from .customer_buckets import CustomerBuckets
@@ -121,8 +121,8 @@
         the estimate. Requests at this gateway are compared with its slice of the quota.
         """
         metered = self.usage.mean.mean_with_prior(now, prior, prior_units)
-        requested = max(0.0, self.demand.requested_rate(now) * LONG_MEMORY_NS / SECOND - prior_units)
-        slice_units = self.plan.rate * LONG_MEMORY_NS / SECOND / self.buckets.slices
+        requested = max(0.0, self.demand.requested_rate(now) * LONG_TIME_CONSTANT_NS / SECOND - prior_units)
+        slice_units = self.plan.rate * LONG_TIME_CONSTANT_NS / SECOND / self.buckets.slices
         return max(metered, (prior * prior_units + requested) / (prior_units + slice_units))
 
     def fraction_within_slice(self, now: int, units: float) -> float:
@@ -130,7 +130,7 @@
 
         The request being decided, of `units`, does not count towards the rate.
         """
-        one = units * SECOND / LONG_MEMORY_NS
+        one = units * SECOND / LONG_TIME_CONSTANT_NS
         slice_rate = self.plan.rate / self.buckets.slices
         return min(1.0, (slice_rate + 2 * one) / (self.demand.requested_rate(now) + one))
 
--- a/qos_gateway/decisions/quota/account/customer_demand.py
+++ b/qos_gateway/decisions/quota/account/customer_demand.py
@@ -5,15 +5,15 @@
 from dataclasses import dataclass, field
 
 from ...statistics.decaying_mean import DecayingMean
-from ...statistics.time_constants import LONG_MEMORY_NS, SHORT_MEMORY_NS
+from ...statistics.time_constants import LONG_TIME_CONSTANT_NS, SHORT_TIME_CONSTANT_NS
 
 
 @dataclass(slots=True)
 class CustomerDemand:
     """Decaying means of the units per request, over a short and a long time."""
 
-    short_term: DecayingMean = field(default_factory=lambda: DecayingMean(SHORT_MEMORY_NS))
-    long_term: DecayingMean = field(default_factory=lambda: DecayingMean(LONG_MEMORY_NS))
+    short_term: DecayingMean = field(default_factory=lambda: DecayingMean(SHORT_TIME_CONSTANT_NS))
+    long_term: DecayingMean = field(default_factory=lambda: DecayingMean(LONG_TIME_CONSTANT_NS))
 
     def add(self, now: int, units: float) -> None:
         """Count a request that arrives at this gateway."""
--- a/qos_gateway/decisions/quota/account/metered_usage.py
+++ b/qos_gateway/decisions/quota/account/metered_usage.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from ...statistics.decaying_mean import DecayingMean
-from ...statistics.time_constants import RARE_REPORT_MEMORY_NS
+from ...statistics.time_constants import RARE_REPORT_TIME_CONSTANT_NS
 from .bucket_reports import NEVER
 
 
@@ -13,7 +13,7 @@
 class MeteredUsage:
     """Reported use of the quota, as fractions of it. Times are in ns."""
 
-    mean: DecayingMean = field(default_factory=lambda: DecayingMean(RARE_REPORT_MEMORY_NS))
+    mean: DecayingMean = field(default_factory=lambda: DecayingMean(RARE_REPORT_TIME_CONSTANT_NS))
     reported_at: int = NEVER  # when a response last reported the use
     fraction: float = 0.0  # the use that was last reported
 
--- a/qos_gateway/decisions/quota/counter/counter_reading.py
+++ b/qos_gateway/decisions/quota/counter/counter_reading.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from ....types import CounterReplied
-from ...statistics.time_constants import LONG_MEMORY_NS
+from ...statistics.time_constants import LONG_TIME_CONSTANT_NS
 from ..account.counter_calls import CounterCall
 from ..account.customer_account import CustomerAccount
 from .counter_total import decode_total, refilled_units
@@ -31,7 +31,7 @@
     before = decode_total(event.total - call.amount - call.unreported, in_flight_slot > 0)
     calls, reports = account.counter_calls, account.reports
     if calls.key != event.key:
-        known = reports.tokens if now - reports.reported_at < LONG_MEMORY_NS else burst
+        known = reports.tokens if now - reports.reported_at < LONG_TIME_CONSTANT_NS else burst
         calls.begin_key(event.key, burst - min(burst, max(0.0, known)))
     refilled = refilled_units(account.plan.rate, now - event.elapsed)
     surplus = refilled - before.spent_units - calls.initial_deficit
--- a/qos_gateway/decisions/quota/quota.py
+++ b/qos_gateway/decisions/quota/quota.py
@@ -10,7 +10,7 @@
 from ...units import SECOND
 from ..snapshot import AccountSnapshot, EngineSnapshot
 from ..statistics.decaying_mean import DecayingMean
-from ..statistics.time_constants import LONG_MEMORY_NS, TICK_INTERVAL_NS
+from ..statistics.time_constants import LONG_TIME_CONSTANT_NS, TICK_INTERVAL_NS
 from .account.account_table import AccountTable
 from .account.bucket_reports import CURRENT_REPORT_NS, fresh_share
 from .account.customer_account import CustomerAccount
@@ -48,7 +48,7 @@
         self.accounts = AccountTable()
         self.counter = CounterClient(self.uses_counter)
         self.reservations = ReservationClient(settings.gateway_count, self.age)
-        self.plan_grant_ratio = [DecayingMean(LONG_MEMORY_NS) for _ in settings.plans]
+        self.plan_grant_ratio = [DecayingMean(LONG_TIME_CONSTANT_NS) for _ in settings.plans]
         self.last_reservation = 0
         self.handover_fraction = 1.0  # of the buckets that this process keeps during a handover
 
--- a/qos_gateway/decisions/statistics/decaying_mean.py
+++ b/qos_gateway/decisions/statistics/decaying_mean.py
@@ -33,7 +33,7 @@
         self.weight = self.weight * decay + weight
         self.updated_at = now
 
-    def scale(self, factor: float) -> None:
+    def scale_weight(self, factor: float) -> None:
         """Multiply the number of samples."""
         self.weight *= factor
         self.weighted_sum *= factor
@@ -46,10 +46,10 @@
         """Return the recent number of samples per second."""
         return self.weight * exp((self.updated_at - now) / self.time_constant) * SECOND / self.time_constant
 
-    def mean_with_prior(self, now: int, prior: float, strength: float) -> float:
-        """Return the mean with `strength` samples of `prior` added, which do not decay."""
+    def mean_with_prior(self, now: int, prior: float, prior_weight: float) -> float:
+        """Return the mean with `prior_weight` samples of `prior` added, which do not decay."""
         decay = exp((self.updated_at - now) / self.time_constant)
-        return (self.weighted_sum * decay + prior * strength) / (self.weight * decay + strength)
+        return (self.weighted_sum * decay + prior * prior_weight) / (self.weight * decay + prior_weight)
 
     @property
     def value(self) -> float:
