--- a/qos_gateway/decisions/admission/admission_controller.py
+++ b/qos_gateway/decisions/admission/admission_controller.py
@@ -9,7 +9,7 @@
 from ..statistics.time_constants import LONG_TIME_CONSTANT_NS
 from .commitment import Commitment
 from .commitment_table import CommitmentTable
-from .load_shedding import LoadShedding
+from .load_shedding import LoadShedder
 from .pending_reservations import PendingReservations
 from .priority_demand import PriorityDemand
 
@@ -33,7 +33,7 @@
         self.retry_budget = dispatcher.retry_budget
         self.commitments = commitments
         self.priority_demand = PriorityDemand(LONG_TIME_CONSTANT_NS)
-        self.load_shedding = LoadShedding(model, self.requests, self.priority_demand)
+        self.load_shedder = LoadShedder(model, self.requests, self.priority_demand)
         self.pending_reservations = PendingReservations()
 
     def on_arrival(self, now: int, arrival: Arrival) -> list[Action]:
@@ -47,10 +47,10 @@
         self.quota.refill(now, account)
         if account.in_flight >= commitment.in_flight_cap:
             return [self.dispatcher.reject(arrival, RejectReason.CUSTOMER_CAP)]
-        if self.load_shedding.sheds(now, priority):
+        if self.load_shedder.should_shed(now, priority):
             return [self.dispatcher.reject(arrival, RejectReason.LOAD_LIMIT)]
         request_class = self.request_classes[arrival.class_index]
-        return self._charge(now, RequestState(arrival, request_class, account, arrived_at=now))
+        return self._decide_quota(now, RequestState(arrival, request_class, account, arrived_at=now))
 
     def _observe(self, now: int, commitment: Commitment, arrival: Arrival) -> float:
         """Update the demand by an arrival; return the request's priority: its weight over its latency."""
@@ -63,7 +63,7 @@
         commitment.observe(priority, headroom, request_class.latency_objective)
         return priority
 
-    def _charge(self, now: int, request: RequestState) -> list[Action]:
+    def _decide_quota(self, now: int, request: RequestState) -> list[Action]:
         """Charge the customer's quota; hold the request while a reservation is open."""
         decision = self.quota.decide(now, request.account, request.arrival, self.model.congested)
         if decision.verdict is Verdict.ADMITTED:
@@ -86,7 +86,7 @@
         request.acquire_slot()
         return [send, self.quota.report_consumed(now, request.account, request.arrival.units)]
 
-    def on_reply(self, now: int, reply: QuotaReply) -> list[Action]:
+    def on_quota_reply(self, now: int, reply: QuotaReply) -> list[Action]:
         """Admit or reject the request that waited for a reply."""
         request = self.pending_reservations.remove(reply.reservation)
         if request is None:
@@ -109,4 +109,4 @@
     def expire_reservations(self, now: int) -> list[Action]:
         """Decide locally on the requests whose reservation expired."""
         expired = self.pending_reservations.expired(now)
-        return [action for number in expired for action in self.on_reply(now, QuotaReply(number))]
+        return [action for number in expired for action in self.on_quota_reply(now, QuotaReply(number))]
--- a/qos_gateway/decisions/admission/commitment.py
+++ b/qos_gateway/decisions/admission/commitment.py
@@ -12,8 +12,8 @@
 from ..statistics.time_constants import SHORT_TIME_CONSTANT_NS
 
 MIN_CONCURRENCY = 2  # requested for each customer, so that a small burst passes
-PRIORITY_SMOOTHING = 0.2  # weight of the newest request in a customer's mean priority
-HEADROOM_GROWTH = 1.01  # per request, until the headroom is that of the request's class
+PRIORITY_SMOOTHING_FACTOR = 0.2  # weight of the newest request in a customer's mean priority
+HEADROOM_GROWTH_FACTOR = 1.01  # per request, until the headroom is that of the request's class
 
 
 @dataclass(slots=True)
@@ -44,8 +44,8 @@
 
     def observe(self, priority: float, headroom: float, latency_objective: int) -> None:
         """Update the customer's goals with a request of this priority and the goals of its class."""
-        self.priority_weight += PRIORITY_SMOOTHING * (priority - self.priority_weight)
-        self.headroom = min(self.headroom, headroom) * HEADROOM_GROWTH if self.headroom else headroom
+        self.priority_weight += PRIORITY_SMOOTHING_FACTOR * (priority - self.priority_weight)
+        self.headroom = min(self.headroom, headroom) * HEADROOM_GROWTH_FACTOR if self.headroom else headroom
         self.latency_objective = max(self.latency_objective, latency_objective)
 
     def demand(self, now: int, quota_share: float) -> Demand:
@@ -56,13 +56,13 @@
         """
         account = self.account
         requested = account.demand.short_term
-        part = quota_share / (requested.value or 1.0)
-        rate = account.plan.rate * part
-        burst = account.plan.burst * part
+        share_in_requests = quota_share / (requested.value or 1.0)
+        rate = account.plan.rate * share_in_requests
+        burst = account.plan.burst * share_in_requests
         concurrency = ceil(rate * self.latency_objective / SECOND + burst)
         return Demand(max(MIN_CONCURRENCY, concurrency), min(rate, requested.rate(now)))
 
-    def grant(self, now: int, cap: int) -> None:
+    def set_cap(self, now: int, cap: int) -> None:
         """Set the cap that an evaluation at `now` chose."""
         self.evaluated_at = now
         self.in_flight_cap = cap
--- a/qos_gateway/decisions/admission/commitment_table.py
+++ b/qos_gateway/decisions/admission/commitment_table.py
@@ -10,11 +10,11 @@
 from .commitment import Commitment, Demand
 from .seven_cases import seven_cases
 
-COMMITMENT_IDLE_TIME_NS = 10 * SECOND  # outlasts the pauses of a steady customer
+IDLE_TIMEOUT_NS = 10 * SECOND  # outlasts the pauses of a steady customer
 EVALUATION_INTERVAL_NS = 2 * SECOND  # long enough for a fit, short for a burst
-PRUNE_INTERVAL_NS = COMMITMENT_IDLE_TIME_NS
+PRUNE_INTERVAL_NS = IDLE_TIMEOUT_NS
 MIN_THROUGHPUT_PER_S = 1e-3  # a customer with less does not limit the response time of others
-BUSY_IN_FLIGHT = 0.05  # mean in flight from which a commitment limits others
+MIN_BUSY_IN_FLIGHT = 0.05  # mean in flight from which a commitment limits others
 
 
 class CommitmentTable:
@@ -46,7 +46,7 @@
         for commitment in list(self.active.values()):
             account = commitment.account
             commitment.mean_in_flight.add(now, account.in_flight)
-            if now - account.last_request_at > COMMITMENT_IDLE_TIME_NS and not account.in_flight:
+            if now - account.last_request_at > IDLE_TIMEOUT_NS and not account.in_flight:
                 commitment.suspend()
                 del self.active[account.customer_id]
 
@@ -67,15 +67,18 @@
         demand = self._demand(now, commitment)
         cap = demand.concurrency
         if self.model.congested:
-            cap = max(1, self._offer(now, commitment, demand, throughputs))  # a rejected customer keeps one
-        commitment.grant(now, cap)
+            offered = self._offered_concurrency(now, commitment, demand, throughputs)
+            cap = max(1, offered)  # a rejected customer keeps one
+        commitment.set_cap(now, cap)
 
-    def _offer(self, now: int, commitment: Commitment, demand: Demand, throughputs: dict[int, float]) -> int:
+    def _offered_concurrency(
+        self, now: int, commitment: Commitment, demand: Demand, throughputs: dict[int, float]
+    ) -> int:
         """Return the concurrency that the seven cases offer, 0 to reject."""
         others = self._busy_others(commitment)
         in_flight = sum([other.expected_in_flight for other in others])
         headroom = min([other.headroom for other in others], default=commitment.headroom)
-        longest_response = self._longest_response(now, others, throughputs)
+        max_response_time = self._max_response_time(now, others, throughputs)
         network = self.model.network
         delay = self.model.delay
 
@@ -86,14 +89,14 @@
             max(demand.concurrency, ceil(commitment.mean_in_flight.value)),
             response=lambda level: wait(level) <= commitment.headroom,
             throughput=lambda level: level * SECOND >= demand.throughput * (delay + wait(level)),
-            commitments=lambda level: wait(level) <= headroom and delay + wait(level) <= longest_response,
+            commitments=lambda level: wait(level) <= headroom and delay + wait(level) <= max_response_time,
         )
 
     def _busy_others(self, commitment: Commitment) -> list[Commitment]:
         active = self.active.values()
-        return [c for c in active if c is not commitment and c.mean_in_flight.value > BUSY_IN_FLIGHT]
+        return [c for c in active if c is not commitment and c.mean_in_flight.value > MIN_BUSY_IN_FLIGHT]
 
-    def _longest_response(
+    def _max_response_time(
         self, now: int, others: Sequence[Commitment], throughputs: dict[int, float]
     ) -> float:
         """Return the response time (ns) up to which each of the others reaches its XMIN within its cap."""
--- a/qos_gateway/decisions/admission/load_shedding.py
+++ b/qos_gateway/decisions/admission/load_shedding.py
@@ -12,7 +12,7 @@
 CONGESTION_LOG_INTERVAL_NS = LONG_TIME_CONSTANT_NS
 
 
-class LoadShedding:
+class LoadShedder:
     """Sheds requests from the lowest priority up as the requests in flight approach the model's limit."""
 
     def __init__(self, model: QueueModel, requests: RequestTable, demand: PriorityDemand) -> None:
@@ -20,14 +20,15 @@
         self.requests = requests
         self.demand = demand
 
-    def sheds(self, now: int, priority: float) -> bool:
+    def should_shed(self, now: int, priority: float) -> bool:
         """Return whether a request of this priority is shed."""
         limit = self.model.concurrency_limit
         in_flight = self.requests.working
         if limit is None or in_flight < LOWEST_PRIORITY_FRACTION * limit:
             return False
-        below = self.demand.fraction_below(now, priority)
-        return in_flight >= limit * (LOWEST_PRIORITY_FRACTION + (1.0 - LOWEST_PRIORITY_FRACTION) * below)
+        fraction_below = self.demand.fraction_below(now, priority)
+        fraction = LOWEST_PRIORITY_FRACTION + (1.0 - LOWEST_PRIORITY_FRACTION) * fraction_below
+        return in_flight >= limit * fraction
 
 
 class CongestionLog:
@@ -43,8 +44,8 @@
         """Return the log line that is due, if any."""
         limit = self.model.concurrency_limit
         in_flight = self.requests.in_flight
-        recently = now - self._logged_at < CONGESTION_LOG_INTERVAL_NS
-        if limit is None or in_flight < LOWEST_PRIORITY_FRACTION * limit or recently:
+        logged_recently = now - self._logged_at < CONGESTION_LOG_INTERVAL_NS
+        if limit is None or in_flight < LOWEST_PRIORITY_FRACTION * limit or logged_recently:
             return []
         self._logged_at = now
         return [LogLine(f"congested in_flight={in_flight} limit={limit}")]
--- a/qos_gateway/decisions/admission/seven_cases.py
+++ b/qos_gateway/decisions/admission/seven_cases.py
@@ -19,21 +19,24 @@
     def first(levels: range, *goals: Goal) -> int:
         return next((level for level in levels if all(goal(level) for goal in goals)), 0)
 
-    fewer = range(requested - 1, 0, -1)
-    more = range(requested + 1, 2 * requested + 1)
-    fast = response(requested)
-    enough = throughput(requested)
-    kept = commitments(requested)
-    if kept and fast and enough:  # case 1: every goal holds
+    lower = range(requested - 1, 0, -1)
+    higher = range(requested + 1, 2 * requested + 1)
+    response_ok = response(requested)
+    throughput_ok = throughput(requested)
+    commitments_ok = commitments(requested)
+    if commitments_ok and response_ok and throughput_ok:  # case 1: every goal holds
         return requested
-    if kept and enough:  # case 2: over RMAX; lower N, at least to the lowest that keeps XMIN
-        return first(fewer, response, throughput) or first(fewer[::-1], throughput) or requested
-    if kept and fast:  # case 3: below XMIN; raise N, at least to the highest that keeps RMAX
-        both = first(more, response, throughput, commitments)
-        return both or first(more[::-1], response, commitments) or requested
-    if kept:  # case 4: over RMAX and below XMIN; lower N to keep RMAX, or raise it to keep XMIN
-        return first(fewer, response) or first(more, throughput, commitments) or requested
+    # Case 2: over RMAX; lower N, at least to the lowest that keeps XMIN.
+    if commitments_ok and throughput_ok:
+        return first(lower, response, throughput) or first(lower[::-1], throughput) or requested
+    # Case 3: below XMIN; raise N, at least to the highest that keeps RMAX.
+    if commitments_ok and response_ok:
+        both = first(higher, response, throughput, commitments)
+        return both or first(higher[::-1], response, commitments) or requested
+    # Case 4: over RMAX and below XMIN; lower N to keep RMAX, or raise it to keep XMIN.
+    if commitments_ok:
+        return first(lower, response) or first(higher, throughput, commitments) or requested
     # Commitments are violated. Lower N until they hold, with both goals (case 5) or with XMIN alone (case 6).
-    offered = first(fewer, response, throughput, commitments) or first(fewer, commitments, throughput)
+    offered = first(lower, response, throughput, commitments) or first(lower, commitments, throughput)
     # Case 7: no own goal can hold as well.
-    return (enough and offered) or first(fewer, commitments)
+    return (throughput_ok and offered) or first(lower, commitments)
--- a/qos_gateway/decisions/engine.py
+++ b/qos_gateway/decisions/engine.py
@@ -81,9 +81,9 @@
             case events.TimerFired(token):
                 return self._timer_fired(now, token)
             case events.PeerMessage():
-                return self.admission.on_reply(now, self.quota.on_peer_message(now, event))
+                return self.admission.on_quota_reply(now, self.quota.on_peer_message(now, event))
             case events.CounterReplied():
-                return self.admission.on_reply(now, self.quota.on_counter_reply(now, event))
+                return self.admission.on_quota_reply(now, self.quota.on_counter_reply(now, event))
             case events.Topology():
                 return self._endpoint_list_received(now, event)
             case events.SetEndpointEnabled(endpoint, enabled):
