--- a/qos_gateway/decisions/congestion/__init__.py
+++ b/qos_gateway/decisions/congestion/__init__.py
@@ -1,1 +1,1 @@
-"""Request latency by class, the closed queuing model fitted to it, and the concurrency limit that follows."""
+"""Request latency by class, the closed queueing model fitted to it, and the resulting concurrency limit."""
--- a/qos_gateway/decisions/congestion/class_latency.py
+++ b/qos_gateway/decisions/congestion/class_latency.py
@@ -1,4 +1,4 @@
-"""The latency of one class of requests, and its baseline without congestion."""
+"""Latency statistics of one request class, and its baseline without congestion."""
 
 from __future__ import annotations
 
@@ -9,24 +9,21 @@
 
 @dataclass(slots=True)
 class LatencySamples:
-    """A decayed number of latencies, and their sum (ns)."""
+    """The decayed number of latency samples, and their weighted sum (ns)."""
 
     weight: float
     total: float
 
 
 class ClassLatency:
-    """Two means of a class's latency, which differ in their time constants, and its baseline.
-
-    Times are in ns.
-    """
+    """Two means of a class's latency with different time constants, and its baseline. Times are in ns."""
 
     __slots__ = ("baseline", "mean", "recent_mean")
 
     def __init__(self, time_constant: int) -> None:
         """Start both means with the same time constant."""
-        self.mean = DecayingMean(time_constant)  # by the class's own rate of responses
-        self.recent_mean = DecayingMean(time_constant)  # by the rate of all classes
+        self.mean = DecayingMean(time_constant)  # time constant by the class's own response rate
+        self.recent_mean = DecayingMean(time_constant)  # time constant by the response rate of all classes
         self.baseline = 0.0  # 0 while unknown
 
     def add(self, now: int, latency: float, weight: float = 1.0) -> None:
@@ -35,7 +32,7 @@
         self.recent_mean.add(now, latency, weight)
 
     def restore(self, mean: DecayingMean, baseline: float) -> None:
-        """Continue with the mean and the baseline of another process."""
+        """Continue with the mean and the baseline of the previous process."""
         self.mean = mean
         self.baseline = baseline
 
@@ -45,22 +42,22 @@
         self.recent_mean.time_constant = recent
 
     def samples_with_outstanding(self, now: int, ages: list[int]) -> LatencySamples:
-        """Return the recent latencies together with the ages of attempts without a response."""
+        """Return the recent latencies, with the ages of outstanding attempts added as samples."""
         recent = self.recent_mean
         decay = decay_factor(now - recent.updated_at, recent.time_constant)
         return LatencySamples(recent.weight * decay + len(ages), recent.weighted_sum * decay + sum(ages))
 
     def update_baseline(self, growth: float) -> None:
-        """Move the baseline down to the mean, or up by a factor where the mean is above it."""
+        """Lower the baseline to the mean, or raise it towards the mean by at most the factor `growth`."""
         grown = self.baseline * growth
         self.baseline = min(grown, self.mean.value) if grown else self.mean.value
 
     def scale_baseline(self, factor: float) -> None:
-        """Multiply the baseline, and raise a mean below it: the older latencies are no longer typical."""
+        """Scale the baseline, and raise the mean to it if lower: older latencies are no longer typical."""
         self.baseline *= factor
         if 0.0 < self.mean.value < self.baseline:
             self.mean.scale_values(self.baseline / self.mean.value)
 
     def baseline_or_mean(self) -> float:
-        """Return the baseline, or the mean while that is unknown; 0 without any response."""
+        """Return the baseline, or the mean while the baseline is unknown; 0 before any response."""
         return self.baseline or self.mean.value
--- a/qos_gateway/decisions/congestion/delay_detection.py
+++ b/qos_gateway/decisions/congestion/delay_detection.py
@@ -1,7 +1,7 @@
-"""Tells a longer delay from a queue, by latencies of attempts sent with more and with fewer in flight.
+"""Distinguishes a longer fixed delay from queueing by linear regression of latency on the number in flight.
 
-Under a queue, latency rises with the number in flight; under a delay it is the same for any number. The least
-squares line of latency over the number in flight separates the two.
+Queueing makes latency rise with the number in flight; a fixed delay is the same for any number. The slope of
+the least-squares line shows the queueing, its intercept the delay.
 """
 
 from __future__ import annotations
@@ -12,22 +12,22 @@
 
 from ...units import SECOND
 
-SAMPLING_PERIOD_NS = SECOND // 2  # of sends that count with the same number in flight
+SAMPLING_PERIOD_NS = SECOND // 2  # attempts sent within it count with the same number in flight
 MAX_PERIODS = 16
-MIN_SAMPLES = 16  # responses, for a conclusion
-MIN_PERIODS = 4  # the first ones are those in which the latency changes
-MIN_IN_FLIGHT_DEVIATION_FRACTION = 0.05  # of the mean number in flight
-SLOPE_MARGIN_STANDARD_ERRORS = 3.0  # standard errors of the slope
-MAX_QUEUE_FRACTION = 0.5  # of the wait, for most of it to count as a delay
-REFUTING_RISE_FRACTION = 0.25  # of the wait that was taken for a delay
-CONFIRMATION_TIME_NS = 5 * SECOND  # in which a rise of the latency refutes a conclusion
-INITIAL_BACKOFF_NS = 10 * SECOND  # after a refuted conclusion; doubled by each further one
+MIN_SAMPLES = 16  # responses for a regression
+MIN_PERIODS = 4  # in the first ones the latency is still changing
+MIN_IN_FLIGHT_DEVIATION_FRACTION = 0.05  # standard deviation, relative to the mean
+SLOPE_MARGIN_STANDARD_ERRORS = 3.0  # added to the slope for its upper bound
+MAX_QUEUE_FRACTION = 0.5  # of the latency beyond the known delay; from here on it counts as queueing
+REFUTING_RISE_FRACTION = 0.25  # of the latency that an estimate added to the delay
+CONFIRMATION_TIME_NS = 5 * SECOND  # within which a rise in latency refutes an estimate
+INITIAL_BACKOFF_NS = 10 * SECOND  # without estimates after a refuted one; doubles with each further one
 MAX_BACKOFF_NS = 160 * SECOND
 
 
 @dataclass(slots=True)
 class SamplingPeriod:
-    """Attempts that were sent within one period: the number in flight then, and their latencies (ns)."""
+    """Attempts sent within one period: the mean number in flight at its start, and their latencies (ns)."""
 
     start: int
     in_flight: float
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LatencyRegression:
-    """Latency (ns) over the number in flight."""
+    """Linear regression of latency (ns) on the number in flight."""
 
     slope: float
     slope_standard_error: float
@@ -53,12 +53,12 @@
 
     @property
     def intercept(self) -> float:
-        """Return the latency without any request in flight: the delay."""
+        """Return the latency with no request in flight, which is the delay; a negative slope counts as 0."""
         return self.mean_latency - max(0.0, self.slope) * self.mean_in_flight
 
 
 def fit_regression(periods: list[SamplingPeriod]) -> LatencyRegression | None:
-    """Return the least squares line, None without enough samples or different numbers in flight."""
+    """Return the least-squares line; None with too few samples or too similar numbers in flight."""
     samples = sum(period.samples for period in periods)
     if samples < MIN_SAMPLES:
         return None
@@ -76,37 +76,37 @@
 
 @dataclass(frozen=True, slots=True)
 class DelayEstimate:
-    """A delay that was found, with what was known before; times in ns."""
+    """An estimated delay: the mean latency it is based on, and the delay known before. Times are in ns."""
 
     at: int
     previous_delay: float
     latency: float
 
     def is_refuted_by(self, latency: float) -> bool:
-        """Return whether the latency has risen since, with more in flight, as under a queue."""
+        """Return whether latency has risen since, with more requests in flight, which indicates queueing."""
         return latency - self.latency > REFUTING_RISE_FRACTION * (self.latency - self.previous_delay)
 
 
 class DelayDetector:
-    """Collects the latencies of one time of congestion, and finds the delay in them. Times are in ns."""
+    """Collects latencies during congestion and estimates the delay from them. Times are in ns."""
 
     def __init__(self) -> None:
         self._periods: deque[SamplingPeriod] = deque(maxlen=MAX_PERIODS)
-        self._unconfirmed: DelayEstimate | None = None  # the last conclusion, until it has held for a while
+        self._unconfirmed: DelayEstimate | None = None  # the last estimate, until confirmed
         self._backoff = INITIAL_BACKOFF_NS
         self._suspended_until = 0
 
     def clear(self) -> None:
-        """Forget all latencies."""
+        """Discard all latencies."""
         self._periods.clear()
 
     def begin_period_if_due(self, now: int, in_flight: float) -> None:
-        """Begin another period of sends where the last one is over."""
+        """Begin another sampling period if the last one is over."""
         if not self._periods or now - self._periods[-1].start >= SAMPLING_PERIOD_NS:
             self._periods.append(SamplingPeriod(now, in_flight))
 
     def add(self, sent_at: int, latency: int) -> None:
-        """Add a response to an attempt that was sent at a time."""
+        """Add the latency of an attempt to the period in which it was sent, if any."""
         for period in reversed(self._periods):
             if sent_at >= period.start:
                 if sent_at < period.start + SAMPLING_PERIOD_NS:
@@ -114,7 +114,7 @@
                 return
 
     def estimate_delay(self, now: int, baseline_delay: float) -> float | None:
-        """Return the delay where latencies show that most of what is beyond `baseline_delay` is no queue."""
+        """Return the delay if most of the latency beyond `baseline_delay` is not queueing, else None."""
         if now < self._suspended_until:
             return None
         complete = [
@@ -132,7 +132,10 @@
         return max(baseline_delay, regression.intercept)
 
     def revert_if_refuted(self, now: int, latency: float) -> float | None:
-        """Return the delay known before the last conclusion where the latency has refuted that."""
+        """Return the delay known before the last estimate if `latency` refutes it, else None.
+
+        An estimate that is not refuted within `CONFIRMATION_TIME_NS` is confirmed.
+        """
         estimate = self._unconfirmed
         if estimate is None:
             return None
--- a/qos_gateway/decisions/congestion/mean_value_analysis.py
+++ b/qos_gateway/decisions/congestion/mean_value_analysis.py
@@ -1,4 +1,4 @@
-"""Mean value analysis of a closed network of one delay and one queue (the paper, section 4)."""
+"""Mean value analysis of a closed queueing network with one delay and one queue (the paper, section 4)."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def response_times(service_demand: float, delay: float, max_in_flight: int) -> list[float]:
-    """Return the response times for 0 to `max_in_flight` requests in flight; all times in one unit."""
+    """Return the response times for 0 to `max_in_flight` requests in flight, in the unit of the arguments."""
     times = [delay + service_demand]
     queued = 0.0
     for in_flight in range(1, max_in_flight + 1):
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClosedNetwork:
-    """A network with its response times by the number in flight, from 0 on."""
+    """The delay of a fitted network and its response times, indexed by the number in flight."""
 
     delay: float = 0.0
     response_times: tuple[float, ...] = (0.0,)
@@ -45,9 +45,9 @@
         return cls(delay, tuple(response_times(service_demand, delay, 4 * in_flight + 20)))
 
     def wait(self, in_flight: float) -> float:
-        """Return the predicted time in the queue; beyond the computed numbers, that of the last one."""
+        """Return the predicted time in the queue, clamped to the computed range of `in_flight`."""
         return self.response_times[min(max(0, round(in_flight)), len(self.response_times) - 1)] - self.delay
 
     def max_in_flight_for_wait(self, wait: float) -> int:
-        """Return the largest number in flight with at most that time in the queue; -1 for none."""
+        """Return the largest number in flight with at most `wait` in the queue; -1 if there is none."""
         return sum(time - self.delay <= wait for time in self.response_times) - 1
--- a/qos_gateway/decisions/congestion/outstanding_attempt.py
+++ b/qos_gateway/decisions/congestion/outstanding_attempt.py
@@ -1,4 +1,4 @@
-"""An attempt without a response."""
+"""Attempts that have not received a response."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class OutstandingAttempt:
-    """An attempt without a response: its age (ns) shows congestion before the response arrives."""
+    """An attempt without a response; its age (ns) indicates congestion before the response arrives."""
 
     class_index: int
     age: int
--- a/qos_gateway/decisions/congestion/queue_model.py
+++ b/qos_gateway/decisions/congestion/queue_model.py
@@ -1,4 +1,4 @@
-"""The closed queuing model: a delay, and one shared queue whose demand is fitted to recent latency."""
+"""Closed queueing model: a delay, and one shared queue whose service demand is fitted to recent latency."""
 
 from math import ceil
 
@@ -11,39 +11,39 @@
 from .mean_value_analysis import ClosedNetwork
 from .outstanding_attempt import OutstandingAttempt
 
-TARGET_LATENCY_SAMPLES = 8.0  # responses in a mean: a lower rate has a longer time constant
-MIN_RESPONSES_PER_S = 1e-3  # keeps the time constant finite
-MIN_LATENCY_SAMPLES = 0.5  # from which a class's latency is used
-MIN_BASELINE_SAMPLES = 4.0  # from which a class's baseline is moved
-MIN_TOTAL_SAMPLES = 1e-6  # over all classes, from which the model is fitted
+TARGET_LATENCY_SAMPLES = 8.0  # responses per time constant; low rates get a longer one
+MIN_RESPONSES_PER_S = 1e-3  # avoids division by zero
+MIN_LATENCY_SAMPLES = 0.5  # for a class's latency to be used
+MIN_BASELINE_SAMPLES = 4.0  # for a class's baseline to be updated
+MIN_TOTAL_SAMPLES = 1e-6  # over all classes, for the model to be fitted
 BASELINE_GROWTH_PER_S = 0.01  # fraction of the baseline
-CONGESTION_THRESHOLD = 0.15  # wait as a fraction of the headroom: below it is noise
-OBJECTIVE_TO_BASELINE_RATIO = 8  # estimate for classes without a response
-TARGET_WAIT_FRACTION = 0.4  # mean wait as a fraction of the headroom: latencies vary
-BISECTION_STEPS = 20  # of the demand: to a millionth of the mean latency
+CONGESTION_THRESHOLD = 0.15  # wait as a fraction of the headroom; smaller waits are noise
+OBJECTIVE_TO_BASELINE_RATIO = 8  # estimates the baseline of a class without responses
+TARGET_WAIT_FRACTION = 0.4  # mean wait as a fraction of the headroom; latencies vary around the mean
+BISECTION_STEPS = 20  # resolve the service demand to a millionth of the mean latency
 MIN_HEADROOM_FRACTION = 1 / 4  # of the latency objective
 MIN_CONCURRENCY_LIMIT = 2
 
 
 class QueueModel:
-    """Latency by class, whether there is congestion, and the concurrency limit. Times are in ns."""
+    """Latency by class, congestion state and concurrency limit. Times are in ns."""
 
     def __init__(self, settings: Settings) -> None:
         self.objectives = [float(c.latency_objective) for c in settings.classes]
         self.class_latency = [ClassLatency(SHORT_TIME_CONSTANT_NS) for _ in settings.classes]
         self.mean_in_flight = DecayingMean(SHORT_TIME_CONSTANT_NS)
         self.mean_latency = 0.0  # over all classes
-        self.delay = 0.0  # mean latency outside the queue, over all classes
+        self.delay = 0.0  # mean latency without queueing, over all classes
         self.network = ClosedNetwork()
         self.delay_detector = DelayDetector()
         self.congested = False
         self.concurrency_limit: int | None = None  # None without congestion
 
     def fit(self, now: int, in_flight: int, outstanding: list[OutstandingAttempt]) -> None:
-        """Fit the model to recent responses, and to attempts older than the mean latency of their class."""
+        """Fit the model to recent responses, and to attempts outstanding longer than their class's mean."""
         self.mean_in_flight.add(now, in_flight)
         total = weight = delay = headroom = 0.0
-        # All classes share one queue: its latency shows in as many responses of any class.
+        # All classes share one queue, so the responses of any class are samples of its latency.
         time_constant = _time_constant(sum(latency.recent_mean.rate(now) for latency in self.class_latency))
         for class_index, latency in enumerate(self.class_latency):
             mean = latency.mean
@@ -61,14 +61,14 @@
         self.congested = False
         self.concurrency_limit = None
         if weight > MIN_TOTAL_SAMPLES:
-            # One response at the baseline is added: without further responses the congestion ends.
+            # One sample at the baseline is added, so that congestion ends when no more responses arrive.
             self.mean_latency = (total + delay / weight) / (weight + 1.0)
             self.delay = min(delay / weight, self.mean_latency)
             self._detect_congestion(CONGESTION_THRESHOLD * headroom / weight)
             self._detect_delay(now)
 
     def _detect_congestion(self, threshold: float) -> None:
-        """Detect a wait beyond `threshold` (ns), and fit the network and the concurrency limit to it."""
+        """Detect a wait longer than `threshold` (ns); then fit the network and set the concurrency limit."""
         in_flight = ceil(self.mean_in_flight.value)
         self.congested = self.mean_latency - self.delay > threshold and in_flight > 1
         if self.congested:
@@ -78,13 +78,13 @@
             self.concurrency_limit = max(MIN_CONCURRENCY_LIMIT, within)
 
     def add_latency(self, now: int, class_index: int, latency: int) -> None:
-        """Add the latency of a successful attempt that has just ended."""
+        """Add the latency of a successful attempt that ended at `now`."""
         self.class_latency[class_index].add(now, latency)
         if self.congested:
             self.delay_detector.add(now - latency, latency)
 
     def _detect_delay(self, now: int) -> None:
-        """Where latencies show that the wait is no queue, take it for the delay that it is."""
+        """Adopt a longer delay as the baseline where latencies show no queueing; revert it when refuted."""
         detector = self.delay_detector
         refuted = detector.revert_if_refuted(now, self.mean_latency)
         if refuted is not None:
@@ -98,23 +98,23 @@
             self._scale_baselines(delay)
 
     def _scale_baselines(self, delay: float) -> None:
-        """Scale the baselines of all classes so that their mean is `delay` (ns)."""
+        """Scale the baselines of all classes so that their mean becomes `delay` (ns)."""
         if self.delay > 0.0:
             for latency in self.class_latency:
                 latency.scale_baseline(delay / self.delay)
 
     def headroom(self, class_index: int) -> float:
-        """Return the time between the class's baseline and its latency objective."""
+        """Return the time from the class's baseline to its objective, at least a part of the objective."""
         objective = self.objectives[class_index]
         return max(objective - self.class_latency[class_index].baseline, objective * MIN_HEADROOM_FRACTION)
 
     def uncongested_latency(self, class_index: int) -> float:
-        """Return the class's baseline; while it is unknown, an estimate by its objective."""
+        """Return the class's baseline; while it is unknown, its mean or an estimate from its objective."""
         known = self.class_latency[class_index].baseline_or_mean()
         return known or self.objectives[class_index] / OBJECTIVE_TO_BASELINE_RATIO
 
 
 def _time_constant(rate: float) -> int:
-    """Return the time constant (ns) for responses at this rate (per second)."""
+    """Return the time constant (ns) that covers enough samples at `rate` responses per second."""
     enough_samples = TARGET_LATENCY_SAMPLES * SECOND / max(MIN_RESPONSES_PER_S, rate)
     return int(min(LONG_TIME_CONSTANT_NS, max(SHORT_TIME_CONSTANT_NS, enough_samples)))
--- a/qos_gateway/decisions/statistics/__init__.py
+++ b/qos_gateway/decisions/statistics/__init__.py
@@ -1,1 +1,1 @@
-"""Decaying means, and the time constants that decisions share."""
+"""Exponentially decaying means and shared time constants."""
--- a/qos_gateway/decisions/statistics/decaying_mean.py
+++ b/qos_gateway/decisions/statistics/decaying_mean.py
@@ -6,11 +6,11 @@
 
 from ...units import SECOND
 
-MIN_WEIGHT = 1e-9  # samples, below which a mean is taken to have none
+MIN_WEIGHT = 1e-9  # samples; a lower weight counts as none
 
 
 def decay_factor(age: int, time_constant: int) -> float:
-    """Return the weight of a sample of that age (both in ns), relative to a new one."""
+    """Return the weight of a sample of `age` relative to a new one. Both arguments are in ns."""
     return exp(-age / time_constant)
 
 
@@ -27,31 +27,31 @@
         self.weight = 0.0
 
     def add(self, now: int, value: float, weight: float = 1.0) -> None:
-        """Add a sample."""
+        """Add a sample of `weight` at `now`."""
         decay = exp((self.updated_at - now) / self.time_constant)
         self.weighted_sum = self.weighted_sum * decay + value * weight
         self.weight = self.weight * decay + weight
         self.updated_at = now
 
     def scale_weight(self, factor: float) -> None:
-        """Multiply the number of samples."""
+        """Multiply the weight of all samples; the mean does not change."""
         self.weight *= factor
         self.weighted_sum *= factor
 
     def scale_values(self, factor: float) -> None:
-        """Multiply the value of each sample."""
+        """Multiply the values of all samples; their weight does not change."""
         self.weighted_sum *= factor
 
     def rate(self, now: int) -> float:
-        """Return the recent number of samples per second."""
+        """Return the recent rate of samples per second."""
         return self.weight * exp((self.updated_at - now) / self.time_constant) * SECOND / self.time_constant
 
     def mean_with_prior(self, now: int, prior: float, prior_weight: float) -> float:
-        """Return the mean with `prior_weight` samples of `prior` added, which do not decay."""
+        """Return the mean with `prior_weight` samples of value `prior` added, which do not decay."""
         decay = exp((self.updated_at - now) / self.time_constant)
         return (self.weighted_sum * decay + prior * prior_weight) / (self.weight * decay + prior_weight)
 
     @property
     def value(self) -> float:
-        """Return the mean; 0 without samples."""
+        """The mean; 0 without samples."""
         return self.weighted_sum / self.weight if self.weight > MIN_WEIGHT else 0.0
--- a/qos_gateway/decisions/statistics/time_constants.py
+++ b/qos_gateway/decisions/statistics/time_constants.py
@@ -1,8 +1,8 @@
-"""Time constants that decisions share, in ns."""
+"""Time constants and intervals shared by the decision modules, in ns."""
 
 from ...units import SECOND
 
 SHORT_TIME_CONSTANT_NS = 1 * SECOND  # for frequent samples
 LONG_TIME_CONSTANT_NS = 10 * SECOND  # for rare samples
-TICK_INTERVAL_NS = SECOND // 10  # between refits, gossip and checks of open requests
+TICK_INTERVAL_NS = SECOND // 10  # between model fits, gossip and checks of open requests
 RARE_REPORT_TIME_CONSTANT_NS = 3 * LONG_TIME_CONSTANT_NS  # for grants and metered usage, reported rarely
