--- a/qos_gateway/decisions/admission/__init__.py
+++ b/qos_gateway/decisions/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Admission control: customers' caps on requests in flight, load shedding, and the order of all checks."""
+"""Admission control: per-customer caps on requests in flight, load shedding, and the order of the checks."""
--- a/qos_gateway/decisions/admission/admission_controller.py
+++ b/qos_gateway/decisions/admission/admission_controller.py
@@ -1,4 +1,4 @@
-"""Admission control: the customer's cap, the limit on all in flight, and the quota, in this order."""
+"""Admission control: checks the customer's cap, the concurrency limit and the quota, in this order."""
 
 from ...types import Action, Arrival, RejectReason, Settings
 from ..congestion.queue_model import TARGET_WAIT_FRACTION, QueueModel
@@ -15,7 +15,7 @@
 
 
 class AdmissionController:
-    """Decides on arrival whether a request is admitted, rejected, or waits for its reservation's reply."""
+    """Admits, rejects, or holds each arriving request; a held one waits for the reply to its reservation."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         return self._decide_quota(now, RequestState(arrival, request_class, account, arrived_at=now))
 
     def _observe(self, now: int, commitment: Commitment, arrival: Arrival) -> float:
-        """Update the demand by an arrival; return the request's priority: its weight over its latency."""
+        """Record an arrival in the demand; return the request's priority, its weight per latency."""
         request_class = self.request_classes[arrival.class_index]
         service_time = max(1.0, self.model.uncongested_latency(arrival.class_index))
         weight = request_class.priority_weight * commitment.account.plan.weight_factor
@@ -64,7 +64,7 @@
         return priority
 
     def _decide_quota(self, now: int, request: RequestState) -> list[Action]:
-        """Charge the customer's quota; hold the request while a reservation is open."""
+        """Charge the customer's quota; hold the request while a reservation is pending."""
         decision = self.quota.decide(now, request.account, request.arrival, self.model.congested)
         if decision.verdict is Verdict.ADMITTED:
             return decision.actions + self._admit(now, request, decision.report_usage)
@@ -75,7 +75,7 @@
         return decision.actions
 
     def _admit(self, now: int, request: RequestState, report_usage: bool) -> list[Action]:
-        """Send the first attempt; reject the request where no endpoint can take it."""
+        """Send the first attempt; reject the request if no endpoint is available."""
         send = self.dispatcher.send(now, request)
         if send is None:
             return [self.dispatcher.reject(request.arrival, RejectReason.NO_ENDPOINT)]
@@ -87,7 +87,7 @@
         return [send, self.quota.report_consumed(now, request.account, request.arrival.units)]
 
     def on_quota_reply(self, now: int, reply: QuotaReply) -> list[Action]:
-        """Admit or reject the request that waited for a reply."""
+        """Admit or reject the request that was held for this reply."""
         request = self.pending_reservations.remove(reply.reservation)
         if request is None:
             return reply.actions
@@ -99,7 +99,7 @@
         return actions + self.dispatcher.release_slot(now, request)
 
     def _decide_pending(self, now: int, request: RequestState, granted: bool | None) -> list[Action]:
-        """Admit or reject a request that waited; without a reply (None) decide locally."""
+        """Admit or reject a held request; `granted` is None without a reply, which is decided locally."""
         if granted is None:
             granted = self.quota.decide_locally(now, request.account, request.arrival.units)
         if granted:
@@ -107,6 +107,6 @@
         return [self.dispatcher.reject(request.arrival, RejectReason.QUOTA)]
 
     def expire_reservations(self, now: int) -> list[Action]:
-        """Decide locally on the requests whose reservation expired."""
+        """Decide locally on requests whose reservations have expired."""
         expired = self.pending_reservations.expired(now)
         return [action for number in expired for action in self.on_quota_reply(now, QuotaReply(number))]
--- a/qos_gateway/decisions/admission/commitment.py
+++ b/qos_gateway/decisions/admission/commitment.py
@@ -1,4 +1,4 @@
-"""The commitment to one customer: its goals, its demand, and its cap on requests in flight."""
+"""QoS commitment to one customer: its goals, demand, and cap on requests in flight."""
 
 from __future__ import annotations
 
@@ -11,48 +11,48 @@
 from ..statistics.decaying_mean import DecayingMean
 from ..statistics.time_constants import SHORT_TIME_CONSTANT_NS
 
-MIN_CONCURRENCY = 2  # requested for each customer, so that a small burst passes
+MIN_CONCURRENCY = 2  # requested for every customer, so that a small burst is admitted
 PRIORITY_SMOOTHING_FACTOR = 0.2  # weight of the newest request in a customer's mean priority
-HEADROOM_GROWTH_FACTOR = 1.01  # per request, until the headroom is that of the request's class
+HEADROOM_GROWTH_FACTOR = 1.01  # per request, up to the headroom of the request's class
 
 
 @dataclass(slots=True)
 class Demand:
-    """What a customer requests: the paper's Nreq, and its XMIN in requests per second."""
+    """What a customer requests, in the paper's terms."""
 
-    concurrency: int
-    throughput: float
+    concurrency: int  # Nreq
+    throughput: float  # XMIN, in requests per second
 
 
 @dataclass(slots=True, eq=False)
 class Commitment:
-    """The commitment to a customer that sent a request here. Times are in ns."""
+    """Commitment to a customer that has sent requests to this gateway. Times are in ns."""
 
     account: CustomerAccount
     evaluated_at: int = NEVER
     in_flight_cap: int = 0  # the paper's Noffer; 0 until the first evaluation and while the customer is idle
     priority_weight: float = 0.0  # mean priority of the customer's requests
-    headroom: float = 0.0  # mean wait that the customer's classes allow
+    headroom: float = 0.0  # mean queueing time that the customer's classes allow
     latency_objective: int = 0  # RMAX: the longest objective of the customer's classes
     mean_in_flight: DecayingMean = field(default_factory=lambda: DecayingMean(SHORT_TIME_CONSTANT_NS))
 
     @property
     def expected_in_flight(self) -> float:
-        """Requests in flight to expect: their mean, at most one while the customer is capped to one."""
+        """The mean number of requests in flight, at most one unless the cap is higher."""
         mean = self.mean_in_flight.value
         return mean if self.in_flight_cap > 1 else min(1.0, mean)
 
     def observe(self, priority: float, headroom: float, latency_objective: int) -> None:
-        """Update the customer's goals with a request of this priority and the goals of its class."""
+        """Update the customer's goals with a request's priority and the goals of its class."""
         self.priority_weight += PRIORITY_SMOOTHING_FACTOR * (priority - self.priority_weight)
         self.headroom = min(self.headroom, headroom) * HEADROOM_GROWTH_FACTOR if self.headroom else headroom
         self.latency_objective = max(self.latency_objective, latency_objective)
 
     def demand(self, now: int, quota_share: float) -> Demand:
-        """Return the demand by the slice of the quota, `quota_share` of it, in requests of mean units.
+        """Return the demand under a slice of the quota, `quota_share` of it, in requests of mean units.
 
-        Nreq is the slice's rate times RMAX plus the slice's burst; XMIN is the rate of requests, at most the
-        slice's.
+        Nreq is the slice's rate times RMAX plus the slice's burst. XMIN is the arrival rate of requests, at
+        most the slice's rate.
         """
         account = self.account
         requested = account.demand.short_term
@@ -63,10 +63,10 @@
         return Demand(max(MIN_CONCURRENCY, concurrency), min(rate, requested.rate(now)))
 
     def set_cap(self, now: int, cap: int) -> None:
-        """Set the cap that an evaluation at `now` chose."""
+        """Set the cap, as the result of an evaluation at `now`."""
         self.evaluated_at = now
         self.in_flight_cap = cap
 
     def suspend(self) -> None:
-        """Withdraw the cap of an idle customer; its next request evaluates the commitment again."""
+        """Clear the cap of an idle customer; its next request triggers an evaluation."""
         self.in_flight_cap = 0
--- a/qos_gateway/decisions/admission/commitment_table.py
+++ b/qos_gateway/decisions/admission/commitment_table.py
@@ -1,4 +1,4 @@
-"""The table of QoS commitments, and the evaluation that chooses each customer's cap."""
+"""Table of QoS commitments, and the evaluation that sets each customer's cap."""
 
 from collections.abc import Sequence
 from math import ceil, inf
@@ -10,31 +10,31 @@
 from .commitment import Commitment, Demand
 from .seven_cases import seven_cases
 
-IDLE_TIMEOUT_NS = 10 * SECOND  # outlasts the pauses of a steady customer
-EVALUATION_INTERVAL_NS = 2 * SECOND  # long enough for a fit, short for a burst
+IDLE_TIMEOUT_NS = 10 * SECOND  # longer than the pauses of a steady customer
+EVALUATION_INTERVAL_NS = 2 * SECOND  # long enough to refit the model, short enough to follow a burst
 PRUNE_INTERVAL_NS = IDLE_TIMEOUT_NS
-MIN_THROUGHPUT_PER_S = 1e-3  # a customer with less does not limit the response time of others
-MIN_BUSY_IN_FLIGHT = 0.05  # mean in flight from which a commitment limits others
+MIN_THROUGHPUT_PER_S = 1e-3  # floor of XMIN, too low to limit the response time of others
+MIN_BUSY_IN_FLIGHT = 0.05  # mean in flight from which a commitment constrains others
 
 
 class CommitmentTable:
-    """The commitments to all customers with an account, and the active ones among them."""
+    """Commitments to all customers with an account, and the active subset."""
 
     def __init__(self, model: QueueModel, quota: Quota, now: int) -> None:
-        """Start without any commitment; the first pruning is due one interval after `now`."""
+        """Start without commitments; the first pruning is due one interval after `now`."""
         self.model = model
         self.quota = quota
-        self.by_customer: dict[int, Commitment] = {}  # active or idle
-        self.active: dict[int, Commitment] = {}  # with a cap, by customer
+        self.by_customer: dict[int, Commitment] = {}  # active and idle
+        self.active: dict[int, Commitment] = {}  # those with a cap, by customer
         self._pruned_at = now
 
     def add(self, account: CustomerAccount) -> Commitment:
-        """Return a new commitment to a customer that has none."""
+        """Add and return a commitment to a customer that has none."""
         commitment = self.by_customer[account.customer_id] = Commitment(account)
         return commitment
 
     def evaluate_due(self, now: int) -> None:
-        """Suspend idle commitments and evaluate those due, lowest priority first, so that cuts fall on it."""
+        """Suspend idle commitments and evaluate those due, lowest priority first so that it is cut first."""
         self._suspend_idle(now)
         due = [c for c in self.active.values() if now - c.evaluated_at >= EVALUATION_INTERVAL_NS]
         throughputs: dict[int, float] = {}
@@ -42,7 +42,7 @@
             self.evaluate(now, commitment, throughputs)
 
     def _suspend_idle(self, now: int) -> None:
-        """Suspend the commitments to customers that sent no request for a while."""
+        """Sample the requests in flight, and suspend commitments to idle customers."""
         for commitment in list(self.active.values()):
             account = commitment.account
             commitment.mean_in_flight.add(now, account.in_flight)
@@ -51,7 +51,7 @@
                 del self.active[account.customer_id]
 
     def prune_due(self, now: int) -> None:
-        """At intervals, drop the accounts that the quota no longer needs, and their commitments."""
+        """Periodically remove accounts that the quota no longer needs, and their commitments."""
         if now - self._pruned_at < PRUNE_INTERVAL_NS:
             return
         self._pruned_at = now
@@ -59,7 +59,7 @@
             self.by_customer.pop(customer_id, None)
 
     def evaluate(self, now: int, commitment: Commitment, throughputs: dict[int, float]) -> None:
-        """Set the customer's cap: what it requests, or the choice of the seven cases under congestion.
+        """Set the customer's cap: the requested concurrency, or under congestion the seven cases' offer.
 
         `throughputs` caches XMIN by customer for evaluations at the same `now`.
         """
@@ -68,13 +68,13 @@
         cap = demand.concurrency
         if self.model.congested:
             offered = self._offered_concurrency(now, commitment, demand, throughputs)
-            cap = max(1, offered)  # a rejected customer keeps one
+            cap = max(1, offered)  # a rejected customer keeps a cap of one
         commitment.set_cap(now, cap)
 
     def _offered_concurrency(
         self, now: int, commitment: Commitment, demand: Demand, throughputs: dict[int, float]
     ) -> int:
-        """Return the concurrency that the seven cases offer, 0 to reject."""
+        """Return the concurrency that the seven cases offer; 0 rejects the customer."""
         others = self._busy_others(commitment)
         in_flight = sum([other.expected_in_flight for other in others])
         headroom = min([other.headroom for other in others], default=commitment.headroom)
@@ -99,7 +99,7 @@
     def _max_response_time(
         self, now: int, others: Sequence[Commitment], throughputs: dict[int, float]
     ) -> float:
-        """Return the response time (ns) up to which each of the others reaches its XMIN within its cap."""
+        """Return the longest response time (ns) at which all others reach their XMIN within their caps."""
         for other in others:
             if other.account.customer_id not in throughputs:
                 throughput = max(self._demand(now, other).throughput, MIN_THROUGHPUT_PER_S)
--- a/qos_gateway/decisions/admission/load_shedding.py
+++ b/qos_gateway/decisions/admission/load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding under the limit on all requests in flight, and its log line."""
+"""Load shedding near the concurrency limit, and the congestion log."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from ..statistics.time_constants import LONG_TIME_CONSTANT_NS
 from .priority_demand import PriorityDemand
 
-LOWEST_PRIORITY_FRACTION = 0.7  # part of the limit that requests of the lowest priority may fill
+LOWEST_PRIORITY_FRACTION = 0.7  # of the limit, from which requests of the lowest priority are shed
 CONGESTION_LOG_INTERVAL_NS = LONG_TIME_CONSTANT_NS
 
 
 class LoadShedder:
-    """Sheds requests from the lowest priority up as the requests in flight approach the model's limit."""
+    """Sheds requests, lowest priority first, as the requests in flight approach the concurrency limit."""
 
     def __init__(self, model: QueueModel, requests: RequestTable, demand: PriorityDemand) -> None:
         self.model = model
@@ -21,7 +21,7 @@
         self.demand = demand
 
     def should_shed(self, now: int, priority: float) -> bool:
-        """Return whether a request of this priority is shed."""
+        """Return whether to shed a request of `priority`."""
         limit = self.model.concurrency_limit
         in_flight = self.requests.working
         if limit is None or in_flight < LOWEST_PRIORITY_FRACTION * limit:
@@ -32,16 +32,16 @@
 
 
 class CongestionLog:
-    """Logs congestion at which requests of the lowest priority are shed, at most once an interval."""
+    """Logs when congestion causes requests of the lowest priority to be shed, at most once per interval."""
 
     def __init__(self, model: QueueModel, requests: RequestTable, now: int) -> None:
-        """Start so that a line may be logged at `now`."""
+        """Start in a state that allows a line at `now`."""
         self.model = model
         self.requests = requests
         self._logged_at = now - CONGESTION_LOG_INTERVAL_NS
 
     def lines(self, now: int) -> list[Action]:
-        """Return the log line that is due, if any."""
+        """Return the log line, if one is due."""
         limit = self.model.concurrency_limit
         in_flight = self.requests.in_flight
         logged_recently = now - self._logged_at < CONGESTION_LOG_INTERVAL_NS
--- a/qos_gateway/decisions/admission/pending_reservations.py
+++ b/qos_gateway/decisions/admission/pending_reservations.py
@@ -1,4 +1,4 @@
-"""Requests that wait for the reply to their reservation."""
+"""Requests that are held until their reservation is answered."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from ..requests.request_state import RequestState
 from ..statistics.time_constants import TICK_INTERVAL_NS
 
-RESERVATION_TIMEOUT_NS = TICK_INTERVAL_NS // 2  # over a round trip between gateways, far below an objective
+RESERVATION_TIMEOUT_NS = TICK_INTERVAL_NS // 2  # above a round trip to a peer, far below an objective
 
 
 @dataclass(slots=True)
 class PendingReservation:
-    """A request that waits, and when (ns) its reservation expires."""
+    """A held request, and the time (ns) at which its reservation expires."""
 
     request: RequestState
     expires_at: int
 
 
 class PendingReservations:
-    """Pending reservations by number, in the order in which they were sent."""
+    """Pending reservations by number, in sending order."""
 
     def __init__(self) -> None:
         self._pending: dict[int, PendingReservation] = {}
@@ -29,7 +29,7 @@
         return len(self._pending)
 
     def __iter__(self) -> Iterator[int]:
-        """Iterate over the numbers."""
+        """Iterate over the reservation numbers."""
         return iter(self._pending)
 
     def add(self, now: int, number: int, request: RequestState) -> None:
@@ -37,10 +37,10 @@
         self._pending[number] = PendingReservation(request, now + RESERVATION_TIMEOUT_NS)
 
     def remove(self, number: int) -> RequestState | None:
-        """Remove a reservation and return its request; None for a number without one."""
+        """Remove a reservation and return its request; None if the number is unknown."""
         reservation = self._pending.pop(number, None)
         return None if reservation is None else reservation.request
 
     def expired(self, now: int) -> list[int]:
-        """Return the numbers of the reservations without a reply in time."""
+        """Return the numbers of reservations that expired without a reply."""
         return [number for number, reservation in self._pending.items() if now >= reservation.expires_at]
