--- a/qos_gateway/decisions/congestion/delay_detection.py
+++ b/qos_gateway/decisions/congestion/delay_detection.py
@@ -16,7 +16,7 @@
 MAX_PERIODS = 16
 MIN_SAMPLES = 16  # responses for a regression
 MIN_PERIODS = 4  # in the first ones the latency is still changing
-MIN_IN_FLIGHT_DEVIATION_FRACTION = 0.05  # standard deviation, relative to the mean
+MIN_RELATIVE_IN_FLIGHT_DEVIATION = 0.05  # standard deviation, relative to the mean
 SLOPE_MARGIN_STANDARD_ERRORS = 3.0  # added to the slope for its upper bound
 MAX_QUEUE_FRACTION = 0.5  # of the latency beyond the known delay; from here on it counts as queueing
 REFUTING_RISE_FRACTION = 0.25  # of the latency that an estimate added to the delay
@@ -33,13 +33,13 @@
     in_flight: float
     samples: int = 0
     total: float = 0.0
-    total_of_squares: float = 0.0
+    sum_of_squares: float = 0.0
 
     def add(self, latency: float) -> None:
         """Add a response's latency."""
         self.samples += 1
         self.total += latency
-        self.total_of_squares += latency * latency
+        self.sum_of_squares += latency * latency
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,8 +66,8 @@
     mean_y = sum(period.total for period in periods) / samples
     xx = sum(period.samples * (period.in_flight - mean_x) ** 2 for period in periods)
     xy = sum((period.in_flight - mean_x) * (period.total - period.samples * mean_y) for period in periods)
-    yy = sum(period.total_of_squares for period in periods) - samples * mean_y * mean_y
-    if xx < samples * (MIN_IN_FLIGHT_DEVIATION_FRACTION * mean_x) ** 2 or not xx:
+    yy = sum(period.sum_of_squares for period in periods) - samples * mean_y * mean_y
+    if xx < samples * (MIN_RELATIVE_IN_FLIGHT_DEVIATION * mean_x) ** 2 or not xx:
         return None
     slope = xy / xx
     residual = max(0.0, yy - slope * xy) / (samples - 2)
@@ -78,7 +78,7 @@
 class DelayEstimate:
     """An estimated delay: the mean latency it is based on, and the delay known before. Times are in ns."""
 
-    at: int
+    estimated_at: int
     previous_delay: float
     latency: float
 
@@ -144,7 +144,7 @@
             self._suspended_until = now + self._backoff
             self._backoff = min(MAX_BACKOFF_NS, 2 * self._backoff)
             return estimate.previous_delay
-        if now - estimate.at > CONFIRMATION_TIME_NS:
+        if now - estimate.estimated_at > CONFIRMATION_TIME_NS:
             self._unconfirmed = None
             self._backoff = INITIAL_BACKOFF_NS
         return None
--- a/qos_gateway/decisions/congestion/queue_model.py
+++ b/qos_gateway/decisions/congestion/queue_model.py
@@ -74,8 +74,8 @@
         if self.congested:
             self.network = ClosedNetwork.fitted(self.delay, in_flight, self.mean_latency, BISECTION_STEPS)
             headroom = min(self.headroom(class_index) for class_index in range(len(self.objectives)))
-            within = self.network.max_in_flight_for_wait(TARGET_WAIT_FRACTION * headroom)
-            self.concurrency_limit = max(MIN_CONCURRENCY_LIMIT, within)
+            limit = self.network.max_in_flight_for_wait(TARGET_WAIT_FRACTION * headroom)
+            self.concurrency_limit = max(MIN_CONCURRENCY_LIMIT, limit)
 
     def add_latency(self, now: int, class_index: int, latency: int) -> None:
         """Add the latency of a successful attempt that ended at `now`."""
@@ -86,9 +86,9 @@
     def _detect_delay(self, now: int) -> None:
         """Adopt a longer delay as the baseline where latencies show no queueing; revert it when refuted."""
         detector = self.delay_detector
-        refuted = detector.revert_if_refuted(now, self.mean_latency)
-        if refuted is not None:
-            self._scale_baselines(min(refuted, self.delay))
+        previous_delay = detector.revert_if_refuted(now, self.mean_latency)
+        if previous_delay is not None:
+            self._scale_baselines(min(previous_delay, self.delay))
         if not self.congested:
             detector.clear()
             return
@@ -110,8 +110,8 @@
 
     def uncongested_latency(self, class_index: int) -> float:
         """Return the class's baseline; while it is unknown, its mean or an estimate from its objective."""
-        known = self.class_latency[class_index].baseline_or_mean()
-        return known or self.objectives[class_index] / OBJECTIVE_TO_BASELINE_RATIO
+        baseline = self.class_latency[class_index].baseline_or_mean()
+        return baseline or self.objectives[class_index] / OBJECTIVE_TO_BASELINE_RATIO
 
 
 def _time_constant(rate: float) -> int:
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -33,7 +33,7 @@
     assert rejections(engine.handle(MS, arrival(1, MS, deadline=0)))
 
 
-def test_caps_follow_latency() -> None:
+def test_caps_fall_when_latency_rises() -> None:
     engine = engine_alone(plans=(plan(rate=1000.0, burst=1000.0),))
     caps = []
     request = 0
@@ -56,7 +56,7 @@
     assert sent == 2
 
 
-def test_stale_report_of_attempts_elsewhere_does_not_limit_a_customer() -> None:
+def test_stale_report_of_attempts_elsewhere_does_not_cap_a_customer() -> None:
     engine = engine_alone(plans=(plan(max_in_flight=2),))
     engine.handle(0, arrival(1, 0))
     engine.handle(MS, ended(1, 1))
@@ -78,20 +78,22 @@
     assert 1 not in engine.commitments.by_customer
 
 
-def test_restarted_gateway_sheds_low_priority_first_without_any_response() -> None:
+def test_class_without_responses_is_shed_before_a_higher_priority() -> None:
     """A class never answered here ranked as if it took no time: stock checks before payments."""
-    g = engine_among_many()
-    g.quota.counter.call_rate = 0.0
+    engine = engine_among_many()
+    engine.quota.counter.call_rate = 0.0
     for i in range(30):
-        g.model.class_latency[UNSAFE].add(i * 50 * MS, 150 * MS)
-    g.model.fit(2 * SECOND, 1, [])
+        engine.model.class_latency[UNSAFE].add(i * 50 * MS, 150 * MS)
+    engine.model.fit(2 * SECOND, 1, [])
     for customer in range(20):
         cls = UNSAFE if customer % 2 else 0
-        g.handle(2 * SECOND, arrival(customer, 2 * SECOND, cls, customer_id=customer, gateway_spread=25))
-    g.model.concurrency_limit, g.request_table.in_flight = 100, 80
+        engine.handle(2 * SECOND, arrival(customer, 2 * SECOND, cls, customer_id=customer, gateway_spread=25))
+    engine.model.concurrency_limit, engine.request_table.in_flight = 100, 80
     arrivals = {
         cls: arrival(90 + cls, 2 * SECOND, cls, customer_id=90 + cls, gateway_spread=25)
         for cls in (0, UNSAFE)
     }
-    rejected = {cls: isinstance(g.handle(2 * SECOND, each)[0], Reject) for cls, each in arrivals.items()}
+    rejected = {
+        cls: isinstance(engine.handle(2 * SECOND, event)[0], Reject) for cls, event in arrivals.items()
+    }
     assert rejected == {0: True, UNSAFE: False}
--- a/tests/decisions/test_delay_detection.py
+++ b/tests/decisions/test_delay_detection.py
@@ -27,7 +27,7 @@
 MIN_SERVED_AT_250_MS = 0.95
 SAMPLING_ERROR = 0.02  # of a share over 20 s and two seeds
 BASELINE_DELAY = 50 * MS
-FIRST_SEND = 100 * SECOND
+FIRST_PERIOD_START = 100 * SECOND
 
 
 def mean(shares: list[float]) -> float:
@@ -35,16 +35,16 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_slower_endpoints_without_a_queue_are_used_as_before(seed: int) -> None:
+def test_longer_delay_without_queueing_sheds_few_requests(seed: int) -> None:
     # The limit on all in flight fell to its least for as long as endpoints were slower.
-    slow = LatencyScenario(before=FAST, changed=fixed(0.25), seed=seed)
-    slowest = LatencyScenario(before=FAST, changed=fixed(0.6), seed=seed)
-    assert settled_share(slow) >= MIN_SERVED_AT_250_MS
-    assert settled_share(slowest, min_wait_s=0.6) >= MIN_SERVED_AT_600_MS
+    delay_250_ms = LatencyScenario(before=FAST, changed=fixed(0.25), seed=seed)
+    delay_600_ms = LatencyScenario(before=FAST, changed=fixed(0.6), seed=seed)
+    assert settled_share(delay_250_ms) >= MIN_SERVED_AT_250_MS
+    assert settled_share(delay_600_ms, min_wait_s=0.6) >= MIN_SERVED_AT_600_MS
 
 
 @pytest.mark.parametrize(("gateways", "load"), [(3, 1.0), (3, 2.0), (3, 4.0), (40, 2.0)])
-def test_queue_is_limited_as_without_the_detection(
+def test_delay_detection_does_not_lower_the_served_share_under_queueing(
     monkeypatch: pytest.MonkeyPatch, gateways: int, load: float
 ) -> None:
     scenarios = [queue_scenario(QUEUE, load, gateways, seed) for seed in SEEDS]
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("load", [0.8, 2.0])
-def test_delay_with_a_queue_serves_more_than_without_the_detection(
+def test_delay_detection_raises_the_served_share_at_a_longer_delay_with_queueing(
     monkeypatch: pytest.MonkeyPatch, load: float
 ) -> None:
     scenario = queue_scenario(SLOWER_QUEUE, load)
@@ -66,7 +66,7 @@
 def congested_detector(latency_by_in_flight: dict[int, int]) -> tuple[DelayDetector, int]:
     """Return a detection after periods with these numbers in flight, and the time then."""
     detector = DelayDetector()
-    now = FIRST_SEND
+    now = FIRST_PERIOD_START
     for in_flight, latency in latency_by_in_flight.items():
         detector.begin_period_if_due(now, in_flight)
         for _ in range(8):
@@ -75,25 +75,25 @@
     return detector, now + SECOND
 
 
-def test_latency_that_does_not_fall_with_the_number_in_flight_is_a_delay() -> None:
+def test_latency_independent_of_the_number_in_flight_is_a_delay() -> None:
     detector, now = congested_detector(dict.fromkeys((10, 8, 6, 4), 600 * MS))
     assert detector.estimate_delay(now, BASELINE_DELAY) == pytest.approx(600 * MS)
 
 
-def test_latency_that_falls_with_the_number_in_flight_is_a_queue() -> None:
+def test_latency_proportional_to_the_number_in_flight_is_queueing() -> None:
     detector, now = congested_detector({n: n * 60 * MS for n in (10, 8, 6, 4)})
     assert detector.estimate_delay(now, BASELINE_DELAY) is None
 
 
-def test_nothing_is_concluded_from_one_number_in_flight_or_few_periods() -> None:
+def test_no_estimate_from_a_constant_number_in_flight_or_few_periods() -> None:
     detector, now = congested_detector({10: 600 * MS})
     assert detector.estimate_delay(now, BASELINE_DELAY) is None
-    numbers = range(10, 10 - MIN_PERIODS + 1, -1)
-    detector, now = congested_detector(dict.fromkeys(numbers, 600 * MS))
+    in_flight_numbers = range(10, 10 - MIN_PERIODS + 1, -1)
+    detector, now = congested_detector(dict.fromkeys(in_flight_numbers, 600 * MS))
     assert detector.estimate_delay(now, BASELINE_DELAY) is None
 
 
-def test_conclusion_is_taken_back_where_the_latency_rises_after_it() -> None:
+def test_estimate_is_reverted_when_latency_rises_after_it() -> None:
     detector, now = congested_detector(dict.fromkeys((10, 8, 6, 4), 600 * MS))
     detector.estimate_delay(now, BASELINE_DELAY)
     assert detector.revert_if_refuted(now + SECOND, 620 * MS) is None
@@ -101,7 +101,7 @@
     assert detector.estimate_delay(now + SECOND + INITIAL_BACKOFF_NS // 2, BASELINE_DELAY) is None
 
 
-def test_conclusion_that_held_for_a_while_is_kept() -> None:
+def test_confirmed_estimate_is_not_reverted() -> None:
     detector, now = congested_detector(dict.fromkeys((10, 8, 6, 4), 600 * MS))
     detector.estimate_delay(now, BASELINE_DELAY)
     assert detector.revert_if_refuted(now + CONFIRMATION_TIME_NS + 1, 600 * MS) is None
--- a/tests/decisions/test_many_gateways.py
+++ b/tests/decisions/test_many_gateways.py
@@ -23,13 +23,13 @@
 from tests.support.fleet import MANY, Fleet
 
 
-def test_slow_start_limits_the_rate_of_all_gateways_together() -> None:
+def test_slow_start_limits_the_total_rate_of_all_gateways() -> None:
     fleet = Fleet(
         plans=(plan(rate=10000.0, burst=10000.0),), has_counter=False, may_message=False, gateway_count=MANY
     )
     endpoints = [listed_endpoint(i) for i in range(1, 9)] + [listed_endpoint(99, started_at=1)]
-    for g in fleet.gateways:
-        g.handle(MS, full_list(*endpoints))
+    for engine in fleet.gateways:
+        engine.handle(MS, full_list(*endpoints))
     for i in range(4000):
         now = MS + i * 2 * MS
         position = i % MANY
@@ -39,45 +39,46 @@
         )
         for _, send in fleet.sent[before:]:
             fleet.deliver(now + MS, position, ended(send.request_id, send.endpoint))
-    part = sum(send.endpoint == 99 for _, send in fleet.sent) / (len(fleet.sent) / 9)
-    assert 0.1 <= part <= 0.9  # its lowest possible capacity rises from 0.2 to 0.5 in this time
+    relative_share = sum(send.endpoint == 99 for _, send in fleet.sent) / (len(fleet.sent) / 9)
+    assert 0.1 <= relative_share <= 0.9  # its lowest possible capacity rises from 0.2 to 0.5 in this time
 
 
 def gateways_by_endpoint(ejected: set[int], gateways: int = 40, endpoints: int = 60) -> dict[int, int]:
     """Return for each endpoint how many gateways have it in their subset while the `ejected` are ejected."""
     numbers = random.Random(5).sample(range(1 << 32), endpoints)
-    count = dict.fromkeys(numbers, 0)
+    gateways_of = dict.fromkeys(numbers, 0)
     for position in range(gateways):
-        g = DecisionEngine(
+        engine = DecisionEngine(
             settings(position=position, gateway_count=gateways, may_message=False), position, 0
         )
-        g.handle(0, full_list(*(listed_endpoint(number) for number in numbers)))
-        for at in ejected:
-            g.load_balancer.registry.endpoints[numbers[at]].ejected_until = SECOND
-        for state in g.load_balancer.subset(0):
-            count[state.endpoint.id] += 1
-    return count
+        engine.handle(0, full_list(*(listed_endpoint(number) for number in numbers)))
+        for index in ejected:
+            engine.load_balancer.registry.endpoints[numbers[index]].ejected_until = SECOND
+        for state in engine.load_balancer.subset(0):
+            gateways_of[state.endpoint.id] += 1
+    return gateways_of
 
 
-def test_each_endpoint_is_in_the_subset_of_the_same_few_gateways_even_when_half_are_ejected() -> None:
+def test_each_endpoint_is_in_about_ten_subsets_even_when_half_are_ejected() -> None:
     assert set(gateways_by_endpoint(set()).values()) <= {9, 10, 11}
     assert min(sorted(gateways_by_endpoint(set(range(30))).values())[30:]) >= 10
     assert set(gateways_by_endpoint(set(), 3, 9).values()) == {3}  # of a small fleet everybody holds all
 
 
-def test_endpoint_in_slow_start_saves_no_tokens_outside_the_subset() -> None:
-    g = DecisionEngine(settings(gateway_count=40, may_message=False), 7, 0)
-    g.handle(0, full_list(listed_endpoint(1, started_at=1), listed_endpoint(2)))
-    slow_start = g.load_balancer.slow_start
+def test_endpoint_in_slow_start_accumulates_no_tokens_outside_the_subset() -> None:
+    engine = DecisionEngine(settings(gateway_count=40, may_message=False), 7, 0)
+    engine.handle(0, full_list(listed_endpoint(1, started_at=1), listed_endpoint(2)))
+    slow_start = engine.load_balancer.slow_start
     for i in range(400):
         slow_start.warm_completions.add(i * 5 * MS, 1.0)
-    starting = g.load_balancer.registry.endpoints[1]
-    bucket = starting.slow_start_bucket
+    slow_starting = engine.load_balancer.registry.endpoints[1]
+    bucket = slow_starting.slow_start_bucket
     bucket.tokens, bucket.refilled_at = 0.0, 0
     slow_start.warm_completions.add(10 * SECOND, 200.0, 200.0)
-    g.load_balancer.can_accept(10 * SECOND, starting)
-    one = slow_start.fraction(10 * SECOND, starting) * slow_start.warm_completions.rate(10 * SECOND)
-    assert bucket.tokens <= min(2.0, one)
+    engine.load_balancer.can_accept(10 * SECOND, slow_starting)
+    rate = slow_start.warm_completions.rate(10 * SECOND)
+    tokens_per_s = slow_start.fraction(10 * SECOND, slow_starting) * rate
+    assert bucket.tokens <= min(2.0, tokens_per_s)
 
 
 def engine_with_two_zones(silent: int, cls: int = 0) -> tuple[DecisionEngine, dict[int, int], list[Action]]:
@@ -85,39 +86,41 @@
 
     Return the engine, the endpoint of each request, and the actions of the next tick.
     """
-    g = DecisionEngine(settings(gateway_count=2, plans=(plan(rate=1e3, burst=1e3),)), 7, 0)
-    g.handle(0, full_list(*(replace(listed_endpoint(i), zone=i % 2) for i in range(1, 13))))
-    for latency in g.model.class_latency:
+    engine = DecisionEngine(settings(gateway_count=2, plans=(plan(rate=1e3, burst=1e3),)), 7, 0)
+    engine.handle(0, full_list(*(replace(listed_endpoint(i), zone=i % 2) for i in range(1, 13))))
+    for latency in engine.model.class_latency:
         latency.add(0, 100 * MS, 20.0)
     sent = {}
     for i in range(12):
-        (send,) = [a for a in g.handle(MS, arrival(i, MS, cls, customer_id=i)) if isinstance(a, Send)]
+        (send,) = [a for a in engine.handle(MS, arrival(i, MS, cls, customer_id=i)) if isinstance(a, Send)]
         sent[i] = send.endpoint
     for i, endpoint in sent.items():
         if endpoint % 2 == 0 or [e for e in sent.values() if e % 2].index(endpoint) >= silent:
-            g.handle(101 * MS, ended(i, endpoint))
-    return g, sent, g.handle(600 * MS, TimerFired(TICK_TIMER))
+            engine.handle(101 * MS, ended(i, endpoint))
+    return engine, sent, engine.handle(600 * MS, TimerFired(TICK_TIMER))
 
 
-@pytest.mark.parametrize(("cls", "resent"), [(0, True), (UNSAFE, False)])
+@pytest.mark.parametrize(("cls", "retried"), [(0, True), (UNSAFE, False)])
 def test_unresponsive_zone_is_ejected_and_its_idle_connections_are_closed(
     cls: int,
-    resent: bool,
+    retried: bool,
 ) -> None:
-    g, sent, actions = engine_with_two_zones(6, cls)
-    lost = {endpoint for endpoint in sent.values() if endpoint % 2}
-    assert {a.endpoint for a in actions if isinstance(a, CloseIdleConnections)} == lost
-    off = {a.request_id for a in actions if isinstance(a, CancelAttempt)}
-    assert off == ({i for i, endpoint in sent.items() if endpoint % 2} if resent else set())
-    for i in off:
-        again = g.handle(600 * MS, ended(i, sent[i], Outcome.CANCELLED))
-        assert [a.endpoint % 2 for a in again if isinstance(a, Send)] == [0]
-    later = [a for i in range(50, 60) for a in g.handle(700 * MS, arrival(i, 700 * MS, customer_id=i))]
+    engine, sent, actions = engine_with_two_zones(6, cls)
+    unresponsive = {endpoint for endpoint in sent.values() if endpoint % 2}
+    assert {a.endpoint for a in actions if isinstance(a, CloseIdleConnections)} == unresponsive
+    cancelled = {a.request_id for a in actions if isinstance(a, CancelAttempt)}
+    assert cancelled == ({i for i, endpoint in sent.items() if endpoint % 2} if retried else set())
+    for i in cancelled:
+        retries = engine.handle(600 * MS, ended(i, sent[i], Outcome.CANCELLED))
+        assert [a.endpoint % 2 for a in retries if isinstance(a, Send)] == [0]
+    later = [a for i in range(50, 60) for a in engine.handle(700 * MS, arrival(i, 700 * MS, customer_id=i))]
     assert {a.endpoint % 2 for a in later if isinstance(a, Send)} == {0}
-    assert not [a for a in g.handle(701 * MS, TimerFired(TICK_TIMER)) if isinstance(a, CloseIdleConnections)]
+    assert not [
+        a for a in engine.handle(701 * MS, TimerFired(TICK_TIMER)) if isinstance(a, CloseIdleConnections)
+    ]
 
 
-def test_zone_with_a_response_or_few_late_ones_is_not_unresponsive() -> None:
+def test_zone_with_a_response_or_few_unanswered_attempts_is_not_ejected() -> None:
     for silent in (0, 2, 5):
         assert not [
             a for a in engine_with_two_zones(silent)[2] if isinstance(a, CloseIdleConnections | CancelAttempt)
--- a/tests/decisions/test_queue_model.py
+++ b/tests/decisions/test_queue_model.py
@@ -12,25 +12,25 @@
 from tests.support.builders import MS, SECOND, settings
 
 
-def test_mean_value_analysis_of_one_customer_has_no_queue() -> None:
+def test_mean_value_analysis_of_one_request_has_no_queueing() -> None:
     assert response_times(30.0, 100.0, 1)[1] == pytest.approx(130.0)
 
 
-def test_mean_value_analysis_saturates_at_the_demand() -> None:
+def test_mean_value_analysis_throughput_saturates_at_the_service_rate() -> None:
     times = response_times(10.0, 100.0, 400)
     assert 400 / times[400] == pytest.approx(1 / 10.0, rel=0.01)
     assert times == sorted(times)
 
 
-def loaded_model(mean: int, out: int) -> QueueModel:
+def loaded_model(latency: int, in_flight: int) -> QueueModel:
     model = QueueModel(settings())
     for i in range(40):
         model.class_latency[0].add(i * 20 * MS, 100 * MS)
     model.fit(SECOND, 1, [])
     for i in range(200):
-        model.class_latency[0].add(3 * SECOND + i * 10 * MS, mean)
+        model.class_latency[0].add(3 * SECOND + i * 10 * MS, latency)
         if i % 10 == 0:
-            model.fit(3 * SECOND + i * 10 * MS, out, [])
+            model.fit(3 * SECOND + i * 10 * MS, in_flight, [])
     return model
 
 
@@ -41,17 +41,18 @@
     assert predicted == pytest.approx(model.mean_latency, rel=0.1)
 
 
-def test_no_rise_means_no_limit() -> None:
+def test_no_concurrency_limit_without_a_rise_in_latency() -> None:
     model = loaded_model(105 * MS, 20)
     assert not model.congested
     assert model.concurrency_limit is None
 
 
-def test_more_latency_means_a_lower_limit() -> None:
-    mild, bad = loaded_model(500 * MS, 20).concurrency_limit, loaded_model(900 * MS, 20).concurrency_limit
-    assert mild is not None
-    assert bad is not None
-    assert bad < mild
+def test_higher_latency_lowers_the_concurrency_limit() -> None:
+    moderate = loaded_model(500 * MS, 20).concurrency_limit
+    severe = loaded_model(900 * MS, 20).concurrency_limit
+    assert moderate is not None
+    assert severe is not None
+    assert severe < moderate
 
 
 def test_outstanding_attempts_show_congestion_before_their_responses_arrive() -> None:
@@ -87,12 +88,12 @@
 ]
 
 
-@pytest.mark.parametrize(("response", "throughput", "others", "offered"), CASES)
-def test_seven_cases(response: Goal, throughput: Goal, others: Goal, offered: int) -> None:
-    assert seven_cases(5, response, throughput, others) == offered
+@pytest.mark.parametrize(("response", "throughput", "commitments", "offered"), CASES)
+def test_seven_cases(response: Goal, throughput: Goal, commitments: Goal, offered: int) -> None:
+    assert seven_cases(5, response, throughput, commitments) == offered
 
 
-def test_a_gateway_with_few_answers_sees_a_rise() -> None:
+def test_congestion_is_detected_from_few_responses() -> None:
     model = QueueModel(settings())
     for i in range(120):
         now = i * 500 * MS
@@ -118,14 +119,14 @@
     assert not any(detected[3 * 36 :])
 
 
-def test_congestion_ends_when_no_responses_arrive_any_more() -> None:
+def test_congestion_ends_when_responses_stop() -> None:
     model = loaded_model(900 * MS, 20)
     assert model.congested
     model.fit(120 * SECOND, 2, [])
     assert not model.congested
 
 
-def test_class_without_answers_takes_its_baseline_from_its_latency_objective() -> None:
+def test_baseline_of_a_class_without_responses_is_estimated_from_its_objective() -> None:
     model = QueueModel(settings())
     assert 0.0 < model.uncongested_latency(0) < model.objectives[0]
     for i in range(40):
--- a/tests/test_source_limits.py
+++ b/tests/test_source_limits.py
@@ -13,24 +13,24 @@
 DECISIONS = PACKAGE / "decisions"
 # What carries decisions out may import them; all else in the package is what they rest on.
 ADAPTERS = (PACKAGE / "server", PACKAGE / "simulator", PACKAGE / "__main__.py")
-MODELS = {"statistics", "snapshot"}
-PARTS = {*MODELS, "congestion", "load_balancing", "quota"}
+BASE_LAYERS = {"statistics", "snapshot"}
+COMPONENT_LAYERS = {*BASE_LAYERS, "congestion", "load_balancing", "quota"}
 # What each package or module at the top of the decisions may import of the others.
-LAYERS: dict[str, set[str]] = {
+ALLOWED_IMPORTS: dict[str, set[str]] = {
     "__init__": set(),
     "statistics": set(),
     "snapshot": {"statistics"},
     "snapshot_format": {"snapshot"},
     "congestion": {"statistics"},
-    "load_balancing": MODELS,
-    "quota": MODELS,
-    "requests": PARTS,
-    "admission": {*PARTS, "requests"},
-    "engine": {*PARTS, "requests", "admission"},
+    "load_balancing": BASE_LAYERS,
+    "quota": BASE_LAYERS,
+    "requests": COMPONENT_LAYERS,
+    "admission": {*COMPONENT_LAYERS, "requests"},
+    "engine": {*COMPONENT_LAYERS, "requests", "admission"},
     "handover": {"engine", "snapshot"},
 }
 # Numbers that are no one's choice.
-CONSTANTS_OF_UNITS = {"units.py": {"MILLISECOND", "SECOND"}}
+UNIT_CONSTANTS = {"units.py": {"MILLISECOND", "SECOND"}}
 # What decisions may import of the standard library: no I/O, no clock, no threads or processes.
 PURE_MODULES = {
     "__future__",
@@ -54,11 +54,11 @@
 
 def foundations() -> list[Path]:
     """Modules outside the decisions and their adapters."""
-    adapters = [path for each in ADAPTERS for path in [each, *each.rglob("*.py")]]
+    adapters = [path for adapter in ADAPTERS for path in [adapter, *adapter.rglob("*.py")]]
     return [p for p in PACKAGE.rglob("*.py") if p not in adapters and not p.is_relative_to(DECISIONS)]
 
 
-def test_decision_module_stays_within_650_lines_a_file() -> None:
+def test_decision_files_have_at_most_650_lines() -> None:
     policy = policy_files()
     lines = [sum(bool(line.strip()) for line in (ROOT / name).read_text().splitlines()) for name in policy]
     assert len(lines) > 1
@@ -66,7 +66,7 @@
     assert max(lines) <= 650
 
 
-def test_policy_names_every_file_of_the_decisions() -> None:
+def test_policy_lists_every_decision_file() -> None:
     assert sorted(policy_files()) == sorted(p.relative_to(ROOT).as_posix() for p in DECISIONS.rglob("*.py"))
 
 
@@ -89,13 +89,13 @@
 
 
 @pytest.mark.parametrize("path", foundations(), ids=lambda path: path.relative_to(PACKAGE).as_posix())
-def test_what_decisions_rest_on_imports_none_of_them(path: Path) -> None:
+def test_foundations_import_no_decisions_and_no_adapters(path: Path) -> None:
     forbidden = ("qos_gateway.decisions", "qos_gateway.server", "qos_gateway.simulator")
     assert [name for name in imported_modules(path) if name.startswith(forbidden)] == []
 
 
 @pytest.mark.parametrize("path", decision_files(), ids=lambda path: path.relative_to(PACKAGE).as_posix())
-def test_decisions_import_no_io_no_clock_and_nothing_that_carries_them_out(path: Path) -> None:
+def test_decisions_import_no_io_no_clock_and_no_adapters(path: Path) -> None:
     imported = imported_modules(path)
     own = ("qos_gateway.decisions", "qos_gateway.types", "qos_gateway.units")
     inside = {name for name in imported if name.startswith("qos_gateway")}
@@ -113,7 +113,7 @@
 @pytest.mark.parametrize("path", decision_files(), ids=lambda path: path.relative_to(PACKAGE).as_posix())
 def test_decisions_import_only_the_layers_below_them(path: Path) -> None:
     layer = path.relative_to(DECISIONS).parts[0].removesuffix(".py")
-    assert imports_from_decisions(path) - {layer} <= LAYERS[layer]
+    assert imports_from_decisions(path) - {layer} <= ALLOWED_IMPORTS[layer]
 
 
 def numeric_constants(path: Path) -> set[str]:
@@ -134,16 +134,16 @@
 
 
 @pytest.mark.parametrize("path", foundations(), ids=lambda path: path.relative_to(PACKAGE).as_posix())
-def test_what_decisions_rest_on_has_no_tuned_constants(path: Path) -> None:
-    in_enumerations = {"types/events.py"}
-    allowed = CONSTANTS_OF_UNITS.get(path.name, set())
+def test_foundations_have_no_tuned_constants(path: Path) -> None:
+    files_with_enums = {"types/events.py"}
+    allowed = UNIT_CONSTANTS.get(path.name, set())
     found = numeric_constants(path) - allowed
-    if path.relative_to(PACKAGE).as_posix() in in_enumerations:
-        found -= members_of_enumerations(path)
+    if path.relative_to(PACKAGE).as_posix() in files_with_enums:
+        found -= enum_members(path)
     assert found == set()
 
 
-def members_of_enumerations(path: Path) -> set[str]:
+def enum_members(path: Path) -> set[str]:
     found = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ClassDef) and any(
@@ -165,11 +165,11 @@
     assert [p.name for p in sources for line in p.read_text().splitlines() if len(line) > 110] == []
 
 
-def test_decision_module_names_its_interface_at_the_top() -> None:
+def test_engine_docstring_names_its_interface() -> None:
     assert "`types`" in (DECISIONS / "engine.py").read_text()[:400]
 
 
-def test_every_module_stands_on_the_architecture_page() -> None:
+def test_every_module_is_listed_on_the_architecture_page() -> None:
     page = (ROOT / "docs" / "architecture.md").read_text()
     modules = [p.relative_to(PACKAGE).as_posix() for p in PACKAGE.rglob("*.py") if p.name != "__init__.py"]
     assert [module for module in modules if f"`{module}`" not in page] == []
