--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests, each on a gateway acting alone."""
+"""Admission control at one gateway."""
 
 from __future__ import annotations
 
@@ -79,7 +79,10 @@
 
 
 def test_class_without_responses_is_shed_before_a_higher_priority() -> None:
-    """A class never answered here ranked as if it took no time: stock checks before payments."""
+    """A class without responses must not rank as if its latency were zero.
+
+    After a restart, stock checks that had no response yet outranked payments, which were then shed first.
+    """
     engine = engine_among_many()
     engine.quota.counter.call_rate = 0.0
     for i in range(30):
--- a/tests/decisions/test_delay_detection.py
+++ b/tests/decisions/test_delay_detection.py
@@ -1,4 +1,4 @@
-"""A longer delay of all endpoints is told from a queue, and sheds no requests."""
+"""Delay detection: a longer fixed delay of all endpoints is not taken for queueing and sheds no requests."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from tests.support.builders import MS, SECOND
 
 SEEDS = (1, 2)
-MIN_SERVED_AT_600_MS = 0.66 / (2 / 3)  # two in three clients wait long enough
+MIN_SERVED_AT_600_MS = 0.66 / (2 / 3)  # 0.66 of all requests; two in three clients wait long enough
 MIN_SERVED_AT_250_MS = 0.95
 SAMPLING_ERROR = 0.02  # of a share over 20 s and two seeds
 BASELINE_DELAY = 50 * MS
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_longer_delay_without_queueing_sheds_few_requests(seed: int) -> None:
-    # The limit on all in flight fell to its least for as long as endpoints were slower.
+    # Guards against taking the delay for queueing: the concurrency limit then stays at its minimum.
     delay_250_ms = LatencyScenario(before=FAST, changed=fixed(0.25), seed=seed)
     delay_600_ms = LatencyScenario(before=FAST, changed=fixed(0.6), seed=seed)
     assert settled_share(delay_250_ms) >= MIN_SERVED_AT_250_MS
@@ -64,7 +64,7 @@
 
 
 def congested_detector(latency_by_in_flight: dict[int, int]) -> tuple[DelayDetector, int]:
-    """Return a detection after periods with these numbers in flight, and the time then."""
+    """Return a detector after one sampling period per number in flight, and the time after them."""
     detector = DelayDetector()
     now = FIRST_PERIOD_START
     for in_flight, latency in latency_by_in_flight.items():
--- a/tests/decisions/test_many_gateways.py
+++ b/tests/decisions/test_many_gateways.py
@@ -1,4 +1,4 @@
-"""Load balancing by many gateways at once."""
+"""Load balancing across many gateways."""
 
 from __future__ import annotations
 
@@ -40,11 +40,14 @@
         for _, send in fleet.sent[before:]:
             fleet.deliver(now + MS, position, ended(send.request_id, send.endpoint))
     relative_share = sum(send.endpoint == 99 for _, send in fleet.sent) / (len(fleet.sent) / 9)
-    assert 0.1 <= relative_share <= 0.9  # its lowest possible capacity rises from 0.2 to 0.5 in this time
+    assert 0.1 <= relative_share <= 0.9  # its minimum capacity rises from 0.2 to 0.5 meanwhile
 
 
 def gateways_by_endpoint(ejected: set[int], gateways: int = 40, endpoints: int = 60) -> dict[int, int]:
-    """Return for each endpoint how many gateways have it in their subset while the `ejected` are ejected."""
+    """Return how many gateways have each endpoint in their subset.
+
+    `ejected` holds the indexes of the endpoints that are ejected at all gateways.
+    """
     numbers = random.Random(5).sample(range(1 << 32), endpoints)
     gateways_of = dict.fromkeys(numbers, 0)
     for position in range(gateways):
@@ -62,7 +65,9 @@
 def test_each_endpoint_is_in_about_ten_subsets_even_when_half_are_ejected() -> None:
     assert set(gateways_by_endpoint(set()).values()) <= {9, 10, 11}
     assert min(sorted(gateways_by_endpoint(set(range(30))).values())[30:]) >= 10
-    assert set(gateways_by_endpoint(set(), 3, 9).values()) == {3}  # of a small fleet everybody holds all
+    assert set(gateways_by_endpoint(set(), 3, 9).values()) == {
+        3
+    }  # in a small fleet every gateway uses every endpoint
 
 
 def test_endpoint_in_slow_start_accumulates_no_tokens_outside_the_subset() -> None:
@@ -82,7 +87,7 @@
 
 
 def engine_with_two_zones(silent: int, cls: int = 0) -> tuple[DecisionEngine, dict[int, int], list[Action]]:
-    """Send requests to two zones of which zone 1 leaves `silent` attempts unanswered.
+    """Send requests to two zones, of which zone 1 leaves `silent` attempts unanswered.
 
     Return the engine, the endpoint of each request, and the actions of the next tick.
     """
--- a/tests/decisions/test_queue_model.py
+++ b/tests/decisions/test_queue_model.py
@@ -1,4 +1,4 @@
-"""The queue model and the seven cases."""
+"""Mean value analysis, the queue model and the seven cases."""
 
 from __future__ import annotations
 
@@ -75,15 +75,17 @@
 CASES = [
     pytest.param(at_most(9), at_least(1), at_most(9), 5, id="case 1 accepts"),
     pytest.param(at_most(3), at_least(2), at_most(9), 3, id="case 2 lowers for the response time"),
-    pytest.param(at_most(1), at_least(4), at_most(9), 4, id="case 2 keeps the least throughput"),
+    pytest.param(at_most(1), at_least(4), at_most(9), 4, id="case 2 keeps the minimum throughput"),
     pytest.param(at_most(9), at_least(7), at_most(9), 7, id="case 3 raises for the throughput"),
-    pytest.param(at_most(8), at_least(20), at_most(9), 8, id="case 3 raises while response and others hold"),
+    pytest.param(
+        at_most(8), at_least(20), at_most(9), 8, id="case 3 raises while response time and commitments hold"
+    ),
     pytest.param(at_most(3), at_least(20), at_most(9), 3, id="case 4 lowers for the response time"),
     pytest.param(at_most(0), at_least(8), at_most(9), 8, id="case 4 raises for the throughput"),
     pytest.param(at_most(3), at_least(1), at_most(4), 3, id="case 5 keeps every goal"),
-    pytest.param(at_most(1), at_least(2), at_most(4), 4, id="case 5 gives up the response time"),
-    pytest.param(at_most(9), at_least(9), at_most(4), 4, id="case 6 keeps the others"),
-    pytest.param(at_most(2), at_least(9), at_most(4), 4, id="case 7 keeps the others"),
+    pytest.param(at_most(1), at_least(2), at_most(4), 4, id="case 5 drops the response time goal"),
+    pytest.param(at_most(9), at_least(9), at_most(4), 4, id="case 6 keeps the commitments"),
+    pytest.param(at_most(2), at_least(9), at_most(4), 4, id="case 7 keeps the commitments"),
     pytest.param(at_most(2), at_least(9), at_most(0), 0, id="case 7 rejects"),
 ]
 
@@ -105,7 +107,7 @@
 
 
 def test_end_of_congestion_is_detected_within_seconds_where_each_class_has_few_responses() -> None:
-    """Three responses per second, each of another class, show congestion of 10 s only together."""
+    """At one response per second and class, 10 s of congestion show only in all three classes together."""
     model = QueueModel(settings())
     detected = []
     for i in range(180):
--- a/tests/test_source_limits.py
+++ b/tests/test_source_limits.py
@@ -1,4 +1,4 @@
-"""Limits on the source itself."""
+"""Structural rules for the source: file and line lengths, imports, constants and documentation."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 ROOT = Path(__file__).parent.parent
 PACKAGE = ROOT / "qos_gateway"
 DECISIONS = PACKAGE / "decisions"
-# What carries decisions out may import them; all else in the package is what they rest on.
+# Adapters execute decisions and may import them. All other modules are foundations of the decisions.
 ADAPTERS = (PACKAGE / "server", PACKAGE / "simulator", PACKAGE / "__main__.py")
 BASE_LAYERS = {"statistics", "snapshot"}
 COMPONENT_LAYERS = {*BASE_LAYERS, "congestion", "load_balancing", "quota"}
-# What each package or module at the top of the decisions may import of the others.
+# What each top-level package or module of the decisions may import from the others.
 ALLOWED_IMPORTS: dict[str, set[str]] = {
     "__init__": set(),
     "statistics": set(),
@@ -29,9 +29,9 @@
     "engine": {*COMPONENT_LAYERS, "requests", "admission"},
     "handover": {"engine", "snapshot"},
 }
-# Numbers that are no one's choice.
+# Constants that define units and are not tuned.
 UNIT_CONSTANTS = {"units.py": {"MILLISECOND", "SECOND"}}
-# What decisions may import of the standard library: no I/O, no clock, no threads or processes.
+# Standard library modules that decisions may import: no I/O, clock, threads or processes.
 PURE_MODULES = {
     "__future__",
     "bisect",
@@ -53,7 +53,7 @@
 
 
 def foundations() -> list[Path]:
-    """Modules outside the decisions and their adapters."""
+    """Return the modules outside the decisions and their adapters."""
     adapters = [path for adapter in ADAPTERS for path in [adapter, *adapter.rglob("*.py")]]
     return [p for p in PACKAGE.rglob("*.py") if p not in adapters and not p.is_relative_to(DECISIONS)]
 
@@ -75,7 +75,7 @@
 
 
 def imported_modules(path: Path) -> set[str]:
-    """Names of modules, and of what is imported from them, with relative ones made whole."""
+    """Return the absolute names of the imported modules, and of the names imported from them."""
     package = path.relative_to(ROOT).parent.parts
     found = set()
     for node in ast.walk(ast.parse(path.read_text())):
@@ -104,7 +104,7 @@
 
 
 def imports_from_decisions(path: Path) -> set[str]:
-    """The packages and modules at the top of the decisions that a module imports from."""
+    """Return the top-level packages and modules of the decisions that a module imports from."""
     prefix = "qos_gateway.decisions"
     names = [name for name in imported_modules(path) if f"{name}.".startswith(f"{prefix}.")]
     return {name.removeprefix(prefix).lstrip(".").partition(".")[0] for name in names}
@@ -117,7 +117,7 @@
 
 
 def numeric_constants(path: Path) -> set[str]:
-    """Names that a module or class binds to a number, or to an expression of numbers alone."""
+    """Return the names that a module or class binds to a number or an expression of numbers only."""
     found = set()
     for scope in ast.walk(ast.parse(path.read_text())):
         if not isinstance(scope, ast.Module | ast.ClassDef):
