--- a/qos_gateway/decisions/admission/admission_controller.py
+++ b/qos_gateway/decisions/admission/admission_controller.py
@@ -1,4 +1,4 @@
-"""Admission control: the customer's cap, the limit on all in flight, and the quota, in this order."""
+"""Admission control: checks the customer's cap, the concurrency limit and the quota, in this order."""
 
 from ...types import Action, Arrival, RejectReason, Settings
 from ..congestion.queue_model import TARGET_WAIT_FRACTION, QueueModel
@@ -6,16 +6,16 @@
 from ..quota.quota_decision import QuotaReply, Verdict
 from ..requests.dispatcher import Dispatcher
 from ..requests.request_state import RequestState
-from ..statistics.time_constants import LONG_MEMORY_NS
+from ..statistics.time_constants import LONG_TIME_CONSTANT_NS
 from .commitment import Commitment
 from .commitment_table import CommitmentTable
-from .load_shedding import LoadShedding
+from .load_shedding import LoadShedder
 from .pending_reservations import PendingReservations
 from .priority_demand import PriorityDemand
 
 
 class AdmissionController:
-    """Decides on arrival whether a request is admitted, rejected, or waits for its reservation's reply."""
+    """Admits, rejects, or holds each arriving request; a held one waits for the reply to its reservation."""
 
     def __init__(
         self,
@@ -32,8 +32,8 @@
         self.requests = dispatcher.requests
         self.retry_budget = dispatcher.retry_budget
         self.commitments = commitments
-        self.priority_demand = PriorityDemand(LONG_MEMORY_NS)
-        self.load_shedding = LoadShedding(model, self.requests, self.priority_demand)
+        self.priority_demand = PriorityDemand(LONG_TIME_CONSTANT_NS)
+        self.load_shedder = LoadShedder(model, self.requests, self.priority_demand)
         self.pending_reservations = PendingReservations()
 
     def on_arrival(self, now: int, arrival: Arrival) -> list[Action]:
@@ -47,13 +47,13 @@
         self.quota.refill(now, account)
         if account.in_flight >= commitment.in_flight_cap:
             return [self.dispatcher.reject(arrival, RejectReason.CUSTOMER_CAP)]
-        if self.load_shedding.sheds(now, priority):
+        if self.load_shedder.should_shed(now, priority):
             return [self.dispatcher.reject(arrival, RejectReason.LOAD_LIMIT)]
         request_class = self.request_classes[arrival.class_index]
-        return self._charge(now, RequestState(arrival, request_class, account, arrived_at=now))
+        return self._decide_quota(now, RequestState(arrival, request_class, account, arrived_at=now))
 
     def _observe(self, now: int, commitment: Commitment, arrival: Arrival) -> float:
-        """Update the demand by an arrival; return the request's priority: its weight over its latency."""
+        """Record an arrival in the demand; return the request's priority, its weight per latency."""
         request_class = self.request_classes[arrival.class_index]
         service_time = max(1.0, self.model.uncongested_latency(arrival.class_index))
         weight = request_class.priority_weight * commitment.account.plan.weight_factor
@@ -63,8 +63,8 @@
         commitment.observe(priority, headroom, request_class.latency_objective)
         return priority
 
-    def _charge(self, now: int, request: RequestState) -> list[Action]:
-        """Charge the customer's quota; hold the request while a reservation is open."""
+    def _decide_quota(self, now: int, request: RequestState) -> list[Action]:
+        """Charge the customer's quota; hold the request while a reservation is pending."""
         decision = self.quota.decide(now, request.account, request.arrival, self.model.congested)
         if decision.verdict is Verdict.ADMITTED:
             return decision.actions + self._admit(now, request, decision.report_usage)
@@ -75,7 +75,7 @@
         return decision.actions
 
     def _admit(self, now: int, request: RequestState, report_usage: bool) -> list[Action]:
-        """Send the first attempt; reject the request where no endpoint can take it."""
+        """Send the first attempt; reject the request if no endpoint is available."""
         send = self.dispatcher.send(now, request)
         if send is None:
             return [self.dispatcher.reject(request.arrival, RejectReason.NO_ENDPOINT)]
@@ -86,8 +86,8 @@
         request.acquire_slot()
         return [send, self.quota.report_consumed(now, request.account, request.arrival.units)]
 
-    def on_reply(self, now: int, reply: QuotaReply) -> list[Action]:
-        """Admit or reject the request that waited for a reply."""
+    def on_quota_reply(self, now: int, reply: QuotaReply) -> list[Action]:
+        """Admit or reject the request that was held for this reply."""
         request = self.pending_reservations.remove(reply.reservation)
         if request is None:
             return reply.actions
@@ -99,7 +99,7 @@
         return actions + self.dispatcher.release_slot(now, request)
 
     def _decide_pending(self, now: int, request: RequestState, granted: bool | None) -> list[Action]:
-        """Admit or reject a request that waited; without a reply (None) decide locally."""
+        """Admit or reject a held request; `granted` is None without a reply, which is decided locally."""
         if granted is None:
             granted = self.quota.decide_locally(now, request.account, request.arrival.units)
         if granted:
@@ -107,6 +107,6 @@
         return [self.dispatcher.reject(request.arrival, RejectReason.QUOTA)]
 
     def expire_reservations(self, now: int) -> list[Action]:
-        """Decide locally on the requests whose reservation expired."""
+        """Decide locally on requests whose reservations have expired."""
         expired = self.pending_reservations.expired(now)
-        return [action for number in expired for action in self.on_reply(now, QuotaReply(number))]
+        return [action for number in expired for action in self.on_quota_reply(now, QuotaReply(number))]
--- a/qos_gateway/decisions/load_balancing/endpoint_state.py
+++ b/qos_gateway/decisions/load_balancing/endpoint_state.py
@@ -8,11 +8,11 @@
 from ...units import SECOND
 from ..snapshot import EndpointSnapshot, MeanSnapshot
 from ..statistics.decaying_mean import DecayingMean
-from ..statistics.time_constants import LONG_MEMORY_NS, SHORT_MEMORY_NS
+from ..statistics.time_constants import LONG_TIME_CONSTANT_NS, SHORT_TIME_CONSTANT_NS
 
 BASE_EJECTION_TIME_NS = SECOND // 2  # doubles with each ejection until an attempt succeeds
 MAX_EJECTION_TIME_NS = 8 * SECOND
-OVERLOAD_MEMORY_NS = LONG_MEMORY_NS  # an endpoint counts as overloaded for this long after a rejection
+OVERLOAD_MEMORY_NS = LONG_TIME_CONSTANT_NS  # an endpoint counts as overloaded for this long after a rejection
 
 ClassAndPlan = tuple[int, int]  # indexes into the settings: request class, customer's plan
 
@@ -54,7 +54,7 @@
     slow_start_bucket: SlowStartBucket
     corrected_start: int = 0  # replaces a reported start that is implausible by this gateway's clock
     # Latency divided by the mean latency of the request class.
-    relative_latency: DecayingMean = field(default_factory=lambda: DecayingMean(SHORT_MEMORY_NS))
+    relative_latency: DecayingMean = field(default_factory=lambda: DecayingMean(SHORT_TIME_CONSTANT_NS))
     ejection_time: int = BASE_EJECTION_TIME_NS  # length of the next ejection
     in_service: bool = True  # reported as ready
     in_flight: int = 0  # attempts sent by this gateway
--- a/qos_gateway/decisions/load_balancing/load_balancer.py
+++ b/qos_gateway/decisions/load_balancing/load_balancer.py
@@ -7,7 +7,7 @@
 
 from ...types import AttemptEnded, Endpoint, Outcome, Settings, Topology
 from ..snapshot import LoadBalancerSnapshot
-from ..statistics.time_constants import LONG_MEMORY_NS
+from ..statistics.time_constants import LONG_TIME_CONSTANT_NS
 from .endpoint_registry import EndpointRegistry
 from .endpoint_state import ClassAndPlan, EndpointState
 from .outlier_ejection import OutlierEjection
@@ -20,7 +20,7 @@
 GATEWAYS_PER_ENDPOINT = 10  # with it in their subset; each samples it often, and it has few connections
 SLOW_START_COST_FACTOR = 0.7  # cost of an endpoint in slow start that has a token, relative to a warm one
 FAILURE_COST_FACTOR = 3.0  # relative cost increase if similar attempts were recently rejected or timed out
-FAILURE_MEMORY_NS = 3 * LONG_MEMORY_NS  # older results of a class at an endpoint are ignored
+FAILURE_MEMORY_NS = 3 * LONG_TIME_CONSTANT_NS  # older results of a class at an endpoint are ignored
 JITTER = 0.1  # maximum random increase of the cost, spreads load over equal endpoints
 PEER_IN_FLIGHT_PRIOR_WEIGHT = 2.0  # attempts added to the own ones in flight and to their mean
 MIN_RELATIVE_LATENCY = 0.5  # keeps the number in flight relevant at fast endpoints
--- a/qos_gateway/decisions/load_balancing/slow_start.py
+++ b/qos_gateway/decisions/load_balancing/slow_start.py
@@ -13,7 +13,7 @@
 from ...units import SECOND
 from ..snapshot import MeanSnapshot
 from ..statistics.decaying_mean import DecayingMean
-from ..statistics.time_constants import SHORT_MEMORY_NS
+from ..statistics.time_constants import SHORT_TIME_CONSTANT_NS
 from .endpoint_state import EndpointState
 
 RATE_MULTIPLE = 1.4  # token rate at full capacity / completion rate of a warm endpoint
@@ -37,13 +37,13 @@
         self.settings = settings
         self.warming_up: set[int] = set()  # ids of usable endpoints that may still be in slow start
         # Completions, not attempts sent: under overload, far more attempts are sent than are completed.
-        self.warm_completions = DecayingMean(SHORT_MEMORY_NS)
-        self.warm_endpoints = DecayingMean(SHORT_MEMORY_NS)  # their mean number, over the same time
+        self.warm_completions = DecayingMean(SHORT_TIME_CONSTANT_NS)
+        self.warm_endpoints = DecayingMean(SHORT_TIME_CONSTANT_NS)  # their mean number, over the same time
         # If True, the two means are of endpoints in slow start, weighted by their capacity fractions.
         self.all_warming_up = False
         self._last_warm_rate = 0.0  # completions per second of a warm endpoint, when there last was one
         self._gateways_per_endpoint = 1.0  # gateways that have the same endpoint in their subset
-        self.warm_endpoints.updated_at = -SHORT_MEMORY_NS  # gives the first sample full weight
+        self.warm_endpoints.updated_at = -SHORT_TIME_CONSTANT_NS  # gives the first sample full weight
         self.handover_fraction = NO_HANDOVER_FRACTION  # this process's fraction of the token rate
 
     def capacity_fraction(self, now: int, state: EndpointState) -> float:
@@ -85,7 +85,7 @@
         """Keep the completion rate per endpoint when the set of counted endpoints changes."""
         previous = self.warm_endpoints.value
         if previous > 0.0:
-            self.warm_completions.scale(endpoints / previous)
+            self.warm_completions.scale_weight(endpoints / previous)
             self.warm_endpoints.scale_values(endpoints / previous)
 
     def attempt_started(self, now: int, state: EndpointState) -> None:
--- a/qos_gateway/decisions/quota/account/bucket_reports.py
+++ b/qos_gateway/decisions/quota/account/bucket_reports.py
@@ -7,7 +7,7 @@
 
 from ....units import SECOND
 from ...statistics.decaying_mean import DecayingMean
-from ...statistics.time_constants import RARE_REPORT_MEMORY_NS
+from ...statistics.time_constants import RARE_REPORT_TIME_CONSTANT_NS
 
 NEVER = -(1 << 62)  # ns; earlier than any other time
 REPORT_FRESH_FOR_NS = 1 * SECOND  # age up to which a report has its full weight
@@ -19,7 +19,7 @@
 class BucketReports:
     """The latest reports of a customer's bucket and of its requests in flight. Times are in ns."""
 
-    grant_ratio: DecayingMean = field(default_factory=lambda: DecayingMean(RARE_REPORT_MEMORY_NS))
+    grant_ratio: DecayingMean = field(default_factory=lambda: DecayingMean(RARE_REPORT_TIME_CONSTANT_NS))
     reported_at: int = -REPORT_EXPIRES_AFTER_NS  # time of the last report of the bucket's tokens
     tokens: float = inf  # tokens in the last report
     in_flight_elsewhere_at: int = NEVER  # time of the last report of `in_flight_elsewhere`
--- a/qos_gateway/decisions/quota/account/customer_account.py
+++ b/qos_gateway/decisions/quota/account/customer_account.py
@@ -7,7 +7,7 @@
 from ....types import Plan
 from ....units import SECOND
 from ...snapshot import AccountSnapshot, MeanSnapshot
-from ...statistics.time_constants import LONG_MEMORY_NS
+from ...statistics.time_constants import LONG_TIME_CONSTANT_NS
 from .bucket_reports import BucketReports
 from .counter_calls import CounterCalls
 from .customer_buckets import CustomerBuckets
@@ -131,8 +131,8 @@
         raise the estimate. The requests at this gateway are compared with its slice of the quota.
         """
         metered = self.usage.mean.mean_with_prior(now, prior, prior_units)
-        requested = max(0.0, self.demand.unit_rate(now) * LONG_MEMORY_NS / SECOND - prior_units)
-        slice_units = self.plan.rate * LONG_MEMORY_NS / SECOND / self.buckets.slices
+        requested = max(0.0, self.demand.unit_rate(now) * LONG_TIME_CONSTANT_NS / SECOND - prior_units)
+        slice_units = self.plan.rate * LONG_TIME_CONSTANT_NS / SECOND / self.buckets.slices
         return max(metered, (prior * prior_units + requested) / (prior_units + slice_units))
 
     def fraction_within_slice(self, now: int, units: float) -> float:
@@ -140,7 +140,7 @@
 
         The rate does not include the request of `units` that is being decided.
         """
-        one_request_rate = units * SECOND / LONG_MEMORY_NS
+        one_request_rate = units * SECOND / LONG_TIME_CONSTANT_NS
         slice_rate = self.plan.rate / self.buckets.slices
         return min(1.0, (slice_rate + 2 * one_request_rate) / (self.demand.unit_rate(now) + one_request_rate))
 
--- a/qos_gateway/decisions/quota/quota.py
+++ b/qos_gateway/decisions/quota/quota.py
@@ -10,7 +10,7 @@
 from ...units import SECOND
 from ..snapshot import AccountSnapshot, EngineSnapshot
 from ..statistics.decaying_mean import DecayingMean
-from ..statistics.time_constants import LONG_MEMORY_NS, TICK_INTERVAL_NS
+from ..statistics.time_constants import LONG_TIME_CONSTANT_NS, TICK_INTERVAL_NS
 from .account.account_table import AccountTable
 from .account.bucket_reports import REPORT_CURRENT_FOR_NS, share_by_report_age
 from .account.customer_account import CustomerAccount
@@ -49,7 +49,7 @@
         self.accounts = AccountTable()
         self.counter = CounterClient(self.uses_counter)
         self.reservations = ReservationClient(settings.gateway_count, self.age)
-        self.plan_grant_ratio = [DecayingMean(LONG_MEMORY_NS) for _ in settings.plans]
+        self.plan_grant_ratio = [DecayingMean(LONG_TIME_CONSTANT_NS) for _ in settings.plans]
         self.last_reservation = 0
         self.handover_fraction = 1.0  # of the buckets, which this process uses during a handover
 
--- a/tests/decisions/test_delay_detection.py
+++ b/tests/decisions/test_delay_detection.py
@@ -1,4 +1,4 @@
-"""A longer delay of all endpoints is told from a queue, and sheds no requests."""
+"""Delay detection: a longer fixed delay of all endpoints is not taken for queueing and sheds no requests."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
     settled_share,
 )
 from qos_gateway.decisions.congestion.delay_detection import (
-    FIRST_PAUSE_NS,
+    CONFIRMATION_TIME_NS,
+    INITIAL_BACKOFF_NS,
     MIN_PERIODS,
-    PERIOD_NS,
-    TRIAL_NS,
-    DelayDetection,
+    SAMPLING_PERIOD_NS,
+    DelayDetector,
 )
 from tests.support.builders import MS, SECOND
 
 SEEDS = (1, 2)
-MIN_SERVED_AT_600_MS = 0.66 / (2 / 3)  # two in three clients wait long enough
+MIN_SERVED_AT_600_MS = 0.66 / (2 / 3)  # 0.66 of all requests; two in three clients wait long enough
 MIN_SERVED_AT_250_MS = 0.95
 SAMPLING_ERROR = 0.02  # of a share over 20 s and two seeds
 BASELINE_DELAY = 50 * MS
-FIRST_SEND = 100 * SECOND
+FIRST_PERIOD_START = 100 * SECOND
 
 
 def mean(shares: list[float]) -> float:
@@ -35,74 +35,74 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_slower_endpoints_without_a_queue_are_used_as_before(seed: int) -> None:
-    # The limit on all in flight fell to its least for as long as endpoints were slower.
-    slow = LatencyScenario(before=FAST, changed=fixed(0.25), seed=seed)
-    slowest = LatencyScenario(before=FAST, changed=fixed(0.6), seed=seed)
-    assert settled_share(slow) >= MIN_SERVED_AT_250_MS
-    assert settled_share(slowest, min_wait_s=0.6) >= MIN_SERVED_AT_600_MS
+def test_longer_delay_without_queueing_sheds_few_requests(seed: int) -> None:
+    # Guards against taking the delay for queueing: the concurrency limit then stays at its minimum.
+    delay_250_ms = LatencyScenario(before=FAST, changed=fixed(0.25), seed=seed)
+    delay_600_ms = LatencyScenario(before=FAST, changed=fixed(0.6), seed=seed)
+    assert settled_share(delay_250_ms) >= MIN_SERVED_AT_250_MS
+    assert settled_share(delay_600_ms, min_wait_s=0.6) >= MIN_SERVED_AT_600_MS
 
 
 @pytest.mark.parametrize(("gateways", "load"), [(3, 1.0), (3, 2.0), (3, 4.0), (40, 2.0)])
-def test_queue_is_limited_as_without_the_detection(
+def test_delay_detection_does_not_lower_the_served_share_under_queueing(
     monkeypatch: pytest.MonkeyPatch, gateways: int, load: float
 ) -> None:
     scenarios = [queue_scenario(QUEUE, load, gateways, seed) for seed in SEEDS]
     served = mean([settled_share(scenario) for scenario in scenarios])
-    monkeypatch.setattr(DelayDetection, "find_delay", lambda *_: None)
+    monkeypatch.setattr(DelayDetector, "estimate_delay", lambda *_: None)
     assert served >= mean([settled_share(scenario) for scenario in scenarios]) - SAMPLING_ERROR
 
 
 @pytest.mark.parametrize("load", [0.8, 2.0])
-def test_delay_with_a_queue_serves_more_than_without_the_detection(
+def test_delay_detection_raises_the_served_share_at_a_longer_delay_with_queueing(
     monkeypatch: pytest.MonkeyPatch, load: float
 ) -> None:
     scenario = queue_scenario(SLOWER_QUEUE, load)
     served = settled_share(scenario)
-    monkeypatch.setattr(DelayDetection, "find_delay", lambda *_: None)
+    monkeypatch.setattr(DelayDetector, "estimate_delay", lambda *_: None)
     assert served > settled_share(scenario)
 
 
-def congested_detection(latency_by_in_flight: dict[int, int]) -> tuple[DelayDetection, int]:
-    """Return a detection after periods with these numbers in flight, and the time then."""
-    detection = DelayDetection()
-    now = FIRST_SEND
+def congested_detector(latency_by_in_flight: dict[int, int]) -> tuple[DelayDetector, int]:
+    """Return a detector after one sampling period per number in flight, and the time after them."""
+    detector = DelayDetector()
+    now = FIRST_PERIOD_START
     for in_flight, latency in latency_by_in_flight.items():
-        detection.begin_period(now, in_flight)
+        detector.begin_period_if_due(now, in_flight)
         for _ in range(8):
-            detection.add(now, latency)
-        now += PERIOD_NS
-    return detection, now + SECOND
+            detector.add(now, latency)
+        now += SAMPLING_PERIOD_NS
+    return detector, now + SECOND
 
 
-def test_latency_that_does_not_fall_with_the_number_in_flight_is_a_delay() -> None:
-    detection, now = congested_detection(dict.fromkeys((10, 8, 6, 4), 600 * MS))
-    assert detection.find_delay(now, BASELINE_DELAY) == pytest.approx(600 * MS)
+def test_latency_independent_of_the_number_in_flight_is_a_delay() -> None:
+    detector, now = congested_detector(dict.fromkeys((10, 8, 6, 4), 600 * MS))
+    assert detector.estimate_delay(now, BASELINE_DELAY) == pytest.approx(600 * MS)
 
 
-def test_latency_that_falls_with_the_number_in_flight_is_a_queue() -> None:
-    detection, now = congested_detection({n: n * 60 * MS for n in (10, 8, 6, 4)})
-    assert detection.find_delay(now, BASELINE_DELAY) is None
+def test_latency_proportional_to_the_number_in_flight_is_queueing() -> None:
+    detector, now = congested_detector({n: n * 60 * MS for n in (10, 8, 6, 4)})
+    assert detector.estimate_delay(now, BASELINE_DELAY) is None
 
 
-def test_nothing_is_concluded_from_one_number_in_flight_or_few_periods() -> None:
-    detection, now = congested_detection({10: 600 * MS})
-    assert detection.find_delay(now, BASELINE_DELAY) is None
-    numbers = range(10, 10 - MIN_PERIODS + 1, -1)
-    detection, now = congested_detection(dict.fromkeys(numbers, 600 * MS))
-    assert detection.find_delay(now, BASELINE_DELAY) is None
+def test_no_estimate_from_a_constant_number_in_flight_or_few_periods() -> None:
+    detector, now = congested_detector({10: 600 * MS})
+    assert detector.estimate_delay(now, BASELINE_DELAY) is None
+    in_flight_numbers = range(10, 10 - MIN_PERIODS + 1, -1)
+    detector, now = congested_detector(dict.fromkeys(in_flight_numbers, 600 * MS))
+    assert detector.estimate_delay(now, BASELINE_DELAY) is None
 
 
-def test_conclusion_is_taken_back_where_the_latency_rises_after_it() -> None:
-    detection, now = congested_detection(dict.fromkeys((10, 8, 6, 4), 600 * MS))
-    detection.find_delay(now, BASELINE_DELAY)
-    assert detection.refuted_delay(now + SECOND, 620 * MS) is None
-    assert detection.refuted_delay(now + SECOND, 800 * MS) == BASELINE_DELAY
-    assert detection.find_delay(now + SECOND + FIRST_PAUSE_NS // 2, BASELINE_DELAY) is None
+def test_estimate_is_reverted_when_latency_rises_after_it() -> None:
+    detector, now = congested_detector(dict.fromkeys((10, 8, 6, 4), 600 * MS))
+    detector.estimate_delay(now, BASELINE_DELAY)
+    assert detector.revert_if_refuted(now + SECOND, 620 * MS) is None
+    assert detector.revert_if_refuted(now + SECOND, 800 * MS) == BASELINE_DELAY
+    assert detector.estimate_delay(now + SECOND + INITIAL_BACKOFF_NS // 2, BASELINE_DELAY) is None
 
 
-def test_conclusion_that_held_for_a_while_is_kept() -> None:
-    detection, now = congested_detection(dict.fromkeys((10, 8, 6, 4), 600 * MS))
-    detection.find_delay(now, BASELINE_DELAY)
-    assert detection.refuted_delay(now + TRIAL_NS + 1, 600 * MS) is None
-    assert detection.refuted_delay(now + TRIAL_NS + 2, 2 * SECOND) is None
+def test_confirmed_estimate_is_not_reverted() -> None:
+    detector, now = congested_detector(dict.fromkeys((10, 8, 6, 4), 600 * MS))
+    detector.estimate_delay(now, BASELINE_DELAY)
+    assert detector.revert_if_refuted(now + CONFIRMATION_TIME_NS + 1, 600 * MS) is None
+    assert detector.revert_if_refuted(now + CONFIRMATION_TIME_NS + 2, 2 * SECOND) is None
