--- a/qos_gateway/server/clients/accept_drain.py
+++ b/qos_gateway/server/clients/accept_drain.py
@@ -8,14 +8,14 @@
 
 from ..observability.close_reasons import CloseReason
 
-ACCEPT_DRAIN_QUIET_S = 0.5  # without a new connection; the load balancer in front needs 0.4 s to notice
-ACCEPT_DRAIN_MAX_S = 0.9  # as some clients connect without regard to the load balancer
+ACCEPT_QUIET_PERIOD_S = 0.5  # without a new connection; the load balancer in front needs 0.4 s to notice
+MAX_ACCEPT_PERIOD_S = 0.9  # as some clients connect without regard to the load balancer
 FIRST_COMMAND_GRACE_S = 0.5  # within which a new client may still send its first command
 DRAIN_CHECK_INTERVAL_S = 0.02
 
 
 class DrainState:
-    """How far the graceful shutdown has come; changed by `AcceptDrain`."""
+    """How far the graceful shutdown has come; changed by `ConnectionDrainer`."""
 
     __slots__ = ("closes_idle", "is_draining")
 
@@ -41,7 +41,7 @@
     def close(self, reason: CloseReason) -> None:
         """Close once all replies are written."""
 
-    def finish(self) -> None:
+    def reject_partial_command(self) -> None:
         """Reply to an incomplete command, and execute no further one."""
 
 
@@ -61,7 +61,7 @@
     def stop_listening(self) -> None:
         """Close the listening socket."""
 
-    def has_waiting_connection(self) -> bool:
+    def has_queued_connection(self) -> bool:
         """Return whether a connection waits to be accepted."""
 
     def has_connections(self) -> bool:
@@ -71,11 +71,11 @@
         """Return all connections."""
 
 
-class AcceptDrain:
+class ConnectionDrainer:
     """Stops accepting, then closes each connection once it is idle.
 
     A listening socket that the platform holds is closed at once: the next process accepts what waits on it.
-    A socket of this process stays open until no new connection arrives for `ACCEPT_DRAIN_QUIET_S`.
+    A socket of this process stays open until no new connection arrives for `ACCEPT_QUIET_PERIOD_S`.
     """
 
     def __init__(
@@ -86,8 +86,8 @@
         self._state = state
         self._owns_socket = owns_socket
         # From then on idle connections are closed.
-        self._closing_from_s = now_s + ACCEPT_DRAIN_QUIET_S if owns_socket else now_s
-        self._accept_until_s = now_s + ACCEPT_DRAIN_MAX_S if owns_socket else now_s
+        self._closing_from_s = now_s + ACCEPT_QUIET_PERIOD_S if owns_socket else now_s
+        self._accept_until_s = now_s + MAX_ACCEPT_PERIOD_S if owns_socket else now_s
         # From then on incomplete commands get a reply, and their connections end.
         self._finish_from_s = self._closing_from_s + max_drain_s
 
@@ -110,11 +110,11 @@
     def _is_accepting_over(self, now_s: float) -> bool:
         if not self._owns_socket:
             return True
-        return now_s >= min(self._accept_until_s, self._clients.last_connected_at_s + ACCEPT_DRAIN_QUIET_S)
+        return now_s >= min(self._accept_until_s, self._clients.last_connected_at_s + ACCEPT_QUIET_PERIOD_S)
 
     def _stop_listening(self) -> None:
         """Close the listening socket, but not while connections wait to be accepted: they would be reset."""
-        if not (self._owns_socket and self._clients.has_waiting_connection()):
+        if not (self._owns_socket and self._clients.has_queued_connection()):
             self._clients.stop_listening()
 
     def _close_connections(self, now_s: float) -> None:
@@ -123,4 +123,4 @@
             if may_close and client.is_idle():
                 client.close(CloseReason.DRAINED)
             elif now_s >= self._finish_from_s:
-                client.finish()
+                client.reject_partial_command()
--- a/qos_gateway/server/clients/connection.py
+++ b/qos_gateway/server/clients/connection.py
@@ -23,7 +23,7 @@
 SHUTDOWN_REPLY = b"-BUSY\r\n"  # to a command that is incomplete at the end of a drain
 
 
-class ConnectionListener(Protocol):
+class ConnectionObserver(Protocol):
     """Is notified of the connections that open and close, and of their commands."""
 
     def connection_opened(self, client: ClientConnection, /) -> None:
@@ -50,7 +50,7 @@
     __slots__ = (
         "_close_reason",
         "_context",
-        "_listener",
+        "_observer",
         "_queued_since_s",
         "_replies",
         "idle_since_s",
@@ -58,12 +58,12 @@
     )
 
     def __init__(
-        self, listener: ConnectionListener, context: ConnectionContext, queued_since_s: float | None = None
+        self, observer: ConnectionObserver, context: ConnectionContext, queued_since_s: float | None = None
     ) -> None:
         """Take the earliest time at which the client can have connected, if the accept may have been late."""
         super().__init__()
         self._queued_since_s = queued_since_s
-        self._listener = listener
+        self._observer = observer
         self._context = context
         self._replies: ReplyQueue  # from `connection_made` on
         self.input: ConnectionInput  # from `connection_made` on
@@ -78,7 +78,7 @@
         self.input = ConnectionInput(context, self._replies)
         if self._queued_since_s is not None and self.unread_bytes():
             self.input.note_queued_since(max(self._queued_since_s, self._connected_at_s()))
-        self._listener.connection_opened(self)
+        self._observer.connection_opened(self)
 
     def _connected_at_s(self) -> float:
         """Return when the client connected, if nothing was sent to it yet; now, if that is not known."""
@@ -91,7 +91,7 @@
 
     def command_received(self) -> None:
         """Notify the listener of a complete command."""
-        self._listener.command_received(self)
+        self._observer.command_received(self)
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio names it
         """Report the client's open requests as abandoned."""
@@ -100,7 +100,7 @@
             self._close_reason = CloseReason.CLIENT_CLOSED
             close_guard.check(self._close_reason, self._replies.unanswered(), False)
         close_guard.connection_ended(self._close_reason)
-        self._listener.connection_closed(self)
+        self._observer.connection_closed(self)
         self.input.deferred.clear()
         for request_number in self._replies.discard():
             self._context.requests.client_disconnected(request_number)
@@ -234,7 +234,7 @@
         log.warning("client_protocol_error error=%s", reason)
         self._reply_and_end(error_reply(f"Protocol error: {reason}"))
 
-    def finish(self) -> None:
+    def reject_partial_command(self) -> None:
         """Reply to an incomplete command at the end of a drain, and execute no further one.
 
         A connection with pending replies ends by itself, as each request ends with its deadline.
--- a/qos_gateway/server/clients/connection_input.py
+++ b/qos_gateway/server/clients/connection_input.py
@@ -16,7 +16,7 @@
 from .deferred_input import DeferredInput, InputPiece
 from .hangup_monitor import HangupMonitor
 from .input_backlog import MIN_HELD_BACK_BYTES, InputBacklog
-from .loop_stalls import LoopStalls
+from .loop_stalls import LoopStallDetector
 from .pending_replies import PendingReply, ReplyConnection, ReplyQueue
 from .receive_times import ReceiveTimes, late_receive_times
 from .socket_protocol import SocketAges
@@ -31,7 +31,7 @@
     """What all connections of clients share."""
 
     time: Callable[[], float]  # s, on the event loop's clock
-    stalls: LoopStalls
+    stall_detector: LoopStallDetector
     call_soon: Callable[[Callable[[], None]], asyncio.Handle]
     requests: RequestHandler
     commands: CommandExecutor
@@ -146,7 +146,7 @@
         """Return since when the socket may not have been read, None if it was read all along."""
         queued_since_s = self._queued_since_s
         if queued_since_s is None:
-            return self._context.stalls.stalled_since_s(now_s)
+            return self._context.stall_detector.stalled_since_s(now_s)
         self._queued_since_s = None
         return queued_since_s
 
--- a/qos_gateway/server/clients/connections.py
+++ b/qos_gateway/server/clients/connections.py
@@ -12,7 +12,7 @@
 from ..config import Config
 from ..networking.transient_errors import retry_transient
 from ..observability.close_reasons import CloseReason
-from .accept_drain import ACCEPT_DRAIN_QUIET_S, AcceptDrain, DrainState
+from .accept_drain import ACCEPT_QUIET_PERIOD_S, ConnectionDrainer, DrainState
 from .buffer_budgets import BufferBudget, StreamBudget
 from .close_guard import CloseGuard
 from .commands import CommandExecutor, RequestHandler
@@ -20,7 +20,7 @@
 from .connection_input import ConnectionContext
 from .hangup_monitor import HangupMonitor
 from .listener import Listener, bound_socket, inherited_socket
-from .loop_stalls import LoopStalls
+from .loop_stalls import LoopStallDetector
 from .request_parser import RequestParser
 from .timeouts import TimeoutChecker
 
@@ -48,7 +48,7 @@
         self.last_connected_at_s = 0.0
         # Past the longest deadline only large values are still written, or commands incomplete.
         longest_deadline_s = max(c.deadline for c in config.settings.classes) / SECOND
-        self._max_drain_s = longest_deadline_s + ACCEPT_DRAIN_QUIET_S
+        self._max_drain_s = longest_deadline_s + ACCEPT_QUIET_PERIOD_S
 
     async def start(self) -> None:
         """Begin to accept connections; raise OSError where the address is in use."""
@@ -58,8 +58,8 @@
         if sock is None:
             self._inherited_descriptor = None
             sock = await retry_transient(self._bind)
-        self._listener = Listener(sock, self._new_connection, self._has_capacity, self.context.stalls)
-        self.context.stalls.start()
+        self._listener = Listener(sock, self._new_connection, self._has_capacity, self.context.stall_detector)
+        self.context.stall_detector.start()
         self.timeout_checker.start()
 
     async def _bind(self) -> socket.socket:
@@ -166,9 +166,9 @@
         """Return whether clients that connect are served."""
         return self.is_listening() and not self.context.drain.is_draining
 
-    def has_waiting_connection(self) -> bool:
+    def has_queued_connection(self) -> bool:
         """Return whether a connection waits to be accepted."""
-        return self._listener is not None and self._listener.has_waiting()
+        return self._listener is not None and self._listener.has_queued_connection()
 
     def stop_listening(self) -> None:
         """Close the listening socket."""
@@ -179,14 +179,14 @@
         """Accept until new connections cease, answer all requests, and close what is idle."""
         owns_socket = self._inherited_descriptor is None
         self.last_connected_at_s = self.time()
-        await AcceptDrain(self, self.context.drain, owns_socket, self._max_drain_s).run()
+        await ConnectionDrainer(self, self.context.drain, owns_socket, self._max_drain_s).run()
         self.abort()
 
     def abort(self) -> None:
         """Close the listening socket and all connections at once."""
         self.timeout_checker.stop()
         self.context.hangup_monitor.close()
-        self.context.stalls.close()
+        self.context.stall_detector.close()
         self.stop_listening()
         for client in self.connections():
             client.abort(CloseReason.SHUTDOWN)
@@ -200,7 +200,7 @@
     buffers = BufferBudget(config.memory_bytes, max_connections)
     return ConnectionContext(
         time=time.monotonic,
-        stalls=LoopStalls(),
+        stall_detector=LoopStallDetector(),
         call_soon=loop.call_soon,
         requests=requests,
         commands=CommandExecutor(RequestParser(config), requests),
--- a/qos_gateway/server/clients/listener.py
+++ b/qos_gateway/server/clients/listener.py
@@ -11,7 +11,7 @@
 
 from ..config import Address
 from ..observability.logs import RateLimitFilter
-from .loop_stalls import LoopStalls
+from .loop_stalls import LoopStallDetector
 
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
@@ -58,7 +58,7 @@
         sock: socket.socket,
         protocol_factory: Callable[[float | None], asyncio.Protocol],
         has_capacity: Callable[[], bool],
-        stalls: LoopStalls,
+        stall_detector: LoopStallDetector,
     ) -> None:
         """Take `protocol_factory` for a connection by the time since which it may have waited, if any."""
         sock.setblocking(False)
@@ -66,14 +66,14 @@
         self._sock = sock
         self._protocol_factory = protocol_factory
         self._has_capacity = has_capacity
-        self._stalls = stalls
+        self._stall_detector = stall_detector
         # Since when connections may wait to be accepted; None while each is accepted as it comes.
         self._queued_since_s: float | None = 0.0  # an inherited socket may have queued some before
         self._loop = asyncio.get_running_loop()
         self._connecting: set[asyncio.Task[None]] = set()  # accepted, and without a protocol yet
-        self._queue = select.poll()
-        self._queue.register(sock.fileno(), select.POLLIN)
-        self._full_since_s: float | None = None  # since when connections wait for capacity
+        self._accept_poll = select.poll()
+        self._accept_poll.register(sock.fileno(), select.POLLIN)
+        self._at_capacity_since_s: float | None = None  # since when connections wait for capacity
         self._resume_timer: asyncio.TimerHandle | None = None
         self.is_open = True
         self._start_accepting()
@@ -88,9 +88,9 @@
         """The number of accepted connections that have no protocol yet."""
         return len(self._connecting)
 
-    def has_waiting(self) -> bool:
+    def has_queued_connection(self) -> bool:
         """Return whether a connection waits to be accepted."""
-        return self.is_open and bool(self._queue.poll(0))
+        return self.is_open and bool(self._accept_poll.poll(0))
 
     def close(self) -> None:
         """Close the socket; the system resets the connections that still wait on it."""
@@ -104,12 +104,12 @@
 
     def _accept_batch(self) -> None:
         for _ in range(ACCEPT_BATCH):
-            if not self.has_waiting():
-                self._full_since_s = None
+            if not self.has_queued_connection():
+                self._at_capacity_since_s = None
                 self._queued_since_s = None
                 return
             if self._has_capacity():
-                self._full_since_s = None
+                self._at_capacity_since_s = None
                 sock = self._accept()
                 if sock is None:
                     return
@@ -122,12 +122,12 @@
             else:
                 self._pause_accepting()
                 return
-        self._note_queue()
+        self._mark_queued()
 
     def _has_queued_too_long(self) -> bool:
         now_s = self._loop.time()
-        self._full_since_s = self._full_since_s or now_s
-        return now_s - self._full_since_s >= MAX_QUEUE_TIME_S
+        self._at_capacity_since_s = self._at_capacity_since_s or now_s
+        return now_s - self._at_capacity_since_s >= MAX_QUEUE_TIME_S
 
     def _accept(self) -> socket.socket | None:
         """Return the connection that has waited longest; None where it could not be accepted."""
@@ -147,7 +147,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         queued_since_s = self._queued_since_s
         if queued_since_s is None:
-            queued_since_s = self._stalls.stalled_since_s(time.monotonic())
+            queued_since_s = self._stall_detector.stalled_since_s(time.monotonic())
         task = self._loop.create_task(self._connect(sock, queued_since_s))
         self._connecting.add(task)
         task.add_done_callback(self._connecting.discard)
@@ -162,12 +162,12 @@
         self._resume_timer = None
         self._loop.add_reader(self._sock.fileno(), self._accept_batch)
 
-    def _note_queue(self) -> None:
+    def _mark_queued(self) -> None:
         """Note that connections may wait from now on."""
         if self._queued_since_s is None:
             self._queued_since_s = time.monotonic()
 
     def _pause_accepting(self) -> None:
-        self._note_queue()
+        self._mark_queued()
         self._loop.remove_reader(self._sock.fileno())
         self._resume_timer = self._loop.call_later(ACCEPT_RETRY_INTERVAL_S, self._start_accepting)
--- a/qos_gateway/server/clients/loop_stalls.py
+++ b/qos_gateway/server/clients/loop_stalls.py
@@ -7,10 +7,10 @@
 
 CHECK_INTERVAL_S = 0.1
 MIN_STALL_S = 0.05  # by which a check is late
-AFTERMATH_S = 0.05  # after a late check, in which bytes are read that came during the stall
+STALL_RECOVERY_S = 0.05  # after a late check, in which bytes are read that came during the stall
 
 
-class LoopStalls:
+class LoopStallDetector:
     """A timer whose lateness shows a stall, also to those who run before the late timer."""
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
             return None
         if now_s - self._checked_at_s >= CHECK_INTERVAL_S + MIN_STALL_S:
             return self._checked_at_s
-        if now_s - self._stall_seen_at_s < AFTERMATH_S:
+        if now_s - self._stall_seen_at_s < STALL_RECOVERY_S:
             return self._stalled_from_s
         return None
 
--- a/qos_gateway/server/clients/socket_protocol.py
+++ b/qos_gateway/server/clients/socket_protocol.py
@@ -12,7 +12,7 @@
 from typing import cast
 
 HALF_CLOSE_TIMEOUT_S = 0.75  # during which bytes are read and discarded after the last reply
-_INT = "i"  # the result type of the ioctl requests below, as `struct` writes it
+_IOCTL_INT_FORMAT = "i"  # the result type of the ioctl requests below, as `struct` writes it
 # Of `struct tcp_info` in linux/tcp.h: eight bytes, then numbers of 32 bits, these two in ms.
 _LAST_DATA_SENT_OFFSET = 44
 _LAST_DATA_RECEIVED_OFFSET = 52
@@ -33,8 +33,8 @@
 
 def _queued_bytes(transport: asyncio.Transport, request: int) -> int:
     descriptor = transport.get_extra_info("socket").fileno()
-    result = fcntl.ioctl(descriptor, request, bytes(struct.calcsize(_INT)))
-    return int(struct.unpack(_INT, result)[0])
+    result = fcntl.ioctl(descriptor, request, bytes(struct.calcsize(_IOCTL_INT_FORMAT)))
+    return int(struct.unpack(_IOCTL_INT_FORMAT, result)[0])
 
 
 def has_unread_bytes(transport: asyncio.Transport) -> bool:
--- a/tests/server/test_client_connections.py
+++ b/tests/server/test_client_connections.py
@@ -55,7 +55,7 @@
     run_on_loop(test)
 
 
-def test_new_connection_is_closed_when_none_is_idle() -> None:
+def test_new_connection_beyond_the_limit_is_closed_when_no_other_is_idle() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             harness.gateway.clients.max_connections = 2
--- a/tests/server/test_connection_ends.py
+++ b/tests/server/test_connection_ends.py
@@ -16,7 +16,7 @@
 from tests.support.gateway_harness import gateway_harness
 
 
-def test_slow_client_gets_all_replies_before_the_end_that_follows_its_protocol_error(
+def test_slow_client_receives_all_replies_before_the_close_after_a_protocol_error(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(client_socket, "HALF_CLOSE_TIMEOUT_S", 0.1)
@@ -48,7 +48,7 @@
     run_on_loop(test)
 
 
-def test_command_whose_rest_lies_unread_does_not_give_way_to_another_connection() -> None:
+def test_connection_with_unread_remainder_of_a_command_is_not_evicted() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             clients = harness.gateway.clients
--- a/tests/server/test_descriptor_limits.py
+++ b/tests/server/test_descriptor_limits.py
@@ -17,7 +17,7 @@
 
 from qos_gateway.server.clients import listener
 from qos_gateway.server.clients.listener import Listener
-from qos_gateway.server.clients.loop_stalls import LoopStalls
+from qos_gateway.server.clients.loop_stalls import LoopStallDetector
 from tests.support.clients import PING, call_command
 from tests.support.configurations import raw_config
 from tests.support.event_loop import LOOPBACK, listening, run_on_loop, wait_until, with_timeout
@@ -27,12 +27,12 @@
 from tests.support.processes import COMMAND
 from tests.support.resp_connection import Connection
 
-DESCRIPTORS = 256
-HALF = b"*4\r\n$8\r\nCALL.GET\r\n$16\r\n0000"
+DESCRIPTOR_LIMIT = 256
+PARTIAL_COMMAND = b"*4\r\n$8\r\nCALL.GET\r\n$16\r\n0000"
 
 
 @asynccontextmanager
-async def limited(folder: Path, raw: dict[str, Any], descriptors: int) -> AsyncIterator[int]:
+async def limited_gateway_process(folder: Path, raw: dict[str, Any], descriptors: int) -> AsyncIterator[int]:
     """A gateway's process with a real limit on its descriptors; its port."""
     path = folder / "config.json"
     path.write_text(json.dumps(raw))
@@ -50,11 +50,11 @@
     while b"listening on" not in (line := await with_timeout(process.stderr.readline())):
         assert line, "ended before it listened"
 
-    async def read_on() -> None:
+    async def discard_stderr() -> None:
         while await process.stderr.readline():  # type: ignore[union-attr]
             pass
 
-    reading = asyncio.create_task(read_on())
+    discarding = asyncio.create_task(discard_stderr())
     try:
         yield int(line.rsplit(b":", 1)[1])
         assert process.returncode is None
@@ -64,7 +64,7 @@
         if process.returncode is None:
             process.kill()
         await process.wait()
-        reading.cancel()
+        discarding.cancel()
 
 
 async def idle_client(port: int, data: bytes, reconnects: bool) -> None:
@@ -85,10 +85,10 @@
 
 @pytest.mark.parametrize(
     ("data", "reconnects"),
-    [(PING, False), (PING, True), (b"", True), (HALF, True)],
-    ids=["idle", "reconnecting", "no command", "half a command"],
+    [(PING, False), (PING, True), (b"", True), (PARTIAL_COMMAND, True)],
+    ids=["idle", "reconnecting", "no command", "partial command"],
 )
-def test_idle_clients_that_fill_the_descriptors_while_discovery_is_down_keep_nobody_out(
+def test_idle_clients_at_the_descriptor_limit_do_not_block_other_connections(
     data: bytes, reconnects: bool, tmp_path: Path
 ) -> None:
     """Once discovery is back, it, the counter and a new endpoint are connected to, and a new client is served
@@ -111,8 +111,8 @@
                 familyInfo__counterTimeout=50_000_000,
                 limits__peerMessages=False,
             )
-            raw |= {"limits": {"sockets": DESCRIPTORS}, "counter": f"{LOOPBACK}:{counter_port}"}
-            async with limited(tmp_path, raw, DESCRIPTORS) as port:
+            raw |= {"limits": {"sockets": DESCRIPTOR_LIMIT}, "counter": f"{LOOPBACK}:{counter_port}"}
+            async with limited_gateway_process(tmp_path, raw, DESCRIPTOR_LIMIT) as port:
                 discovery.close()
                 agent.abort()
                 idle_clients = [asyncio.create_task(idle_client(port, data, reconnects)) for _ in range(400)]
@@ -135,14 +135,14 @@
     run_on_loop(test)
 
 
-def test_process_at_its_limit_of_descriptors_lives_on_and_serves_again(tmp_path: Path) -> None:
+def test_process_recovers_after_accept_fails_at_the_descriptor_limit(tmp_path: Path) -> None:
     """The limit is lower than the configuration says: to accept fails."""
 
     async def test() -> None:
         agent, endpoint = FakeDiscovery(), FakeEndpoint()
         async with listening(agent), listening(endpoint):
             agent.first_update = endpoint_list(1, endpoint_entry("s-1", endpoint.port))
-            async with limited(tmp_path, raw_config(agent.port), 40) as port:
+            async with limited_gateway_process(tmp_path, raw_config(agent.port), 40) as port:
                 idle_clients = [
                     Connection(*await with_timeout(asyncio.open_connection(LOOPBACK, port)))
                     for _ in range(60)
@@ -159,7 +159,7 @@
     run_on_loop(test)
 
 
-class SocketWithoutDescriptors(socket.socket):
+class FailingAcceptSocket(socket.socket):
     """A listening socket whose first calls of `accept` fail, as the process has no descriptor left."""
 
     failing_calls = 0
@@ -172,10 +172,10 @@
         return super().accept()
 
 
-class RecordedProtocol(asyncio.Protocol):
+class RecordingProtocol(asyncio.Protocol):
     """Adds itself to a list once it is connected."""
 
-    def __init__(self, connected: list[RecordedProtocol]) -> None:
+    def __init__(self, connected: list[RecordingProtocol]) -> None:
         self.connected = connected
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -184,13 +184,13 @@
 
 
 @pytest.mark.parametrize("has_capacity", [True, False])
-def test_accept_without_room_or_descriptors_pauses_and_goes_on(
+def test_accepting_pauses_and_resumes_without_capacity_or_descriptors(
     has_capacity: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(listener, "ACCEPT_RETRY_INTERVAL_S", 0.05)
 
     async def test() -> None:
-        connected = list[RecordedProtocol]()
+        connected = list[RecordingProtocol]()
         capacity_checks = 0
         capacity_left = has_capacity
 
@@ -199,22 +199,24 @@
             capacity_checks += 1
             return capacity_left
 
-        with SocketWithoutDescriptors() as sock:
+        with FailingAcceptSocket() as sock:
             sock.bind((LOOPBACK, 0))
             sock.failing_calls = 3 * has_capacity
-            accepting = Listener(sock, lambda _: RecordedProtocol(connected), check_capacity, LoopStalls())
+            gateway_listener = Listener(
+                sock, lambda _: RecordingProtocol(connected), check_capacity, LoopStallDetector()
+            )
             waiting = [
-                await with_timeout(asyncio.open_connection(LOOPBACK, accepting.port)) for _ in range(3)
+                await with_timeout(asyncio.open_connection(LOOPBACK, gateway_listener.port)) for _ in range(3)
             ]
-            turns = 0
+            loop_turns = 0
             while capacity_checks < 3:
-                turns += 1
+                loop_turns += 1
                 await asyncio.sleep(0)
             assert not connected
-            assert turns > 20
+            assert loop_turns > 20
             capacity_left = True
-            await wait_until(lambda: len(connected) == 3 and accepting.connecting_count == 0)
-            accepting.close()
+            await wait_until(lambda: len(connected) == 3 and gateway_listener.connecting_count == 0)
+            gateway_listener.close()
             for _, writer in waiting:
                 writer.close()
             for protocol in connected:
@@ -223,16 +225,18 @@
     run_on_loop(test)
 
 
-def test_what_waits_without_room_for_long_is_shut_unread(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connection_queued_too_long_without_capacity_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     """The time of the requests in it runs out; their clients can connect elsewhere."""
     monkeypatch.setattr(listener, "MAX_QUEUE_TIME_S", 0.03)
 
     async def test() -> None:
         with socket.create_server((LOOPBACK, 0)) as sock:
-            accepting = Listener(sock, lambda _: RecordedProtocol([]), lambda: False, LoopStalls())
-            reader, writer = await with_timeout(asyncio.open_connection(LOOPBACK, accepting.port))
+            gateway_listener = Listener(
+                sock, lambda _: RecordingProtocol([]), lambda: False, LoopStallDetector()
+            )
+            reader, writer = await with_timeout(asyncio.open_connection(LOOPBACK, gateway_listener.port))
             assert await with_timeout(reader.read()) == b""
-            accepting.close()
+            gateway_listener.close()
             writer.close()
 
     run_on_loop(test)
--- a/tests/server/test_graceful_shutdown.py
+++ b/tests/server/test_graceful_shutdown.py
@@ -29,8 +29,8 @@
 
 
 @pytest.fixture
-def listener_closes_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(accept_drain, "ACCEPT_DRAIN_QUIET_S", 0.0)
+def no_quiet_period(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(accept_drain, "ACCEPT_QUIET_PERIOD_S", 0.0)
 
 
 def test_draining_gateway_closes_a_busy_connection_after_its_response() -> None:
@@ -48,7 +48,7 @@
     run_on_loop(test)
 
 
-@pytest.mark.usefixtures("listener_closes_at_once")
+@pytest.mark.usefixtures("no_quiet_period")
 def test_request_that_outlasts_the_drain_is_answered() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -65,7 +65,7 @@
     run_on_loop(test)
 
 
-@pytest.mark.usefixtures("listener_closes_at_once")
+@pytest.mark.usefixtures("no_quiet_period")
 def test_connection_accepted_just_before_the_drain_is_served_even_if_its_protocol_connects_late(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -95,7 +95,7 @@
     run_on_loop(test)
 
 
-@pytest.mark.usefixtures("listener_closes_at_once")
+@pytest.mark.usefixtures("no_quiet_period")
 def test_incomplete_command_is_answered_and_not_reset_at_the_end() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -118,8 +118,8 @@
     run_on_loop(test)
 
 
-@pytest.mark.usefixtures("listener_closes_at_once")
-def test_request_that_arrives_during_the_drain_ends_before_the_platform_kills(
+@pytest.mark.usefixtures("no_quiet_period")
+def test_request_that_arrives_during_the_drain_ends_before_the_kill_deadline(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """On a connection that is never idle, a request may arrive late and have a long deadline."""
--- a/tests/server/test_late_reads.py
+++ b/tests/server/test_late_reads.py
@@ -13,7 +13,7 @@
 from qos_gateway.server.clients import loop_stalls
 from qos_gateway.server.clients.connection import ClientConnection
 from qos_gateway.server.clients.connection_input import MAX_PIPELINED
-from qos_gateway.server.clients.loop_stalls import LoopStalls
+from qos_gateway.server.clients.loop_stalls import LoopStallDetector
 from qos_gateway.server.clients.receive_times import ReceiveTimes, late_receive_times
 from qos_gateway.server.clients.socket_protocol import SocketAges, socket_ages
 from qos_gateway.units import SECOND
@@ -102,7 +102,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What the client's system held back comes after the first read, and later than the stall is noted."""
-    monkeypatch.setattr(loop_stalls, "AFTERMATH_S", 0.0)
+    monkeypatch.setattr(loop_stalls, "STALL_RECOVERY_S", 0.0)
     monkeypatch.setattr(ClientConnection, "unread_bytes", lambda _: 0)  # each read empties the socket
     count = 40
     commands = b"".join(call_command("submit", number=n, body=b"B" * 4_000) for n in range(count))
@@ -126,7 +126,7 @@
     monkeypatch.setattr(loop_stalls, "CHECK_INTERVAL_S", 0.05)
 
     async def test() -> None:
-        stalls = LoopStalls()
+        stalls = LoopStallDetector()
         stalls.start()
         await asyncio.sleep(0.2)
         assert stalls.stalled_since_s(time.monotonic()) is None
--- a/tests/server/test_periodic_checks.py
+++ b/tests/server/test_periodic_checks.py
@@ -13,12 +13,12 @@
 from tests.support.gateway_harness import gateway_harness
 
 
-def fail(*_: Any) -> None:
-    raise OSError("for a moment")
+def raise_transient_error(*_: Any) -> None:
+    raise OSError("transient error")
 
 
-@pytest.mark.parametrize("owner", ["clients", "backends", "counter", "hangup monitor"])
-def test_a_check_that_fails_is_made_again(owner: str, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("owner", ["clients", "endpoint connections", "counter", "hangup monitor"])
+def test_check_stays_scheduled_after_it_fails(owner: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """A time-out that nobody looks for any more would hold connections, memory and requests for good."""
 
     async def test() -> None:
@@ -37,7 +37,7 @@
             assert gateway.counter is not None
             checked: Any = {
                 "clients": gateway.clients.timeout_checker,
-                "backends": gateway.endpoint_connections,
+                "endpoint connections": gateway.endpoint_connections,
                 "counter": gateway.counter,
                 "hangup monitor": gateway.clients.context.hangup_monitor,
             }[owner]
@@ -45,16 +45,16 @@
                 checked.set_watched(client, True)
             name, check = {
                 "clients": ("_timer", "check"),
-                "backends": ("_sweep_timer", "_sweep"),
+                "endpoint connections": ("_sweep_timer", "_sweep"),
                 "counter": ("_check_timer", "_check"),
                 "hangup monitor": ("_timer", "_check"),
             }[owner]
-            monkeypatch.setattr(client_timeouts, "enforce_timeouts", fail)
-            monkeypatch.setattr(gateway.endpoint_connections.keep_alive, "decay", fail)
-            monkeypatch.setattr(gateway.counter._connections, "check", fail)
-            monkeypatch.setattr(type(client), "has_hung_up", fail)
+            monkeypatch.setattr(client_timeouts, "enforce_timeouts", raise_transient_error)
+            monkeypatch.setattr(gateway.endpoint_connections.keep_alive, "decay", raise_transient_error)
+            monkeypatch.setattr(gateway.counter._connections, "check", raise_transient_error)
+            monkeypatch.setattr(type(client), "has_hung_up", raise_transient_error)
             getattr(checked, name).cancel()
-            with pytest.raises(OSError, match="for a moment"):
+            with pytest.raises(OSError, match="transient error"):
                 getattr(checked, check)()
             timer = getattr(checked, name)
             assert timer is not None
--- a/tests/server/test_process.py
+++ b/tests/server/test_process.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from qos_gateway.server.clients.accept_drain import ACCEPT_DRAIN_QUIET_S
+from qos_gateway.server.clients.accept_drain import ACCEPT_QUIET_PERIOD_S
 from tests.support.clients import PING, call_command
 from tests.support.configurations import nested_settings, raw_config
 from tests.support.event_loop import LOOPBACK, listening, run_on_loop, wait_until, with_timeout
@@ -65,7 +65,7 @@
             late = await p.client()
             late.send(call_command())
             await with_timeout(late.writer.drain())
-            await asyncio.sleep(ACCEPT_DRAIN_QUIET_S + 0.1)  # after which it would close its listener
+            await asyncio.sleep(ACCEPT_QUIET_PERIOD_S + 0.1)  # after which it would close its listener
             p.process.send_signal(signal.SIGCONT)
             connection, _ = await p.endpoint.next_command()
             connection.send(success_reply(b"v"))
