--- a/qos_gateway/server/clients/__init__.py
+++ b/qos_gateway/server/clients/__init__.py
@@ -1,4 +1,4 @@
-"""The client side of the gateway, a RESP server: connections, commands, and their replies."""
+"""The client-facing side of the gateway, a RESP server: connections, commands and replies."""
 
 from __future__ import annotations
 
@@ -6,5 +6,6 @@
 
 from ..observability.logs import RateLimitFilter
 
-log = logging.getLogger(__name__)  # shared by the modules that log faults of clients: one limit for all
+# Shared by the modules that log client errors, so that one rate limit covers them all.
+log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
--- a/qos_gateway/server/clients/accept_drain.py
+++ b/qos_gateway/server/clients/accept_drain.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown of the client side: connections are accepted for a short time, then all are drained."""
+"""Graceful shutdown of the client side: keeps accepting for a short time, then drains all connections."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 from ..observability.close_reasons import CloseReason
 
-ACCEPT_QUIET_PERIOD_S = 0.5  # without a new connection; the load balancer in front needs 0.4 s to notice
-MAX_ACCEPT_PERIOD_S = 0.9  # as some clients connect without regard to the load balancer
-FIRST_COMMAND_GRACE_S = 0.5  # within which a new client may still send its first command
+ACCEPT_QUIET_PERIOD_S = 0.5  # without a new connection; the load balancer takes 0.4 s to notice the shutdown
+MAX_ACCEPT_PERIOD_S = 0.9  # bounds the wait, as some clients bypass the load balancer and keep connecting
+FIRST_COMMAND_GRACE_S = 0.5  # for a new client to send its first command
 DRAIN_CHECK_INTERVAL_S = 0.02
 
 
 class DrainState:
-    """How far the graceful shutdown has come; changed by `ConnectionDrainer`."""
+    """Progress of the graceful shutdown; updated by `ConnectionDrainer`."""
 
     __slots__ = ("closes_idle", "is_draining")
 
     def __init__(self) -> None:
         self.is_draining = False  # the process is stopping
-        self.closes_idle = False  # connections are closed as soon as they are idle
+        self.closes_idle = False  # connections are closed as soon as they become idle
 
 
 class DrainedConnection(Protocol):
-    """What the shutdown needs of a connection."""
+    """The part of a connection that the shutdown uses."""
 
     @property
     def has_sent_command(self) -> bool:
@@ -33,20 +33,20 @@
 
     @property
     def idle_since_s(self) -> float:
-        """The time in seconds at which the connection was opened, or last became idle."""
+        """The time in seconds at which the connection was opened or last became idle."""
 
     def is_idle(self) -> bool:
-        """Return whether it may be closed without loss."""
+        """Return whether it can be closed without losing a command or a reply."""
 
     def close(self, reason: CloseReason) -> None:
-        """Close once all replies are written."""
+        """Close once the written replies are sent."""
 
     def reject_partial_command(self) -> None:
-        """Reply to an incomplete command, and execute no further one."""
+        """Reply with an error to an incomplete command, and execute no further commands."""
 
 
 class DrainedClients(Protocol):
-    """What the shutdown needs of the client side."""
+    """The part of the client side that the shutdown uses."""
 
     @property
     def last_connected_at_s(self) -> float:
@@ -62,7 +62,7 @@
         """Close the listening socket."""
 
     def has_queued_connection(self) -> bool:
-        """Return whether a connection waits to be accepted."""
+        """Return whether the accept queue holds a connection."""
 
     def has_connections(self) -> bool:
         """Return whether any connection is open."""
@@ -72,10 +72,11 @@
 
 
 class ConnectionDrainer:
-    """Stops accepting, then closes each connection once it is idle.
+    """Stops accepting connections, then closes each open one once it is idle.
 
-    A listening socket that the platform holds is closed at once: the next process accepts what waits on it.
-    A socket of this process stays open until no new connection arrives for `ACCEPT_QUIET_PERIOD_S`.
+    A listening socket inherited from the platform is closed at once: the next process accepts the connections
+    in its queue. A socket that this process created stays open until no new connection has arrived for
+    `ACCEPT_QUIET_PERIOD_S`, or for at most `MAX_ACCEPT_PERIOD_S` plus the time to empty its queue.
     """
 
     def __init__(
@@ -85,16 +86,16 @@
         self._clients = clients
         self._state = state
         self._owns_socket = owns_socket
-        # From then on idle connections are closed.
+        # Idle connections are closed from this time on.
         self._closing_from_s = now_s + ACCEPT_QUIET_PERIOD_S if owns_socket else now_s
         self._accept_until_s = now_s + MAX_ACCEPT_PERIOD_S if owns_socket else now_s
-        # From then on incomplete commands get a reply, and their connections end.
+        # Incomplete commands are rejected and their connections closed from this time on.
         self._finish_from_s = self._closing_from_s + max_drain_s
 
     async def run(self) -> None:
-        """Return once the listening socket is closed and no connection is left.
+        """Return once the listening socket is closed and no connection is open.
 
-        Clients with open requests keep their connections: each request ends with its deadline.
+        Clients with open requests keep their connections, as each request ends by its deadline.
         """
         self._state.is_draining = True
         clients = self._clients
@@ -113,7 +114,7 @@
         return now_s >= min(self._accept_until_s, self._clients.last_connected_at_s + ACCEPT_QUIET_PERIOD_S)
 
     def _stop_listening(self) -> None:
-        """Close the listening socket, but not while connections wait to be accepted: they would be reset."""
+        """Close the listening socket, unless that would reset connections in its accept queue."""
         if not (self._owns_socket and self._clients.has_queued_connection()):
             self._clients.stop_listening()
 
--- a/qos_gateway/server/clients/close_guard.py
+++ b/qos_gateway/server/clients/close_guard.py
@@ -1,4 +1,4 @@
-"""The guard of closing: a client's connection ends only when all that was read from it has been answered."""
+"""Checks that the gateway closes a client's connection only after replying to every command it has read."""
 
 from __future__ import annotations
 
@@ -13,18 +13,21 @@
 
 
 class CloseGuard:
-    """Counts why connections of clients end, and reports those that end with requests unanswered."""
+    """Counts closed client connections by reason, and reports those closed with requests unanswered."""
 
     def __init__(
         self, monitor: InvariantMonitor, metrics: Metrics, client_id: Callable[[int], bytes]
     ) -> None:
-        """Take `client_id` to return the client's id of an open request by its number."""
+        """`client_id` returns the id that the client gave an open request, by the request's number."""
         self._monitor = monitor
         self._metrics = metrics
         self._client_id = client_id
 
     def check(self, reason: CloseReason, unanswered: Sequence[int], has_deferred_input: bool) -> None:
-        """Log a connection that is about to end; report what the gateway leaves unanswered."""
+        """Log a connection that is about to close, and report requests that the gateway leaves unanswered.
+
+        Nothing is reported if the client caused the close, as no reply could reach it.
+        """
         request_ids = [self._client_id(number) for number in unanswered]
         _log_close(reason, request_ids)
         if reason in CLIENT_CAUSED:
@@ -35,12 +38,12 @@
             self._monitor.report(Invariant.CLOSE, f"unread_commands_{reason.value}")
 
     def connection_ended(self, reason: CloseReason) -> None:
-        """Count the end of a connection."""
+        """Count a closed connection."""
         self._metrics.client_closes[reason] += 1
 
 
 def _log_close(reason: CloseReason, unanswered: Sequence[bytes]) -> None:
-    """Log the end of a connection at debug level, as there is one for each client."""
+    """Log a closed connection, at debug level because every client causes one such line."""
     if log.isEnabledFor(logging.DEBUG):
         log.debug(
             "client_closed reason=%s unanswered=%s",
--- a/qos_gateway/server/clients/connection.py
+++ b/qos_gateway/server/clients/connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: its states, its replies, and its end."""
+"""A client's connection: its states, its replies and how it closes."""
 
 from __future__ import annotations
 
@@ -20,31 +20,31 @@
     unread_bytes,
 )
 
-SHUTDOWN_REPLY = b"-BUSY\r\n"  # to a command that is incomplete at the end of a drain
+SHUTDOWN_REPLY = b"-BUSY\r\n"  # to a command that is still incomplete at the end of a drain
 
 
 class ConnectionObserver(Protocol):
-    """Is notified of the connections that open and close, and of their commands."""
+    """Is notified when a connection opens or closes, and of each command."""
 
     def connection_opened(self, client: ClientConnection, /) -> None:
-        """Note a connection that was opened."""
+        """Handle a connection that was opened."""
 
     def command_received(self, client: ClientConnection, /) -> None:
-        """Note that a client has sent a complete command."""
+        """Handle a complete command from a client."""
 
     def connection_closed(self, client: ClientConnection, /) -> None:
-        """Note a connection that was closed."""
+        """Handle a connection that was closed."""
 
 
 class ClientConnection(ClientSocketProtocol):
     """One client's connection, in one of these states.
 
-    Idle: it may be closed without loss.
+    Idle: it can be closed without losing a command or a reply.
     Partial: a command is incomplete, and no reply is pending.
     Awaiting replies: a command has no reply yet, or input is deferred.
-    Blocked: the client does not accept its replies, so nothing is read from it.
-    Ending: its input is closed, and pending replies are still written.
-    Half closed: all replies are written after its input was closed.
+    Blocked: the write buffer is full because the client does not read, so its input is not read either.
+    Ending: the input is closed, and pending replies are still being written.
+    Half closed: the input is closed, and all replies have been written.
     """
 
     __slots__ = (
@@ -60,18 +60,18 @@
     def __init__(
         self, observer: ConnectionObserver, context: ConnectionContext, queued_since_s: float | None = None
     ) -> None:
-        """Take the earliest time at which the client can have connected, if the accept may have been late."""
+        """`queued_since_s` is the earliest time at which the client can have connected, if accepted late."""
         super().__init__()
         self._queued_since_s = queued_since_s
         self._observer = observer
         self._context = context
-        self._replies: ReplyQueue  # from `connection_made` on
-        self.input: ConnectionInput  # from `connection_made` on
-        self._close_reason: CloseReason | None = None  # None until the gateway closes it
-        self.idle_since_s = context.time()  # when it was opened, or last became idle
+        self._replies: ReplyQueue  # set by `connection_made`
+        self.input: ConnectionInput  # set by `connection_made`
+        self._close_reason: CloseReason | None = None  # None until it is closed
+        self.idle_since_s = context.time()  # when it was opened or last became idle
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Build the parts that need the transport, and notify the listener."""
+        """Create the parts that need the transport, and notify the observer."""
         super().connection_made(transport)
         context = self._context
         self._replies = ReplyQueue(self._transport, context.buffers, context.streams)
@@ -81,7 +81,10 @@
         self._observer.connection_opened(self)
 
     def _connected_at_s(self) -> float:
-        """Return when the client connected, if nothing was sent to it yet; now, if that is not known."""
+        """Return when the client connected; the current time if the system does not report it.
+
+        Valid only before anything was sent to the client.
+        """
         ages = self.socket_ages()
         return self._context.time() - (0.0 if ages is None else ages.last_sent_s)
 
@@ -90,11 +93,11 @@
         self.input.receive(self, data)
 
     def command_received(self) -> None:
-        """Notify the listener of a complete command."""
+        """Notify the observer of a complete command."""
         self._observer.command_received(self)
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - asyncio names it
-        """Report the client's open requests as abandoned."""
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - signature of asyncio.Protocol
+        """Report the closed connection, and that the client of its open requests has disconnected."""
         close_guard = self._context.close_guard
         if self._close_reason is None:
             self._close_reason = CloseReason.CLIENT_CLOSED
@@ -108,7 +111,10 @@
     # States.
 
     def is_idle(self) -> bool:
-        """Return whether it may be closed without loss: written replies still go out after a close."""
+        """Return whether it can be closed without losing a command or a reply.
+
+        Replies already written need no wait: the transport still sends them after a close.
+        """
         client_input = self.input
         busy = (
             self.is_awaiting_replies()
@@ -128,18 +134,18 @@
         return self.input.has_sent_command
 
     def is_receiving_command(self) -> bool:
-        """Return whether a command is incomplete and its remainder is parsed as it arrives."""
+        """Return whether a command is incomplete and its remainder would be parsed on arrival."""
         return bool(self.input.reader.partial_since_s) and self.is_reading and not self.input.deferred
 
     def command_age_s(self, now_s: float) -> float:
-        """Return the seconds for which the client has been sending its incomplete command.
+        """Return for how many seconds the client has been sending its incomplete command.
 
-        They count from connecting on where the command is the client's first.
+        For the first command this is measured from when the client connected.
         """
         return now_s - (self.input.reader.partial_since_s if self.has_sent_command else self.idle_since_s)
 
     def partial_command_age_s(self, now_s: float) -> float:
-        """Return the seconds since an incomplete command began; 0 where replies are pending."""
+        """Return the seconds since an incomplete command began; 0 if replies are pending or there is none."""
         partial_since_s = self.input.reader.partial_since_s
         if not partial_since_s or self._replies.pending or self.input.is_closed:
             return 0.0
@@ -150,15 +156,15 @@
         return self._replies.is_value_in_flow()
 
     def unread_bytes(self) -> int:
-        """Return how many bytes the open socket holds that were not read."""
+        """Return how many received bytes wait in the socket; 0 if it is closing."""
         return 0 if self._transport.is_closing() else unread_bytes(self._transport)
 
     def socket_ages(self) -> SocketAges | None:
-        """Return the ages of the open socket's data; None where the system does not report them."""
+        """Return the ages of the socket's data; None if it is closing or the system does not report them."""
         return None if self._transport.is_closing() else socket_ages(self._transport)
 
     def has_unread_bytes(self) -> bool:
-        """Return whether the open socket holds bytes that were not read."""
+        """Return whether received bytes wait in the socket."""
         return self.unread_bytes() != 0
 
     def _resume_input(self) -> None:
@@ -167,7 +173,7 @@
     # Replies.
 
     def reply(self, pending_reply: PendingReply, reply: bytes) -> None:
-        """Reply to a command; the reply is written after all that precede it on this connection."""
+        """Reply to a command; the reply is written after those of all earlier commands."""
         if not self._replies.write(pending_reply, reply):
             return
         if not self.blocked:
@@ -184,17 +190,20 @@
         elif self.input.is_held_back(self):
             self._context.call_soon(self._resume_input)
         elif self._context.drain.closes_idle and self.is_idle():
-            # The periodic check of a drain would hardly ever find a busy client idle.
+            # The periodic check of the drain would rarely find a busy client idle.
             self.close(CloseReason.DRAINED)
 
     def start_stream(self, pending_reply: PendingReply, length: int, flow: FlowControl) -> StreamedReply:
-        """Begin a reply that is a large value of `length` bytes."""
+        """Start a streamed reply, a large value of `length` bytes."""
         stream = self._replies.start_stream(pending_reply, length, flow)
         self.start_next_stream()
         return stream
 
     def start_next_stream(self) -> None:
-        """Start to write the first large value where that is due, considering the commands behind it."""
+        """Start writing the first pending reply if it is a large value that is due.
+
+        With commands behind it, that is only when the buffer budget is exhausted.
+        """
         client_input = self.input
         has_commands_behind = (
             len(self._replies.pending) > 1 or client_input.deferred or client_input.reader.is_midway
@@ -203,9 +212,9 @@
             client_input.update_reading(self)
 
     def abort_stream(self, pending_reply: PendingReply, reply: bytes) -> None:
-        """End a large value that stays incomplete; reply with `reply` if nothing of it was written.
+        """End a large value that cannot be completed; send `reply` instead if none of it was written.
 
-        Otherwise the connection is closed, and the commands behind it get no reply.
+        Otherwise the connection is closed, and later commands on it get no reply.
         """
         if not self._replies.abort_stream(pending_reply):
             self.reply(pending_reply, reply)
@@ -215,35 +224,36 @@
         self.close(CloseReason.VALUE_ABORTED)
 
     def pause_writing(self) -> None:
-        """Stop reading from the client, and from the endpoint whose value is being written."""
+        """Stop reading from the client, and from the endpoint whose value is being streamed."""
         self._write_progress.block(self._context.time(), unacknowledged_bytes(self._transport))
         self.input.update_reading(self)
         self._replies.set_stream_paused(True)
 
     def resume_writing(self) -> None:
-        """Resume reading."""
+        """Resume reading from the client and the endpoint."""
         self._write_progress.unblock()
         self._replies.release_written()
         self._replies.set_stream_paused(False)
         self.input.resume(self)
 
-    # The end of the connection.
+    # Closing.
 
     def fail(self, reason: str) -> None:
-        """Close the input after a protocol error; commands before the error still get their replies."""
+        """Reply with a protocol error and close the input; earlier commands still get their replies."""
         log.warning("client_protocol_error error=%s", reason)
         self._reply_and_end(error_reply(f"Protocol error: {reason}"))
 
     def reject_partial_command(self) -> None:
-        """Reply to an incomplete command at the end of a drain, and execute no further one.
+        """Reply with BUSY to an incomplete command at the end of a drain, and execute no further commands.
 
-        A connection with pending replies ends by itself, as each request ends with its deadline.
+        A connection with pending replies is left alone: each request ends by its deadline, and then the
+        connection is closed.
         """
         if not (self.is_awaiting_replies() or self.input.is_closed or self._transport.is_closing()):
             self._reply_and_end(SHUTDOWN_REPLY)
 
     def _reply_and_end(self, reply: bytes) -> None:
-        """Close the input, and half-close the connection after this reply."""
+        """Close the input, and half-close the connection after this last reply."""
         self.input.reader.stop_timeout()
         self.input.close()
         pending_reply = PendingReply(self)
@@ -252,7 +262,7 @@
         self.reply(pending_reply, reply)
 
     def close(self, reason: CloseReason) -> None:
-        """Close once all replies are written."""
+        """Close once the written replies are sent."""
         self._note_close(reason)
         self._transport.close()
 
@@ -262,7 +272,7 @@
         self._transport.abort()
 
     def _note_close(self, reason: CloseReason) -> None:
-        """Keep the first reason, and have the guard check for commands without a reply."""
+        """Record the first reason, and check for commands without a reply."""
         if self._close_reason is None and not self._transport.is_closing():
             self._close_reason = reason
             has_deferred_input = bool(self.input.deferred)
--- a/qos_gateway/server/clients/connections.py
+++ b/qos_gateway/server/clients/connections.py
@@ -1,4 +1,4 @@
-"""All connections of clients: accepting, limiting, evicting and draining them."""
+"""The set of client connections: accepting, limiting, evicting and draining them."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 from .request_parser import RequestParser
 from .timeouts import TimeoutChecker
 
-SCARCE_FRACTION = 0.75  # of the limit on connections, above which they are scarce
-MIN_IDLE_BEFORE_EVICTION_S = 0.1  # since a connection was opened, or last became idle
+SCARCE_FRACTION = 0.75  # of the connection limit; above it, idle connections are closed sooner
+MIN_IDLE_BEFORE_EVICTION_S = 0.1  # since a connection was opened or last became idle
 MIN_PARTIAL_BEFORE_EVICTION_S = 0.25  # since an incomplete command began
 
 
@@ -38,20 +38,20 @@
         self.context = _build_context(config, requests, max_connections, close_guard)
         self._configured_max_connections = max_connections
         self.max_connections = max_connections
-        # Both in the order of the times at which they became idle, the earliest first.
-        self._connections: dict[ClientConnection, None] = {}  # whose clients have sent a complete command
-        self._new_connections: dict[ClientConnection, None] = {}  # whose clients have not
+        # Both are in eviction order, the least recently active connection first.
+        self._connections: dict[ClientConnection, None] = {}  # at least one complete command received
+        self._new_connections: dict[ClientConnection, None] = {}  # no complete command received yet
         self.timeout_checker = TimeoutChecker(self)
         self._address = config.listen
         self._inherited_descriptor = config.inherited_descriptor
         self._listener: Listener | None = None
         self.last_connected_at_s = 0.0
-        # Past the longest deadline only large values are still written, or commands incomplete.
+        # After the longest deadline only large values being written and incomplete commands remain.
         longest_deadline_s = max(c.deadline for c in config.settings.classes) / SECOND
         self._max_drain_s = longest_deadline_s + ACCEPT_QUIET_PERIOD_S
 
     async def start(self) -> None:
-        """Begin to accept connections; raise OSError where the address is in use."""
+        """Start accepting connections; raise OSError if the address is in use."""
         sock = None
         if self._inherited_descriptor is not None:
             sock = inherited_socket(self._inherited_descriptor)
@@ -80,9 +80,9 @@
     # Limits.
 
     def limit(self, max_connections: int | None, memory_fraction: float) -> None:
-        """Limit connections, and buffers to a fraction, while another process uses the remainder.
+        """Limit connections, and buffers to a fraction, while another process uses the rest.
 
-        None means the configured limit.
+        `max_connections` of None restores the configured limit.
         """
         self.max_connections = self._configured_max_connections
         if max_connections is not None:
@@ -90,11 +90,11 @@
         self.context.buffers.limit(memory_fraction)
 
     def are_scarce(self) -> bool:
-        """Return whether most of the connections that may be open are open."""
+        """Return whether the number of connections is close to its limit."""
         return self.connection_count() > SCARCE_FRACTION * self.max_connections
 
     def _has_capacity(self) -> bool:
-        """Return whether one more connection can be accepted, after evicting another one if need be."""
+        """Return whether one more connection can be accepted, evicting another one if necessary."""
         if self.connection_count() + self._connecting_count() < self.max_connections:
             return True
         client = next(self._evictable(self.time()), None)
@@ -107,8 +107,8 @@
     def _evictable(self, now_s: float) -> Iterator[ClientConnection]:
         """Yield idle connections, then those with an incomplete command, in the order of eviction.
 
-        Connections that were opened or became idle just now are not evicted: clients that reconnect again
-        and again would otherwise leave the others no time to send a command.
+        Connections that were opened or became idle only just now are exempt. Otherwise clients that reconnect
+        in a loop would evict others before these can send a command.
         """
         clients = self.connections()
         for client in clients:
@@ -116,13 +116,13 @@
                 yield client
         for client in clients:
             is_old = client.partial_command_age_s(now_s) >= MIN_PARTIAL_BEFORE_EVICTION_S
-            if is_old and not client.has_unread_bytes():  # they may complete the command
+            if is_old and not client.has_unread_bytes():  # which may complete the command
                 yield client
 
     # The set of connections.
 
     def connections(self) -> list[ClientConnection]:
-        """Return all connections, first those without a command, each group the longest idle first."""
+        """Return all connections: first those without a command, each group least recently active first."""
         return [*self._new_connections, *self._connections]
 
     def connection_count(self) -> int:
@@ -130,11 +130,11 @@
         return len(self._connections) + len(self._new_connections)
 
     def _connecting_count(self) -> int:
-        """Count the connections that are accepted and have no protocol yet."""
+        """Count the accepted connections whose asyncio protocol is not set up yet."""
         return 0 if self._listener is None else self._listener.connecting_count
 
     def has_connections(self) -> bool:
-        """Return whether any connection is open, with a protocol or without one."""
+        """Return whether any connection is open or being set up."""
         return bool(self.connection_count() + self._connecting_count())
 
     def connection_opened(self, client: ClientConnection) -> None:
@@ -143,7 +143,7 @@
         self._new_connections[client] = None
 
     def command_received(self, client: ClientConnection) -> None:
-        """Make a connection the last to be evicted: its client has sent a complete command."""
+        """Make a connection the last to be evicted, as its client has sent a complete command."""
         if client in self._new_connections:
             del self._new_connections[client]
         else:
@@ -151,7 +151,7 @@
         self._connections[client] = None
 
     def connection_closed(self, client: ClientConnection) -> None:
-        """Forget a connection."""
+        """Remove a closed or evicted connection."""
         self.context.hangup_monitor.discard(client)
         self._new_connections.pop(client, None)
         self._connections.pop(client, None)
@@ -163,11 +163,11 @@
         return self._listener is not None and self._listener.is_open
 
     def is_accepting(self) -> bool:
-        """Return whether clients that connect are served."""
+        """Return whether the gateway is listening and not shutting down."""
         return self.is_listening() and not self.context.drain.is_draining
 
     def has_queued_connection(self) -> bool:
-        """Return whether a connection waits to be accepted."""
+        """Return whether the accept queue holds a connection."""
         return self._listener is not None and self._listener.has_queued_connection()
 
     def stop_listening(self) -> None:
@@ -176,7 +176,7 @@
             self._listener.close()
 
     async def drain(self) -> None:
-        """Accept until new connections cease, answer all requests, and close what is idle."""
+        """Accept until no new connections arrive, answer all requests, and close idle connections."""
         owns_socket = self._inherited_descriptor is None
         self.last_connected_at_s = self.time()
         await ConnectionDrainer(self, self.context.drain, owns_socket, self._max_drain_s).run()
@@ -195,7 +195,7 @@
 def _build_context(
     config: Config, requests: RequestHandler, max_connections: int, close_guard: CloseGuard
 ) -> ConnectionContext:
-    """Build what the connections share."""
+    """Build the context that all connections share."""
     loop = asyncio.get_running_loop()
     buffers = BufferBudget(config.memory_bytes, max_connections)
     return ConnectionContext(
--- a/qos_gateway/server/clients/hangup_monitor.py
+++ b/qos_gateway/server/clients/hangup_monitor.py
@@ -1,4 +1,4 @@
-"""Finds clients that close while their input is not read; the event loop does not report these."""
+"""Detects clients that disconnect while reading is paused, which the event loop does not report."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 from ..observability.close_reasons import CloseReason
 
-HANGUP_CHECK_INTERVAL_S = 0.05  # the end of a client has to be noticed within 0.3 s
+HANGUP_CHECK_INTERVAL_S = 0.05  # a disconnect must be detected within 0.3 s
 
 
 class WatchedConnection(Protocol):
-    """The calls that the monitor makes on a connection."""
+    """The part of a connection that the monitor uses."""
 
     def is_closing(self) -> bool:
         """Return whether the transport is closed or being closed."""
 
     def has_hung_up(self) -> bool:
-        """Return whether the client has ended its sending."""
+        """Return whether the client has closed or shut down its sending side."""
 
     def abort(self, reason: CloseReason) -> None:
         """Close at once."""
 
 
 class HangupMonitor:
-    """Aborts watched connections whose clients have ended their sending."""
+    """Aborts watched connections whose clients have closed or shut down their sending side."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -41,7 +41,7 @@
             self._schedule_check()
 
     def discard(self, client: WatchedConnection) -> None:
-        """Forget a connection that has ended."""
+        """Stop watching a connection that has closed."""
         self._watched.discard(client)
 
     def close(self) -> None:
--- a/qos_gateway/server/clients/listener.py
+++ b/qos_gateway/server/clients/listener.py
@@ -1,4 +1,4 @@
-"""The clients' listening socket: connections are accepted while there is capacity, the others wait."""
+"""The listening socket for clients: accepts connections while there is capacity, and queues the others."""
 
 from __future__ import annotations
 
@@ -16,14 +16,15 @@
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
 
-BACKLOG = 1024  # connections that wait in the system to be accepted
-ACCEPT_BATCH = 16  # connections per turn of the event loop, as evicted ones are closed only in the next turn
+BACKLOG = 1024  # length of the accept queue in the kernel
+# Connections per iteration of the event loop; limited because evicted ones close only in the next iteration.
+ACCEPT_BATCH = 16
 ACCEPT_RETRY_INTERVAL_S = 0.02
-MAX_QUEUE_TIME_S = 0.25  # without capacity; then waiting connections are closed, so that clients can retry
+MAX_QUEUE_TIME_S = 0.25  # without capacity; then queued connections are closed, so that clients can retry
 
 
 def inherited_socket(descriptor: int) -> socket.socket | None:
-    """Return the listening socket that the platform holds; None where the descriptor is no such socket."""
+    """Return the listening socket inherited from the platform; None if the descriptor is not one."""
     try:
         sock = socket.socket(fileno=descriptor)
         if sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
@@ -38,9 +39,9 @@
 
 
 def bound_socket(address: Address, backlog: int | None = None) -> socket.socket:
-    """Return a new socket that listens on the address; raise OSError where that fails.
+    """Return a new socket that listens on the address; raise OSError if that fails.
 
-    The event loop's own call does not report that no socket could be created.
+    `loop.create_server` does not report that a socket could not be created.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     return socket.create_server(address, family=family, backlog=backlog)
@@ -49,7 +50,7 @@
 class Listener:
     """Accepts connections only while there is capacity for them.
 
-    To accept all and close the excess would use up descriptors and processor time, and would close clients
+    Accepting all and closing the excess would use up descriptors and CPU time, and would close connections
     with requests as often as idle ones.
     """
 
@@ -60,20 +61,20 @@
         has_capacity: Callable[[], bool],
         stall_detector: LoopStallDetector,
     ) -> None:
-        """Take `protocol_factory` for a connection by the time since which it may have waited, if any."""
+        """`protocol_factory` takes the time since which the connection may have been queued, if any."""
         sock.setblocking(False)
         sock.listen(BACKLOG)
         self._sock = sock
         self._protocol_factory = protocol_factory
         self._has_capacity = has_capacity
         self._stall_detector = stall_detector
-        # Since when connections may wait to be accepted; None while each is accepted as it comes.
-        self._queued_since_s: float | None = 0.0  # an inherited socket may have queued some before
+        # Since when connections may have been queued; None while each is accepted on arrival.
+        self._queued_since_s: float | None = 0.0  # an inherited socket may already hold some
         self._loop = asyncio.get_running_loop()
-        self._connecting: set[asyncio.Task[None]] = set()  # accepted, and without a protocol yet
+        self._connecting: set[asyncio.Task[None]] = set()  # accepted, protocol not set up yet
         self._accept_poll = select.poll()
         self._accept_poll.register(sock.fileno(), select.POLLIN)
-        self._at_capacity_since_s: float | None = None  # since when connections wait for capacity
+        self._at_capacity_since_s: float | None = None  # since when queued connections have lacked capacity
         self._resume_timer: asyncio.TimerHandle | None = None
         self.is_open = True
         self._start_accepting()
@@ -85,15 +86,15 @@
 
     @property
     def connecting_count(self) -> int:
-        """The number of accepted connections that have no protocol yet."""
+        """The number of accepted connections whose protocol is not set up yet."""
         return len(self._connecting)
 
     def has_queued_connection(self) -> bool:
-        """Return whether a connection waits to be accepted."""
+        """Return whether the accept queue holds a connection."""
         return self.is_open and bool(self._accept_poll.poll(0))
 
     def close(self) -> None:
-        """Close the socket; the system resets the connections that still wait on it."""
+        """Close the socket; the kernel resets the connections still in its accept queue."""
         if not self.is_open:
             return
         self.is_open = False
@@ -130,13 +131,13 @@
         return now_s - self._at_capacity_since_s >= MAX_QUEUE_TIME_S
 
     def _accept(self) -> socket.socket | None:
-        """Return the connection that has waited longest; None where it could not be accepted."""
+        """Return the oldest queued connection; None if it could not be accepted."""
         try:
             sock, _ = self._sock.accept()
         except (BlockingIOError, InterruptedError, ConnectionAbortedError):
             return None
         except OSError as error:
-            # The system lacks descriptors or memory: an immediate retry would spin.
+            # Out of descriptors or memory: an immediate retry would busy-loop.
             log.warning("accept_failed error=%s", error)
             self._pause_accepting()
             return None
@@ -163,7 +164,7 @@
         self._loop.add_reader(self._sock.fileno(), self._accept_batch)
 
     def _mark_queued(self) -> None:
-        """Note that connections may wait from now on."""
+        """Record that connections may be queued from now on."""
         if self._queued_since_s is None:
             self._queued_since_s = time.monotonic()
 
--- a/qos_gateway/server/clients/loop_stalls.py
+++ b/qos_gateway/server/clients/loop_stalls.py
@@ -1,4 +1,4 @@
-"""Detects that the event loop has stood still: the process was stopped, or the machine was busy."""
+"""Detects stalls of the event loop, as when the process was suspended or the machine overloaded."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 import time
 
 CHECK_INTERVAL_S = 0.1
-MIN_STALL_S = 0.05  # by which a check is late
-STALL_RECOVERY_S = 0.05  # after a late check, in which bytes are read that came during the stall
+MIN_STALL_S = 0.05  # delay of a check that counts as a stall
+STALL_RECOVERY_S = 0.05  # after a delayed check, while bytes from the time of the stall are being read
 
 
 class LoopStallDetector:
-    """A timer whose lateness shows a stall, also to those who run before the late timer."""
+    """Detects stalls by a periodic timer that fires late, or is overdue when a caller asks."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         self._checked_at_s = 0.0
         self._stalled_from_s = 0.0  # the last check before the latest stall
-        self._stall_seen_at_s = 0.0  # by the first check after it
+        self._stall_seen_at_s = 0.0  # time of the first check after that stall
 
     def start(self) -> None:
-        """Begin to check."""
+        """Start checking."""
         self._checked_at_s = time.monotonic()
         self._timer = self._loop.call_later(CHECK_INTERVAL_S, self._check)
 
@@ -32,7 +32,7 @@
             self._timer = None
 
     def stalled_since_s(self, now_s: float) -> float | None:
-        """Return a time since which the loop may not have read; None where it has read all along."""
+        """Return the time since which the loop may not have read sockets; None without a recent stall."""
         if self._timer is None:
             return None
         if now_s - self._checked_at_s >= CHECK_INTERVAL_S + MIN_STALL_S:
--- a/qos_gateway/server/clients/socket_protocol.py
+++ b/qos_gateway/server/clients/socket_protocol.py
@@ -1,4 +1,4 @@
-"""The socket of a client's connection: its buffers in the system, reading, writing and half-closing."""
+"""The socket of a client's connection: kernel buffers, reading, writing and half-closing."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 from typing import cast
 
-HALF_CLOSE_TIMEOUT_S = 0.75  # during which bytes are read and discarded after the last reply
-_IOCTL_INT_FORMAT = "i"  # the result type of the ioctl requests below, as `struct` writes it
-# Of `struct tcp_info` in linux/tcp.h: eight bytes, then numbers of 32 bits, these two in ms.
+HALF_CLOSE_TIMEOUT_S = 0.75  # for which input is read and discarded after the last reply
+_IOCTL_INT_FORMAT = "i"  # result of the ioctl requests below, as a `struct` format
+# `struct tcp_info` in linux/tcp.h: 8 bytes, then 32-bit fields; these two are in ms.
 _LAST_DATA_SENT_OFFSET = 44
 _LAST_DATA_RECEIVED_OFFSET = 52
 _TCP_INFO_BYTES = 56
@@ -22,9 +22,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SocketAges:
-    """How long ago the system last received data on a connection, and last sent any, in s.
+    """Seconds since the kernel last received data on a connection, and since it last sent data.
 
-    Where it has sent none, `last_sent_s` is the age of the connection.
+    If no data was sent yet, `last_sent_s` is the age of the connection.
     """
 
     last_received_s: float
@@ -38,19 +38,19 @@
 
 
 def has_unread_bytes(transport: asyncio.Transport) -> bool:
-    """Return whether the open socket holds bytes that the event loop has not read."""
+    """Return whether the open socket's receive buffer holds bytes."""
     return unread_bytes(transport) != 0
 
 
 def unread_bytes(transport: asyncio.Transport) -> int:
-    """Return how many bytes the open socket holds that the event loop has not read."""
+    """Return how many bytes the open socket's receive buffer holds."""
     return _queued_bytes(transport, termios.FIONREAD)
 
 
 def unacknowledged_bytes(transport: asyncio.Transport) -> int:
-    """Return how many written bytes the client has not acknowledged, in this process and in the system.
+    """Return how many written bytes the client has not acknowledged.
 
-    Both are counted, because with a slow reader the system's buffer shrinks before the process's does.
+    Counts the transport's buffer and the kernel's, because with a slow reader the kernel's shrinks first.
     """
     buffered = transport.get_write_buffer_size()
     if transport.is_closing():
@@ -59,7 +59,7 @@
 
 
 def socket_ages(transport: asyncio.Transport) -> SocketAges | None:
-    """Return the ages of the open socket's data; None where the system does not report them."""
+    """Return the ages of the open socket's data; None if the system does not report them."""
     sock = transport.get_extra_info("socket")
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_BYTES)
@@ -75,9 +75,9 @@
 
 
 def hangup_poll(transport: asyncio.Transport) -> select.poll:
-    """Return a poll object that reports an event once the client has ended its sending.
+    """Return a poll object that reports an event once the client has closed or shut down its sending side.
 
-    The event loop may notice that late: it reads all input first, and it may lag.
+    The event loop may notice this late, as it reads all input first and may lag behind.
     """
     poll = select.poll()
     poll.register(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
@@ -85,25 +85,25 @@
 
 
 class WriteProgress:
-    """Whether a client accepts the bytes that wait to be written to it."""
+    """Tracks whether a client acknowledges data while the write buffer is full."""
 
     __slots__ = ("_unacknowledged_bytes", "blocked_since_s")
 
     def __init__(self) -> None:
-        self.blocked_since_s = 0.0  # when progress was last seen; 0 while the write buffer is not full
+        self.blocked_since_s = 0.0  # time of the last progress; 0 while the write buffer is not full
         self._unacknowledged_bytes = 0  # unacknowledged at that time
 
     def block(self, now_s: float, unacknowledged: int) -> None:
-        """Start to watch progress: the write buffer is full."""
+        """Record the time and the unacknowledged bytes: the write buffer is full."""
         self.blocked_since_s = now_s
         self._unacknowledged_bytes = unacknowledged
 
     def unblock(self) -> None:
-        """Stop watching progress: the write buffer is no longer full."""
+        """Stop tracking, as the write buffer is no longer full."""
         self.blocked_since_s = 0.0
 
     def is_stalled(self, now_s: float, unacknowledged: int, timeout_s: float) -> bool:
-        """Return whether the client has acknowledged nothing during the time-out."""
+        """Return whether the client has acknowledged nothing for `timeout_s`; records any progress."""
         if unacknowledged < self._unacknowledged_bytes:
             self.block(now_s, unacknowledged)
             return False
@@ -111,7 +111,7 @@
 
 
 class ClientSocketProtocol(asyncio.Protocol):
-    """A connection without regard to its contents: reading, writing, blocking and half-closing."""
+    """The transport level of a connection: flow control, write stalls, hangups and half-closing."""
 
     __slots__ = (
         "_final_write_progress",
@@ -123,11 +123,11 @@
     )
 
     def __init__(self) -> None:
-        self._transport: asyncio.Transport  # from `connection_made` on
+        self._transport: asyncio.Transport  # set by `connection_made`
         self._hangup_poll: select.poll | None = None
         self._is_reading = True
         self._write_progress = WriteProgress()
-        self._final_write_progress = WriteProgress()  # from the half-close on
+        self._final_write_progress = WriteProgress()  # tracked from the half-close on
         self.half_close_ends_at_s = 0.0  # 0 before the half-close
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -139,7 +139,10 @@
         return self._transport.is_closing()
 
     def has_hung_up(self) -> bool:
-        """Return whether the client has ended its sending, though the event loop may not have read that."""
+        """Return whether the client has closed or shut down its sending side.
+
+        This asks the kernel, as the event loop may not have read the end of the input yet.
+        """
         if self._transport.is_closing():
             return True
         if self._hangup_poll is None:
@@ -148,11 +151,11 @@
 
     @property
     def blocked(self) -> bool:
-        """Whether the write buffer is full, as the client does not accept its replies."""
+        """Whether the write buffer is full because the client does not read its replies."""
         return self._write_progress.blocked_since_s > 0.0
 
     def is_write_stalled(self, now_s: float, timeout_s: float) -> bool:
-        """Return whether the blocked client has acknowledged nothing during the time-out."""
+        """Return whether the blocked client has acknowledged nothing for `timeout_s`."""
         return self._write_progress.is_stalled(now_s, unacknowledged_bytes(self._transport), timeout_s)
 
     @property
@@ -161,12 +164,12 @@
         return self._is_reading
 
     def write(self, data: bytes) -> None:
-        """Write a part of the first pending reply."""
+        """Write part of the first pending reply, unless the transport is closing."""
         if not self._transport.is_closing():
             self._transport.write(data)
 
     def set_reading(self, may_read: bool) -> bool:
-        """Resume or pause reading; return whether that changed it on an open transport."""
+        """Resume or pause reading; return whether that changed the state of an open transport."""
         if may_read is self._is_reading:
             return False
         self._is_reading = may_read
@@ -179,10 +182,10 @@
         return True
 
     def half_close(self, now_s: float) -> None:
-        """End the sending, and read for `HALF_CLOSE_TIMEOUT_S` longer.
+        """Shut down the sending side, and keep reading for `HALF_CLOSE_TIMEOUT_S`.
 
-        Closing a socket with unread bytes resets the connection, and the client may lose replies that it
-        has not read yet.
+        Closing a socket with unread input resets the connection, and the client may then lose replies that
+        it has not read yet.
         """
         if not self.half_close_ends_at_s and not self._transport.is_closing():
             self.half_close_ends_at_s = now_s + HALF_CLOSE_TIMEOUT_S
@@ -190,7 +193,7 @@
             self._transport.write_eof()
 
     def is_half_close_over(self, now_s: float, stall_timeout_s: float) -> bool:
-        """Return whether a half-closed connection may be closed: its replies are written, or stalled."""
+        """Return whether a half-closed connection may be closed: its replies are sent, or stalled."""
         if now_s < self.half_close_ends_at_s:
             return False
         unacknowledged = unacknowledged_bytes(self._transport)
--- a/qos_gateway/server/clients/timeouts.py
+++ b/qos_gateway/server/clients/timeouts.py
@@ -1,4 +1,4 @@
-"""Time-outs of the clients' connections, by the state that a connection is in."""
+"""Timeouts of client connections, which depend on the state of the connection."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from .connection import ClientConnection
 
 CHECK_INTERVAL_S = 0.25
-COMMAND_TIMEOUT_S = 2.6  # from connecting, or from a command's first byte, until the command is complete
-WRITE_STALL_TIMEOUT_S = 2.0  # during which a blocked client accepts nothing
-LARGE_WRITE_STALL_TIMEOUT_S = 5.0  # the same within a large value, as slow readers pause for longer
-IDLE_TIMEOUT_S = 25.0  # below the 30 s that are usual at clients
-SCARCE_IDLE_TIMEOUT_S = 2.0  # the same where connections are scarce
+COMMAND_TIMEOUT_S = 2.6  # to complete a command, from its first byte; the first command from the connect
+WRITE_STALL_TIMEOUT_S = 2.0  # for a blocked client that acknowledges nothing
+LARGE_WRITE_STALL_TIMEOUT_S = 5.0  # while a large value is written, as slow readers pause for longer
+IDLE_TIMEOUT_S = 25.0  # below the 30 s that are usual for clients
+SCARCE_IDLE_TIMEOUT_S = 2.0  # while the number of connections is close to its limit
 
 
 class CheckedConnections(Protocol):
-    """The calls that the checker makes on the set of connections."""
+    """The part of the set of connections that the checker uses."""
 
     def time(self) -> float:
         """Return the time in seconds on the event loop's clock."""
@@ -28,11 +28,11 @@
         """Return all connections."""
 
     def are_scarce(self) -> bool:
-        """Return whether most of the connections that may be open are open."""
+        """Return whether the number of connections is close to its limit."""
 
 
 class TimeoutChecker:
-    """Checks all connections at an interval, and ends those past their time-outs."""
+    """Checks all connections periodically, and closes those past their timeouts."""
 
     def __init__(self, connections: CheckedConnections) -> None:
         self._connections = connections
@@ -40,7 +40,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Check after the interval, and again at this interval."""
+        """Schedule the next check; each check schedules the one after it."""
         self._timer = self._loop.call_later(CHECK_INTERVAL_S, self.check)
 
     def stop(self) -> None:
@@ -49,7 +49,7 @@
             self._timer.cancel()
 
     def check(self) -> None:
-        """End the connections past their time-outs."""
+        """Close the connections past their timeouts."""
         self.start()
         now_s = self._connections.time()
         connections_scarce = self._connections.are_scarce()
@@ -58,7 +58,7 @@
 
 
 def enforce_timeouts(client: ClientConnection, now_s: float, connections_scarce: bool) -> None:
-    """End a connection that has been in its state for too long."""
+    """Close a connection that has exceeded the timeout of its state."""
     if client.half_close_ends_at_s:
         if client.is_half_close_over(now_s, WRITE_STALL_TIMEOUT_S):
             client.abort(CloseReason.PROTOCOL_ERROR)
--- a/tests/server/test_client_connections.py
+++ b/tests/server/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Connections of clients: their limit, evictions and timeouts."""
+"""Client connections: connection limit, eviction and timeouts."""
 
 from __future__ import annotations
 
--- a/tests/server/test_client_disconnects.py
+++ b/tests/server/test_client_disconnects.py
@@ -1,4 +1,4 @@
-"""A request whose client disconnected while it waited is not forwarded."""
+"""A waiting request is not forwarded after its client has disconnected."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("how", ["reset", "close", "half-close"])
 def test_disconnect_is_detected_while_input_is_paused_and_deferred_commands_never_run(how: str) -> None:
-    """Unread commands beyond the pipeline limit lie before the end of the connection in the socket."""
+    """Unread commands beyond the pipeline limit precede the end of the connection in the socket buffer."""
 
     async def test() -> None:
         async with gateway_harness() as harness:
--- a/tests/server/test_connection_ends.py
+++ b/tests/server/test_connection_ends.py
@@ -1,4 +1,4 @@
-"""Ends of clients' connections that cross what is still on its way."""
+"""Client connections that are closed or considered for eviction while data is in transit."""
 
 from __future__ import annotations
 
@@ -39,7 +39,8 @@
                 await loop.sock_sendall(sock, b"no command\r\n")
                 await wait_until(lambda: client.input.is_closed)
                 connection.send(success_reply(value))
-                await asyncio.sleep(0.5)  # it reads nothing meanwhile, for less than a stall takes
+                # The client reads nothing meanwhile, but for less than the write stall timeout.
+                await asyncio.sleep(0.5)
                 received = b""
                 while part := await with_timeout(loop.sock_recv(sock, 1 << 16)):
                     received += part
@@ -59,7 +60,7 @@
                 (client,) = clients.connections()
                 client.input.reader.partial_since_s -= 1.0
                 clients.max_connections = 1
-                sock.sendall(command[30:])  # the loop has not turned since
+                sock.sendall(command[30:])  # the event loop has not run since, so the bytes are unread
                 assert not clients._has_capacity()
                 connection, _ = await harness.endpoint.next_command()
                 connection.send(success_reply(b"v"))
--- a/tests/server/test_descriptor_limits.py
+++ b/tests/server/test_descriptor_limits.py
@@ -1,4 +1,4 @@
-"""Idle clients may use up the descriptors: clients with requests are served all the same."""
+"""Clients with requests are served even if idle clients use up the descriptors."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 @asynccontextmanager
 async def limited_gateway_process(folder: Path, raw: dict[str, Any], descriptors: int) -> AsyncIterator[int]:
-    """A gateway's process with a real limit on its descriptors; its port."""
+    """Run a gateway process with a real descriptor limit; yield its port."""
     path = folder / "config.json"
     path.write_text(json.dumps(raw))
 
@@ -48,7 +48,7 @@
     )
     assert process.stderr is not None
     while b"listening on" not in (line := await with_timeout(process.stderr.readline())):
-        assert line, "ended before it listened"
+        assert line, "the process ended before it listened"
 
     async def discard_stderr() -> None:
         while await process.stderr.readline():  # type: ignore[union-attr]
@@ -68,7 +68,7 @@
 
 
 async def idle_client(port: int, data: bytes, reconnects: bool) -> None:
-    """Send this much and then wait until the gateway closes the connection; connect again at once, or not."""
+    """Send the data and wait until the gateway closes the connection; then reconnect if `reconnects`."""
     while True:
         try:
             reader, writer = await asyncio.open_connection(LOOPBACK, port)
@@ -91,8 +91,11 @@
 def test_idle_clients_at_the_descriptor_limit_do_not_block_other_connections(
     data: bytes, reconnects: bool, tmp_path: Path
 ) -> None:
-    """Once discovery is back, it, the counter and a new endpoint are connected to, and a new client is served
-    on its first connection."""
+    """Idle clients fill the descriptors while discovery is down.
+
+    Once discovery is back, the gateway must still connect to discovery, the counter and a new endpoint, and
+    serve a new client on its first connection.
+    """
 
     async def test() -> None:
         agent = FakeDiscovery()
@@ -136,7 +139,7 @@
 
 
 def test_process_recovers_after_accept_fails_at_the_descriptor_limit(tmp_path: Path) -> None:
-    """The limit is lower than the configuration says: to accept fails."""
+    """The actual limit is lower than the configured one, so that `accept` fails."""
 
     async def test() -> None:
         agent, endpoint = FakeDiscovery(), FakeEndpoint()
@@ -160,7 +163,7 @@
 
 
 class FailingAcceptSocket(socket.socket):
-    """A listening socket whose first calls of `accept` fail, as the process has no descriptor left."""
+    """A listening socket whose first calls of `accept` fail as if no descriptor were left."""
 
     failing_calls = 0
     calls = 0
@@ -173,7 +176,7 @@
 
 
 class RecordingProtocol(asyncio.Protocol):
-    """Adds itself to a list once it is connected."""
+    """Appends itself to a list when connected."""
 
     def __init__(self, connected: list[RecordingProtocol]) -> None:
         self.connected = connected
@@ -226,7 +229,7 @@
 
 
 def test_connection_queued_too_long_without_capacity_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The time of the requests in it runs out; their clients can connect elsewhere."""
+    """The deadlines of its requests would expire in the queue; its client can connect elsewhere."""
     monkeypatch.setattr(listener, "MAX_QUEUE_TIME_S", 0.03)
 
     async def test() -> None:
--- a/tests/server/test_graceful_shutdown.py
+++ b/tests/server/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: each command that was accepted before it gets exactly one reply."""
+"""Graceful shutdown: each command accepted before it gets exactly one reply."""
 
 from __future__ import annotations
 
@@ -107,7 +107,7 @@
             )
             stopping = asyncio.create_task(harness.process.stop())
             assert str(await client.next_message()) == "BUSY"
-            # Unread bytes would reset the connection, so the gateway reads and drops them.
+            # Closing with unread bytes would reset the connection, so the gateway reads and discards them.
             client.send(call_command(number=1)[-3:])
             assert await client.next_message() is None
             client.writer.close()
@@ -122,7 +122,7 @@
 def test_request_that_arrives_during_the_drain_ends_before_the_kill_deadline(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """On a connection that is never idle, a request may arrive late and have a long deadline."""
+    """On a connection that is never idle, a request with a long deadline may arrive late in the drain."""
     monkeypatch.setattr("qos_gateway.server.gateway.MAX_KILL_DEADLINE_NS", SECOND // 2)
 
     async def test() -> None:
@@ -164,7 +164,7 @@
 
 
 def test_signals_during_the_start_end_the_process_with_status_zero(tmp_path: Path) -> None:
-    """Discovery is silent, so both signals arrive while the start waits for the first endpoint list."""
+    """Discovery does not respond, so the signals arrive while startup waits for the first endpoint list."""
 
     async def test() -> None:
         discovery = FakeDiscovery()
@@ -180,7 +180,7 @@
 
 
 def test_sighup_before_its_handler_is_in_place_does_not_end_the_process(tmp_path: Path) -> None:
-    """Without a handler, the default action of the signal ends the process."""
+    """The default action of SIGHUP would terminate the process before its handler is installed."""
 
     async def test() -> None:
         discovery = FakeDiscovery()
--- a/tests/server/test_periodic_checks.py
+++ b/tests/server/test_periodic_checks.py
@@ -1,4 +1,4 @@
-"""Checks at intervals go on whatever one of them meets."""
+"""Periodic checks continue after one of them raises an exception."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @pytest.mark.parametrize("owner", ["clients", "endpoint connections", "counter", "hangup monitor"])
 def test_check_stays_scheduled_after_it_fails(owner: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A time-out that nobody looks for any more would hold connections, memory and requests for good."""
+    """Without further checks no timeout would fire, and connections, memory and requests would leak."""
 
     async def test() -> None:
         counter = FakeCounter()
--- a/tests/server/test_unread_disconnects.py
+++ b/tests/server/test_unread_disconnects.py
@@ -1,4 +1,4 @@
-"""No attempt starts after a disconnect, even if the event loop has not read it from the socket yet."""
+"""No attempt starts after a client's disconnect, even if the event loop has not read it yet."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class BlockingClient:
-    """A client outside the event loop: its bytes reach the gateway's socket within one turn of the loop."""
+    """A client outside the event loop: its data reaches the gateway while the loop does not run."""
 
     def __init__(self, harness: GatewayHarness) -> None:
         self.sock = socket.create_connection((LOOPBACK, harness.gateway.clients.port))
@@ -49,14 +49,14 @@
         self.sock.close()
 
 
-# Lets the client disconnect, and returns how many attempts may start before that.
+# Disconnects the client at a certain moment, and returns how many attempts may start before that.
 DisconnectMoment = Callable[[GatewayHarness, ScriptedEngine, BlockingClient, str], Awaitable[int]]
 
 
 async def delayed_by_counter(
     harness: GatewayHarness, engine: ScriptedEngine, client: BlockingClient, how: str
 ) -> int:
-    """The first attempt starts after the reply of the counter."""
+    """The first attempt starts after the counter's reply."""
     engine.plans[:] = [leave_open]
     client.send(1)
     await wait_until(lambda: len(engine.arrivals) == 1)
@@ -91,7 +91,7 @@
 async def connecting(
     harness: GatewayHarness, engine: ScriptedEngine, client: BlockingClient, how: str
 ) -> int:
-    """The connection to the endpoint opens in the turn of the loop in which the client disconnects."""
+    """The connection to the endpoint opens in the loop iteration in which the client disconnects."""
     endpoint = only_endpoint(harness)
     delayed = delay_connects(harness.gateway)
     engine.plans[:] = [forward_to(endpoint)]
@@ -111,9 +111,9 @@
 
 
 async def queued(harness: GatewayHarness, engine: ScriptedEngine, client: BlockingClient, how: str) -> int:
-    """Deferred commands would start in the turn of the loop in which the client disconnects.
+    """Deferred commands would start in the loop iteration in which the client disconnects.
 
-    The responses to the commands before them, which fill the pipeline, are sent in that turn.
+    The replies to the commands before them, which fill the pipeline, are sent in that iteration.
     """
     endpoint = only_endpoint(harness)
     engine.plans[:] = [leave_open] * MAX_PIPELINED + [forward_to(endpoint)] * 8
@@ -129,7 +129,7 @@
 
 
 async def open_idle_connections(harness: GatewayHarness, engine: ScriptedEngine) -> None:
-    """Open two idle connections to the endpoint, so that an attempt is sent in the turn of its start."""
+    """Open two idle connections to the endpoint, so that an attempt is sent as soon as it starts."""
     endpoint, others = only_endpoint(harness), [await harness.connect_client() for _ in range(2)]
     engine.plans[:] = [forward_to(endpoint)] * 2
     for number, other in enumerate(others):
