--- a/qos_gateway/server/clients/connections.py
+++ b/qos_gateway/server/clients/connections.py
@@ -24,7 +24,7 @@
 from .request_parser import RequestParser
 from .timeouts import TimeoutChecker
 
-SCARCE_FRACTION = 0.75  # of the connection limit; above it, idle connections are closed sooner
+NEAR_LIMIT_FRACTION = 0.75  # of the connection limit; above it, idle connections are closed sooner
 MIN_IDLE_BEFORE_EVICTION_S = 0.1  # since a connection was opened or last became idle
 MIN_PARTIAL_BEFORE_EVICTION_S = 0.25  # since an incomplete command began
 
@@ -89,9 +89,9 @@
             self.max_connections = min(self._configured_max_connections, max(1, max_connections))
         self.context.buffers.limit(memory_fraction)
 
-    def are_scarce(self) -> bool:
+    def is_near_limit(self) -> bool:
         """Return whether the number of connections is close to its limit."""
-        return self.connection_count() > SCARCE_FRACTION * self.max_connections
+        return self.connection_count() > NEAR_LIMIT_FRACTION * self.max_connections
 
     def _has_capacity(self) -> bool:
         """Return whether one more connection can be accepted, evicting another one if necessary."""
--- a/qos_gateway/server/clients/loop_stalls.py
+++ b/qos_gateway/server/clients/loop_stalls.py
@@ -18,7 +18,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._checked_at_s = 0.0
         self._stalled_from_s = 0.0  # the last check before the latest stall
-        self._stall_seen_at_s = 0.0  # time of the first check after that stall
+        self._stall_detected_at_s = 0.0  # time of the first check after that stall
 
     def start(self) -> None:
         """Start checking."""
@@ -37,7 +37,7 @@
             return None
         if now_s - self._checked_at_s >= CHECK_INTERVAL_S + MIN_STALL_S:
             return self._checked_at_s
-        if now_s - self._stall_seen_at_s < STALL_RECOVERY_S:
+        if now_s - self._stall_detected_at_s < STALL_RECOVERY_S:
             return self._stalled_from_s
         return None
 
@@ -45,6 +45,6 @@
         now_s = time.monotonic()
         if now_s - self._checked_at_s >= CHECK_INTERVAL_S + MIN_STALL_S:
             self._stalled_from_s = self._checked_at_s
-            self._stall_seen_at_s = now_s
+            self._stall_detected_at_s = now_s
         self._checked_at_s = now_s
         self._timer = self._loop.call_later(CHECK_INTERVAL_S, self._check)
--- a/qos_gateway/server/clients/timeouts.py
+++ b/qos_gateway/server/clients/timeouts.py
@@ -15,7 +15,7 @@
 WRITE_STALL_TIMEOUT_S = 2.0  # for a blocked client that acknowledges nothing
 LARGE_WRITE_STALL_TIMEOUT_S = 5.0  # while a large value is written, as slow readers pause for longer
 IDLE_TIMEOUT_S = 25.0  # below the 30 s that are usual for clients
-SCARCE_IDLE_TIMEOUT_S = 2.0  # while the number of connections is close to its limit
+NEAR_LIMIT_IDLE_TIMEOUT_S = 2.0  # while the number of connections is close to its limit
 
 
 class CheckedConnections(Protocol):
@@ -27,7 +27,7 @@
     def connections(self) -> Sequence[ClientConnection]:
         """Return all connections."""
 
-    def are_scarce(self) -> bool:
+    def is_near_limit(self) -> bool:
         """Return whether the number of connections is close to its limit."""
 
 
@@ -52,12 +52,12 @@
         """Close the connections past their timeouts."""
         self.start()
         now_s = self._connections.time()
-        connections_scarce = self._connections.are_scarce()
+        is_near_limit = self._connections.is_near_limit()
         for client in self._connections.connections():
-            enforce_timeouts(client, now_s, connections_scarce)
+            enforce_timeouts(client, now_s, is_near_limit)
 
 
-def enforce_timeouts(client: ClientConnection, now_s: float, connections_scarce: bool) -> None:
+def enforce_timeouts(client: ClientConnection, now_s: float, is_near_limit: bool) -> None:
     """Close a connection that has exceeded the timeout of its state."""
     if client.half_close_ends_at_s:
         if client.is_half_close_over(now_s, WRITE_STALL_TIMEOUT_S):
@@ -71,12 +71,12 @@
         if client.command_age_s(now_s) >= COMMAND_TIMEOUT_S:
             client.fail("command without end")
     elif not client.is_awaiting_replies():
-        timeout_s = _idle_timeout_s(client, connections_scarce)
+        timeout_s = _idle_timeout_s(client, is_near_limit)
         if now_s - client.idle_since_s >= timeout_s and client.is_idle():
             client.close(CloseReason.IDLE)
 
 
-def _idle_timeout_s(client: ClientConnection, connections_scarce: bool) -> float:
+def _idle_timeout_s(client: ClientConnection, is_near_limit: bool) -> float:
     if not client.has_sent_command:
         return COMMAND_TIMEOUT_S
-    return SCARCE_IDLE_TIMEOUT_S if connections_scarce else IDLE_TIMEOUT_S
+    return NEAR_LIMIT_IDLE_TIMEOUT_S if is_near_limit else IDLE_TIMEOUT_S
--- a/tests/server/test_client_connections.py
+++ b/tests/server/test_client_connections.py
@@ -33,10 +33,10 @@
     run_on_loop(test)
 
 
-def test_idle_connections_are_closed_early_only_when_connections_are_scarce(
+def test_idle_connections_are_closed_early_only_near_the_connection_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(client_timeouts, "SCARCE_IDLE_TIMEOUT_S", 0.0)
+    monkeypatch.setattr(client_timeouts, "NEAR_LIMIT_IDLE_TIMEOUT_S", 0.0)
 
     async def test() -> None:
         async with gateway_harness() as harness:
--- a/tests/server/test_late_reads.py
+++ b/tests/server/test_late_reads.py
@@ -133,7 +133,7 @@
         stalled_at_s = time.monotonic()
         time.sleep(0.3)  # blocks the loop on purpose
         before = stalls.stalled_since_s(time.monotonic())
-        await wait_until(lambda: stalls._stall_seen_at_s > stalled_at_s)
+        await wait_until(lambda: stalls._stall_detected_at_s > stalled_at_s)
         after = stalls.stalled_since_s(time.monotonic())
         assert before is not None
         assert before <= stalled_at_s
--- a/tests/server/test_pipelining.py
+++ b/tests/server/test_pipelining.py
@@ -137,7 +137,7 @@
             await wait_until(lambda: harness.buffers.deferred_bytes > 0)
             (connection,) = harness.gateway.clients.connections()
             now_s = asyncio.get_running_loop().time()
-            enforce_timeouts(connection, now_s + 2 * COMMAND_TIMEOUT_S, connections_scarce=False)
+            enforce_timeouts(connection, now_s + 2 * COMMAND_TIMEOUT_S, is_near_limit=False)
             reject_open_request(harness, engine.arrivals[0])
             await wait_until(lambda: len(engine.arrivals) == MAX_PIPELINED + 1)
 
