--- a/tests/server/test_connection_ends.py
+++ b/tests/server/test_connection_ends.py
@@ -1,4 +1,4 @@
-"""Ends of clients' connections that cross what is still on its way."""
+"""Client connections that are closed or considered for eviction while data is in transit."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.support.gateway_harness import gateway_harness
 
 
-def test_slow_client_gets_all_replies_before_the_end_that_follows_its_protocol_error(
+def test_slow_client_receives_all_replies_before_the_close_after_a_protocol_error(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(client_socket, "HALF_CLOSE_TIMEOUT_S", 0.1)
@@ -39,7 +39,8 @@
                 await loop.sock_sendall(sock, b"no command\r\n")
                 await wait_until(lambda: client.input.is_closed)
                 connection.send(success_reply(value))
-                await asyncio.sleep(0.5)  # it reads nothing meanwhile, for less than a stall takes
+                # The client reads nothing meanwhile, but for less than the write stall timeout.
+                await asyncio.sleep(0.5)
                 received = b""
                 while part := await with_timeout(loop.sock_recv(sock, 1 << 16)):
                     received += part
@@ -48,7 +49,7 @@
     run_on_loop(test)
 
 
-def test_command_whose_rest_lies_unread_does_not_give_way_to_another_connection() -> None:
+def test_connection_with_unread_remainder_of_a_command_is_not_evicted() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             clients = harness.gateway.clients
@@ -59,7 +60,7 @@
                 (client,) = clients.connections()
                 client.input.reader.partial_since_s -= 1.0
                 clients.max_connections = 1
-                sock.sendall(command[30:])  # the loop has not turned since
+                sock.sendall(command[30:])  # the event loop has not run since, so the bytes are unread
                 assert not clients._has_capacity()
                 connection, _ = await harness.endpoint.next_command()
                 connection.send(success_reply(b"v"))
