--- a/qos_gateway/server/admin/operations.py
+++ b/qos_gateway/server/admin/operations.py
@@ -50,7 +50,9 @@
         """Return all metrics in their text form."""
         targets = self._targets
         excluded = targets.load_balancer.excluded_count(self._clock())
-        gauges = Gauges(targets.requests.unanswered(), targets.endpoint_directory.listed_count(), excluded)
+        gauges = Gauges(
+            targets.requests.unanswered_count(), targets.endpoint_directory.listed_count(), excluded
+        )
         return render(targets.metrics, gauges)
 
     async def set_endpoint_disabled(self, name: str, disabled: bool) -> bool:
--- a/qos_gateway/server/endpoints/connection.py
+++ b/qos_gateway/server/endpoints/connection.py
@@ -13,7 +13,7 @@
 
 from ...types import Outcome
 from ..config import Address
-from ..networking.transient_errors import is_shortage
+from ..networking.transient_errors import is_resource_shortage
 from ..observability.logs import RateLimitFilter
 from .attempt import Attempt
 from .connection_context import ConnectionContext
@@ -125,7 +125,7 @@
         try:
             await self.context.loop.create_connection(lambda: self, *self.address)
         except OSError as error:
-            self.fail(Outcome.NOT_SENT if is_shortage(error) else Outcome.CONNECT_FAILED)
+            self.fail(Outcome.NOT_SENT if is_resource_shortage(error) else Outcome.CONNECT_FAILED)
 
     def send(self, attempt: Attempt, now_ns: int) -> None:
         """Write an attempt's request, at `now_ns` on the gateway's clock."""
--- a/qos_gateway/server/gateway.py
+++ b/qos_gateway/server/gateway.py
@@ -91,7 +91,7 @@
         kill_delay_ns = min(longest_deadline_ns, MAX_KILL_DEADLINE_NS) + KILL_DELAY_NS
         parts.deadlines.latest_deadline = parts.clock() + kill_delay_ns - KILL_MARGIN_NS
         await parts.clients.drain()
-        check_stop(parts.observability.invariants, parts.requests.unanswered())
+        check_stop(parts.observability.invariants, parts.requests.unanswered_count())
         parts.observability.activity.stop()
         await parts.discovery.close()
         parts.endpoint_connections.close()
--- a/qos_gateway/server/networking/clock.py
+++ b/qos_gateway/server/networking/clock.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 
-def monotonic_unix_ns() -> Callable[[], int]:
+def make_monotonic_unix_clock() -> Callable[[], int]:
     """Return a monotonic clock in ns that reads Unix time when this is called.
 
     It can be compared with times of other machines, such as a request's `born_ms`.
--- a/qos_gateway/server/networking/resp.py
+++ b/qos_gateway/server/networking/resp.py
@@ -6,16 +6,16 @@
 
 MAX_BUFFERED_VALUE_BYTES = 64 << 10  # of one value that is kept in memory until it is complete
 MAX_VALUE_BYTES = 4 << 20  # of an endpoint's value; above the limit for buffered values it is streamed
-FRAMING_BYTES = 4096  # a command's names, headers and arguments other than its value
-MAX_COMMAND_BYTES = MAX_BUFFERED_VALUE_BYTES + FRAMING_BYTES
+MAX_COMMAND_OVERHEAD_BYTES = 4096  # a command's names, headers and arguments other than its value
+MAX_COMMAND_BYTES = MAX_BUFFERED_VALUE_BYTES + MAX_COMMAND_OVERHEAD_BYTES
 MAX_ARGUMENTS = 16  # of a command; no valid command has more than five
 MAX_REPORT_BYTES = 1024  # of a response's load report or usage items
 MAX_USAGE_ITEMS = 16  # in a response whose usage is an array
 MAX_LINE_BYTES = 512  # of a header or an error line
 MAX_LENGTH_DIGITS = 9  # of a length in a header; bounds the cost of int()
 RESPONSE_ITEMS = 3  # value, usage, load report
-MAX_DEPTH = 2  # of nested arrays in a response
-CACHED_HEADERS = 128  # per function: headers repeat from message to message
+MAX_ARRAY_DEPTH = 2  # of nested arrays in a response
+HEADER_CACHE_SIZE = 128  # per function: headers repeat from message to message
 
 CRLF = b"\r\n"
 CRLF_BYTES = 2
@@ -160,7 +160,7 @@
         raise NotImplementedError
 
 
-@lru_cache(CACHED_HEADERS)
+@lru_cache(HEADER_CACHE_SIZE)
 def _parse_length(line: bytes, maximum: int) -> int:
     digits = line[1:-2]
     if not digits.isdigit() or len(digits) > MAX_LENGTH_DIGITS:
@@ -171,20 +171,20 @@
     return length
 
 
-@lru_cache(CACHED_HEADERS)
+@lru_cache(HEADER_CACHE_SIZE)
 def _parse_nullable_length(line: bytes, maximum: int) -> int:
     """Return the length, or `NO_VALUE` for RESP2's null."""
     return NO_VALUE if line[1:-2] == NULL_LENGTH else _parse_length(line, maximum)
 
 
-@lru_cache(CACHED_HEADERS)
+@lru_cache(HEADER_CACHE_SIZE)
 def _parse_argument_length(line: bytes) -> int:
     if not line.startswith(BULK_STRING):
         raise FrameError(NOT_A_COMMAND)
     return _parse_length(line, MAX_BUFFERED_VALUE_BYTES)
 
 
-@lru_cache(CACHED_HEADERS)
+@lru_cache(HEADER_CACHE_SIZE)
 def _parse_argument_count(line: bytes) -> int:
     if not line.startswith(ARRAY):
         raise FrameError(NOT_A_COMMAND)
@@ -248,7 +248,7 @@
         count = _parse_nullable_length(line, MAX_USAGE_ITEMS)
         if count <= 0:
             return NO_VALUE
-        if len(self._array_elements_left) >= MAX_DEPTH:
+        if len(self._array_elements_left) >= MAX_ARRAY_DEPTH:
             raise FrameError("arrays nested too deep")
         self._array_elements_left.append(count)
         return ARRAY_OPENED
--- a/qos_gateway/server/networking/transient_errors.py
+++ b/qos_gateway/server/networking/transient_errors.py
@@ -17,7 +17,9 @@
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN, errno.EINTR, errno.EIO}
 )
 # This machine lacks a resource for a connection, whatever its destination.
-SHORTAGE_ERRNOS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL})
+RESOURCE_SHORTAGE_ERRNOS = frozenset(
+    {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
+)
 RETRY_INTERVAL_S = 0.05
 START_RETRY_TIME_S = 5.0  # at the start of a process, which has to be ready within 10 s
 
@@ -27,9 +29,9 @@
     return error.errno in TRANSIENT_ERRNOS
 
 
-def is_shortage(error: OSError) -> bool:
+def is_resource_shortage(error: OSError) -> bool:
     """Return whether a connect failed for lack of descriptors, memory or ports on this machine."""
-    return error.errno in SHORTAGE_ERRNOS
+    return error.errno in RESOURCE_SHORTAGE_ERRNOS
 
 
 async def retry_transient(
--- a/qos_gateway/server/requests/attempt_results.py
+++ b/qos_gateway/server/requests/attempt_results.py
@@ -34,7 +34,7 @@
     def is_wanted(self, attempt: Attempt) -> bool:
         """Return whether the client of an attempt that is about to be written is still connected."""
         request = self._requests.get(attempt.request)
-        return request is None or not self._requests.client_has_left(request)
+        return request is None or not self._requests.client_has_disconnected(request)
 
     def allows_send(self, attempt: Attempt, is_drained: bool, now: int) -> bool:
         """Return whether the send guard allows writing an attempt at `now`, in ns."""
--- a/qos_gateway/server/requests/client_requests.py
+++ b/qos_gateway/server/requests/client_requests.py
@@ -49,7 +49,7 @@
 
         Raises `InvalidCommandError` while another request with the same id is unanswered.
         """
-        deadline = self._deadlines.deadline_of(client_request, waited_s)
+        deadline = self._deadlines.deadline_for(client_request, waited_s)
         number = self._requests.add(client_request, pending_reply, deadline)
         arrival = Arrival(
             request_id=number,
--- a/qos_gateway/server/requests/open_requests.py
+++ b/qos_gateway/server/requests/open_requests.py
@@ -48,11 +48,11 @@
         request = self.get_unanswered(number)
         return b"" if request is None else request.client_id
 
-    def unanswered(self) -> int:
+    def unanswered_count(self) -> int:
         """Count the requests without a final response."""
         return len(self._open_ids)
 
-    def client_has_left(self, request: OpenRequest) -> bool:
+    def client_has_disconnected(self, request: OpenRequest) -> bool:
         """Return whether the client has closed its connection, and have that connection aborted if so.
 
         The event loop may not have read the end of the connection yet. No attempt may start more than 0.1 s
--- a/qos_gateway/server/requests/repeat_guard.py
+++ b/qos_gateway/server/requests/repeat_guard.py
@@ -50,7 +50,7 @@
 
     def allows_attempt(self, request: RepeatedRequest, endpoint: int, now: int) -> bool:
         """Return whether a further attempt may be made at an endpoint at `now`, in ns."""
-        return self._check(request, self._broken_rule(request, endpoint, now))
+        return self._check(request, self._violated_rule(request, endpoint, now))
 
     def allows_rejection(self, request: RepeatedRequest) -> bool:
         """Return whether the client may retry the request at any endpoint."""
@@ -69,7 +69,7 @@
         self._monitor.report(Invariant.REPEAT, rule, request.client_id)
         return False
 
-    def _broken_rule(self, request: RepeatedRequest, endpoint: int, now: int) -> str | None:
+    def _violated_rule(self, request: RepeatedRequest, endpoint: int, now: int) -> str | None:
         if request.attempts_started >= self._settings.max_attempts:
             return "too_many_attempts"
         if not self._settings.hedging and any(not attempt.ended for attempt in request.attempts):
@@ -81,10 +81,10 @@
         if request_class.idempotence is Idempotence.NOT_IDEMPOTENT:
             return "not_idempotent"
         if request_class.idempotence is Idempotence.KEYED:
-            return self._broken_key_rule(request_class, first, endpoint, now)
+            return self._violated_idempotency_key_rule(request_class, first, endpoint, now)
         return None
 
-    def _broken_key_rule(
+    def _violated_idempotency_key_rule(
         self, request_class: RequestClass, first: Attempt, endpoint: int, now: int
     ) -> str | None:
         if now - first.started_at_ns >= request_class.idempotency_window:
--- a/qos_gateway/server/requests/request_attempts.py
+++ b/qos_gateway/server/requests/request_attempts.py
@@ -50,18 +50,18 @@
             log.error("attempt_of_closed_request request=%d", action.request_id)
             self._report_not_sent(action, 0, request_finished=True)
             return
-        index = request.attempts_started
-        is_refused = index > 0 and not self._may_repeat(request, action.endpoint, now)
+        attempt_number = request.attempts_started
+        is_refused = attempt_number > 0 and not self._may_repeat(request, action.endpoint, now)
         request.attempts_started += 1
-        is_finished = request.closed or self._requests.client_has_left(request)
+        is_finished = request.closed or self._requests.client_has_disconnected(request)
         time_left = request.deadline - now
         if is_finished or is_refused or time_left <= 0:
-            self._report_not_sent(action, index, request_finished=is_finished)
+            self._report_not_sent(action, attempt_number, request_finished=is_finished)
             return
         has_own_timeout = 0 < action.timeout < time_left
         attempt = Attempt(
             request=action.request_id,
-            number=index,
+            number=attempt_number,
             endpoint=action.endpoint,
             started_at_ns=now,
             expires_at_ns=now + (action.timeout if has_own_timeout else time_left),
@@ -69,7 +69,7 @@
             send_deadline_ns=action.send_deadline,
         )
         request.attempts.append(attempt)
-        request.attempts_in_flight[index] = attempt
+        request.attempts_in_flight[attempt_number] = attempt
         self._connections.start_attempt(attempt, action.timeout / SECOND if has_own_timeout else None)
 
     def _may_repeat(self, request: OpenRequest, endpoint: int, now: int) -> bool:
@@ -79,7 +79,7 @@
         log_retry(request.client_id, cause, request.attempts_started, endpoint)
         return self._repeat_guard.allows_attempt(request, endpoint, now)
 
-    def _report_not_sent(self, action: Send, index: int, request_finished: bool) -> None:
+    def _report_not_sent(self, action: Send, attempt_number: int, request_finished: bool) -> None:
         event = AttemptEnded(
             request_id=action.request_id,
             request_finished=request_finished,
@@ -88,7 +88,7 @@
             quota_usage=0,
             outcome=Outcome.NOT_SENT,
             elapsed=0,
-            attempt=index,
+            attempt=attempt_number,
             load_report=(),
         )
         self._loop.call_soon(self._handle, event, action.request_id)
--- a/qos_gateway/server/requests/request_deadlines.py
+++ b/qos_gateway/server/requests/request_deadlines.py
@@ -40,7 +40,7 @@
         self._handle = context.dispatcher.handle
         self._loop = asyncio.get_running_loop()
 
-    def deadline_of(self, client_request: ClientRequest, waited_s: float) -> int:
+    def deadline_for(self, client_request: ClientRequest, waited_s: float) -> int:
         """Return the deadline in ns of a request that was received `waited_s` ago."""
         now = self.clock()
         class_deadline = self._class_deadlines[client_request.class_index]
@@ -59,7 +59,7 @@
         if request.deadline > self.clock():  # timers have a resolution of 1 ms and may fire early
             self.schedule(number, request)
             return
-        if request.streaming_attempt is not None and self._may_stream_on(number, request):
+        if request.streaming_attempt is not None and self._may_continue_streaming(number, request):
             return
         for attempt in list(request.attempts_in_flight.values()):
             self._attempts.expire_attempt(attempt)
@@ -68,7 +68,7 @@
             self._requests.answer(number, request, TIMED_OUT_REPLY, RequestResult.FAILED)
             self._handle(ClientDisconnected(number))
 
-    def _may_stream_on(self, number: int, request: OpenRequest) -> bool:
+    def _may_continue_streaming(self, number: int, request: OpenRequest) -> bool:
         """Return whether a large value is still streamed past the deadline, and bound for how long.
 
         A value of which nothing was written is not, so that the client gets its failure in time. A process
--- a/qos_gateway/server/requests/send_guard.py
+++ b/qos_gateway/server/requests/send_guard.py
@@ -30,13 +30,13 @@
 
     def allows(self, attempt: Attempt, request: WaitingRequest | None, is_drained: bool, now: int) -> bool:
         """Return whether an attempt may be written at `now`, in ns; `request` is None for a health check."""
-        rule = self._broken_rule(attempt, request, is_drained, now)
+        rule = self._violated_rule(attempt, request, is_drained, now)
         if rule is None:
             return True
         self._monitor.report(Invariant.SEND, rule, b"" if request is None else request.client_id)
         return False
 
-    def _broken_rule(
+    def _violated_rule(
         self, attempt: Attempt, request: WaitingRequest | None, is_drained: bool, now: int
     ) -> str | None:
         if is_drained:
--- a/qos_gateway/server/wiring.py
+++ b/qos_gateway/server/wiring.py
@@ -23,7 +23,7 @@
 from .endpoints.connections import EndpointConnections, EndpointLimits
 from .event_dispatcher import EventDispatcher
 from .handover.handover import Handover, SharedParts
-from .networking.clock import monotonic_unix_ns
+from .networking.clock import make_monotonic_unix_clock
 from .observability.activity_log import ActivityLog
 from .observability.invariants import InvariantMonitor
 from .observability.metrics import Metrics
@@ -145,7 +145,7 @@
 
 
 def _build_core(config: Config) -> _Core:
-    clock = monotonic_unix_ns()
+    clock = make_monotonic_unix_clock()
     invariants = InvariantMonitor()
     metrics = Metrics(config.classes, invariants.violations)
     engine = DecisionEngine(config.settings, config.seed, clock())
--- a/tests/server/test_attempt_execution.py
+++ b/tests/server/test_attempt_execution.py
@@ -8,14 +8,14 @@
 import pytest
 
 from qos_gateway.server.endpoints.connection import EndpointConnection
-from qos_gateway.server.networking.clock import monotonic_unix_ns
+from qos_gateway.server.networking.clock import make_monotonic_unix_clock
 from qos_gateway.types import Outcome
 from tests.support.builders import SECOND
 from tests.support.endpoint_harness import RawEndpoint, endpoint_harness, reset
 from tests.support.event_loop import LOOPBACK, run_on_loop, wait_until
 from tests.support.fake_endpoint import FakeEndpoint
 
-CLOCK = monotonic_unix_ns()
+CLOCK = make_monotonic_unix_clock()
 
 
 def test_refused_connect_is_not_executed() -> None:
--- a/tests/support/endpoint_harness.py
+++ b/tests/support/endpoint_harness.py
@@ -12,7 +12,7 @@
 from qos_gateway.server.endpoints.attempt import Attempt
 from qos_gateway.server.endpoints.connections import EndpointConnections, EndpointLimits
 from qos_gateway.server.endpoints.responses import AttemptResult, LoadReport
-from qos_gateway.server.networking.clock import monotonic_unix_ns
+from qos_gateway.server.networking.clock import make_monotonic_unix_clock
 from qos_gateway.server.networking.request_command import RequestCommand
 from qos_gateway.server.networking.value_stream import FlowControl, ResponseSink
 from qos_gateway.server.observability.metrics import Metrics
@@ -22,7 +22,7 @@
 from tests.support.fake_endpoint import FakeEndpoint, success_reply
 from tests.support.resp_connection import Connection
 
-CLOCK = monotonic_unix_ns()
+CLOCK = make_monotonic_unix_clock()
 
 
 class EndedAttempt(NamedTuple):
