--- a/qos_gateway/server/networking/__init__.py
+++ b/qos_gateway/server/networking/__init__.py
@@ -1,1 +1,1 @@
-"""Networking for both sides: RESP framing, streams of large values, the clock, transient errors."""
+"""Networking for clients and endpoints: RESP framing, streaming of large values, clock, transient errors."""
--- a/qos_gateway/server/networking/request_command.py
+++ b/qos_gateway/server/networking/request_command.py
@@ -1,4 +1,4 @@
-"""A client's command in the form in which attempts forward it."""
+"""A client's command, split so that each attempt can insert its own deadline."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class RequestCommand(NamedTuple):
-    """The command of a request, divided where the deadline of an attempt is inserted."""
+    """The command of a request, split at the position of the deadline field `d`."""
 
     start: tuple[bytes, ...]  # name, customer and request id
-    pairs_before_deadline: bytes  # with the comma behind the last of them
-    pairs_after_deadline: bytes  # with the comma before the first of them
-    body: tuple[bytes, ...]  # the request's value, if it has one
+    pairs_before_deadline: bytes  # ends in a comma unless empty
+    pairs_after_deadline: bytes  # starts with a comma unless empty
+    body: tuple[bytes, ...]  # the request's value; empty if it has none
--- a/qos_gateway/server/networking/resp.py
+++ b/qos_gateway/server/networking/resp.py
@@ -1,11 +1,11 @@
-"""Find the end of each RESP2 message, and reject headers that exceed the protocol's limits."""
+"""Framing of RESP2 messages: finds the end of each, and rejects headers that exceed the limits."""
 
 from __future__ import annotations
 
 from functools import lru_cache
 
-MAX_BUFFERED_VALUE_BYTES = 64 << 10  # of one value that is kept in memory until it is complete
-MAX_VALUE_BYTES = 4 << 20  # of an endpoint's value; above the limit for buffered values it is streamed
+MAX_BUFFERED_VALUE_BYTES = 64 << 10  # of a value that is buffered until it is complete
+MAX_VALUE_BYTES = 4 << 20  # of an endpoint's value; one over MAX_BUFFERED_VALUE_BYTES is streamed
 MAX_COMMAND_OVERHEAD_BYTES = 4096  # a command's names, headers and arguments other than its value
 MAX_COMMAND_BYTES = MAX_BUFFERED_VALUE_BYTES + MAX_COMMAND_OVERHEAD_BYTES
 MAX_ARGUMENTS = 16  # of a command; no valid command has more than five
@@ -14,8 +14,8 @@
 MAX_LINE_BYTES = 512  # of a header or an error line
 MAX_LENGTH_DIGITS = 9  # of a length in a header; bounds the cost of int()
 RESPONSE_ITEMS = 3  # value, usage, load report
-MAX_ARRAY_DEPTH = 2  # of nested arrays in a response
-HEADER_CACHE_SIZE = 128  # per function: headers repeat from message to message
+MAX_ARRAY_DEPTH = 2  # of nested arrays in a response, the outermost included
+HEADER_CACHE_SIZE = 128  # entries per function; most messages repeat the headers of earlier ones
 
 CRLF = b"\r\n"
 CRLF_BYTES = 2
@@ -28,23 +28,23 @@
 RESPONSE_TYPES = (BULK_STRING, ARRAY, ERROR, SIMPLE_STRING, INTEGER)
 RESPONSE_HEADER = b"*%d\r\n" % RESPONSE_ITEMS
 
-INCOMPLETE = -1  # returned by `scan`: the message does not end in the data
-NO_VALUE = -1  # a header that is a complete element: no value follows
-ARRAY_OPENED = -2  # a header that the elements of an array follow
+INCOMPLETE = -1  # returned by `scan`: the data ends before the message does
+NO_VALUE = -1  # the header is a complete element: no value follows it
+ARRAY_OPENED = -2  # the elements of an array follow the header
 
 NOT_A_COMMAND = "expected an array of bulk strings"
 
 
 class FrameError(ValueError):
-    """Data that cannot be part of a message, so that the next one cannot be found; the text says why."""
+    """Malformed data, after which the start of the next message is unknown; the text says what is wrong."""
 
 
 class FrameScanner:
-    """Finds the end of each message, before hiredis reads it.
+    """Finds the end of each message and validates its headers before hiredis parses it.
 
-    hiredis trusts every header: it allocates an array's slots before the first element arrives, which may be
-    a hundred million for each garbage collection to walk. It does not check the two bytes after a value, and
-    it reads types of RESP3.
+    hiredis does not limit lengths: it allocates all slots of an array before the first element arrives. These
+    may be a hundred million, which every garbage collection traverses. It also does not check the two bytes
+    after a value, and it accepts types of RESP3.
     """
 
     __slots__ = (
@@ -57,20 +57,20 @@
     )
 
     def __init__(self) -> None:
-        self._array_elements_left: list[int] = []  # one count for each open array, the innermost last
-        self._partial = b""  # the received start of a header, or of the CR LF after a value
-        self._value_bytes_left = NO_VALUE  # of the value that has begun
-        self._command_bytes = 0  # bytes of the command's arguments so far
+        self._array_elements_left: list[int] = []  # one count for each incomplete array, the innermost last
+        self._partial = b""  # the received part of an incomplete header or of the CR LF after a value
+        self._value_bytes_left = NO_VALUE  # of the value that is being received
+        self._command_bytes = 0  # total length of the command's arguments so far
         self.large_value_bytes = 0  # length of the message's value if it is too large to be buffered, else 0
-        self.large_value_start = 0  # its position in the data in which its header ended
+        self.large_value_start = 0  # its position in the data that was scanned when its header ended
 
     @property
     def is_midway(self) -> bool:
-        """Whether a message has begun and is incomplete."""
+        """Whether a message is partly received."""
         return bool(self._array_elements_left or self._partial or self._value_bytes_left >= 0)
 
     def scan(self, data: bytes, start: int) -> int:
-        """Return where in `data` the message ends that begins or continues at `start`, or `INCOMPLETE`.
+        """Return the end in `data` of the message that begins or continues at `start`, or `INCOMPLETE`.
 
         Raises `FrameError` if the data cannot be part of a message.
         """
@@ -84,7 +84,10 @@
         return self._scan_elements(data, position)
 
     def _scan_elements(self, data: bytes, position: int) -> int:
-        """Scan from a header on; a value that is complete, the usual case, is checked without a call."""
+        """Scan elements, starting at a header.
+
+        A value that is complete in `data`, the usual case, is checked inline to save a call.
+        """
         size = len(data)
         while position < size:
             line_end = data.find(b"\n", position, position + MAX_LINE_BYTES) + 1
@@ -126,7 +129,7 @@
         return INCOMPLETE
 
     def _continue_value(self, data: bytes, position: int) -> int:
-        """Scan what is missing of the value that has begun and its CR LF; return where they end in `data`."""
+        """Scan the rest of a partly received value and its CR LF; return the position after them."""
         value_bytes = min(self._value_bytes_left, len(data) - position)
         position += value_bytes
         self._value_bytes_left -= value_bytes
@@ -142,7 +145,7 @@
         return position
 
     def _end_element(self) -> bool:
-        """Count one element as complete; return whether the message is complete with it."""
+        """Count one element as complete; return whether it completes the message."""
         elements_left = self._array_elements_left
         while elements_left:
             elements_left[-1] -= 1
@@ -152,7 +155,7 @@
         return True
 
     def _check_type(self, type_byte: bytes) -> None:
-        """Raise `FrameError` if the next header cannot begin with this type byte."""
+        """Raise `FrameError` if this type is not allowed for the next element."""
         raise NotImplementedError
 
     def _parse_header(self, line: bytes) -> int:
@@ -173,7 +176,7 @@
 
 @lru_cache(HEADER_CACHE_SIZE)
 def _parse_nullable_length(line: bytes, maximum: int) -> int:
-    """Return the length, or `NO_VALUE` for RESP2's null."""
+    """Return the length, or `NO_VALUE` for a null (length -1)."""
     return NO_VALUE if line[1:-2] == NULL_LENGTH else _parse_length(line, maximum)
 
 
@@ -195,7 +198,7 @@
 
 
 class CommandFrames(FrameScanner):
-    """Scans clients' commands: arrays of bulk strings."""
+    """Scans commands of clients: arrays of bulk strings."""
 
     __slots__ = ()
 
@@ -216,17 +219,17 @@
 
 
 class ResponseFrames(FrameScanner):
-    """Scans endpoints' responses: arrays of value, usage and load report; errors; replies to probes."""
+    """Scans responses of endpoints: arrays of value, usage and load report, errors, and replies to probes."""
 
     __slots__ = ()
 
     def _check_type(self, type_byte: bytes) -> None:
-        if self._array_elements_left == [RESPONSE_ITEMS]:  # at its first item, which is the value
+        if self._array_elements_left == [RESPONSE_ITEMS]:  # the first item of a response is the value
             is_allowed = type_byte == BULK_STRING
         else:
             is_allowed = type_byte in RESPONSE_TYPES
         if not is_allowed:
-            raise FrameError("not a value")
+            raise FrameError("unexpected type in a response")
 
     def _parse_header(self, line: bytes) -> int:
         type_byte = line[:1]
@@ -242,13 +245,13 @@
     def _open_array(self, line: bytes) -> int:
         if not self._array_elements_left:
             if line != RESPONSE_HEADER:
-                raise FrameError("not an answer's three parts")
+                raise FrameError(f"response is not an array of {RESPONSE_ITEMS} items")
             self._array_elements_left.append(RESPONSE_ITEMS)
             return ARRAY_OPENED
         count = _parse_nullable_length(line, MAX_USAGE_ITEMS)
         if count <= 0:
             return NO_VALUE
         if len(self._array_elements_left) >= MAX_ARRAY_DEPTH:
-            raise FrameError("arrays nested too deep")
+            raise FrameError(f"arrays nested deeper than {MAX_ARRAY_DEPTH} levels")
         self._array_elements_left.append(count)
         return ARRAY_OPENED
--- a/qos_gateway/server/networking/transient_errors.py
+++ b/qos_gateway/server/networking/transient_errors.py
@@ -1,4 +1,4 @@
-"""System calls that fail transiently: which errors may pass without a change, and retries until they do."""
+"""Transient errors of system calls: their classification, and retries of calls that fail with them."""
 
 from __future__ import annotations
 
@@ -12,20 +12,21 @@
 
 Result = TypeVar("Result")
 
-# No descriptor, buffer or memory is available in the process or the system, or a device fails.
+# The process or the system is out of descriptors, buffers or memory; the call would block or was interrupted;
+# or a device failed.
 TRANSIENT_ERRNOS = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN, errno.EINTR, errno.EIO}
 )
-# This machine lacks a resource for a connection, whatever its destination.
+# This machine lacks descriptors, memory or ports for a connection to any destination.
 RESOURCE_SHORTAGE_ERRNOS = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
 )
 RETRY_INTERVAL_S = 0.05
-START_RETRY_TIME_S = 5.0  # at the start of a process, which has to be ready within 10 s
+START_RETRY_TIME_S = 5.0  # while a process starts, which must be ready within 10 s
 
 
 def is_transient(error: OSError) -> bool:
-    """Return whether a repeated call may succeed soon although nothing is changed."""
+    """Return whether the same call may succeed soon when it is repeated."""
     return error.errno in TRANSIENT_ERRNOS
 
 
@@ -37,9 +38,9 @@
 async def retry_transient(
     call: Callable[[], Awaitable[Result]], retry_time_s: float = START_RETRY_TIME_S
 ) -> Result:
-    """Call until it succeeds and return its result.
+    """Repeat a call until it succeeds, and return its result.
 
-    Raises OSError if the call fails with an error that is not transient, or fails after `retry_time_s`.
+    Raises OSError if the call fails with an error that is not transient, or still fails after `retry_time_s`.
     """
     loop = asyncio.get_running_loop()
     retry_until = loop.time() + retry_time_s
--- a/qos_gateway/server/networking/value_stream.py
+++ b/qos_gateway/server/networking/value_stream.py
@@ -1,4 +1,4 @@
-"""Streaming of large values: each part is written to a sink as it is received."""
+"""Streaming of large values: each part is written to a sink when it is received."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ValueStream:
-    """Separates the large value of one response, which is written to a sink, from what follows it."""
+    """Writes the large value of one response to a sink, and separates it from the data after it."""
 
     __slots__ = ("_line_end_bytes_left", "_sink", "_value_bytes_left")
 
@@ -36,7 +36,7 @@
         self._line_end_bytes_left = CRLF_BYTES
 
     def feed(self, data: bytes) -> bytes:
-        """Write the value's part of `data` to the sink; return what follows the value and its CR LF."""
+        """Write the part of `data` that belongs to the value; return what follows the value and its CR LF."""
         part = data[: self._value_bytes_left]
         self._value_bytes_left -= len(part)
         line_end_bytes = min(self._line_end_bytes_left, len(data) - len(part))
--- a/qos_gateway/server/requests/__init__.py
+++ b/qos_gateway/server/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Open requests and their attempts, and the guards that check each attempt and each final response."""
+"""Open requests, their attempts and deadlines, and the guards that check each attempt and each rejection."""
--- a/qos_gateway/server/requests/attempt_results.py
+++ b/qos_gateway/server/requests/attempt_results.py
@@ -1,4 +1,4 @@
-"""What the connections to endpoints report of attempts, as responses to clients and events of the engine."""
+"""Results of attempts: converted to responses to clients and events for the engine."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from .request_context import RequestContext
 from .send_guard import SendGuard
 
-MAX_QUOTA_USAGE_PERCENT = 60_000  # the engine's field has 16 bits
+MAX_QUOTA_USAGE_PERCENT = 60_000  # quota usage is a 16-bit field in the engine
 
 
 class AttemptResults:
-    """Handles the calls of the connections to endpoints."""
+    """Handles the callbacks of the connections to endpoints."""
 
     def __init__(self, context: RequestContext, send_guard: SendGuard, activity: ActivityLog) -> None:
         self._report_names = context.settings.report_names
@@ -60,7 +60,7 @@
         return None if request.closed else stream
 
     def on_attempt_ended(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Answer the client if this was the response, and report the end of the attempt to the engine."""
+        """Answer the client if this result decides the request, and report it to the engine."""
         outcome, value, report = result
         elapsed = max(0, self._clock() - attempt.started_at_ns)
         load_report = self._load_report(report)
@@ -72,7 +72,7 @@
         request = self._requests[number]
         request.attempts_in_flight.pop(attempt.number, None)
         if request.streaming_attempt is attempt:
-            elapsed = _time_to_first_byte(attempt)  # its client determines the time of the remaining bytes
+            elapsed = _time_to_first_byte(attempt)  # the rest depends on how fast the client reads
         if not request.closed:
             self._answer_with(request, attempt, outcome, value)
         event = AttemptEnded(
@@ -92,7 +92,7 @@
     def _answer_with(
         self, request: OpenRequest, attempt: Attempt, outcome: Outcome, value: bytes | None
     ) -> None:
-        """Answer an open request if the end of this attempt decides its final response."""
+        """Send the final response of an open request if this result decides it."""
         number = attempt.request
         if request.streaming_attempt is attempt:
             if outcome is Outcome.OK:
@@ -105,7 +105,7 @@
             self._requests.answer(number, request, reply, RequestResult.SERVED)
 
     def _load_report(self, report: LoadReport) -> tuple[float, ...]:
-        """Return the values that the settings name, in their order; empty unless all are reported."""
+        """Return the values named in the settings, in that order; empty unless all are reported."""
         names = self._report_names
         return tuple(report[name] for name in names) if report and report.keys() >= set(names) else ()
 
--- a/qos_gateway/server/requests/client_requests.py
+++ b/qos_gateway/server/requests/client_requests.py
@@ -1,4 +1,4 @@
-"""Requests of the clients' connections: submitted to the engine, shed, or ended by a disconnect."""
+"""Requests received from clients: submitted to the engine, shed, or closed after a disconnect."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class CancellableAttempts(Protocol):
-    """What the clients' requests need of the connections to endpoints."""
+    """Interface of the connections to endpoints that `ClientRequests` uses."""
 
     def has_usable(self) -> bool:
         """Return whether any endpoint takes requests."""
@@ -25,11 +25,11 @@
         """End an attempt whose response is no longer needed."""
 
     def cancel_unsent(self, attempt: Attempt) -> None:
-        """End an attempt unless its last byte is sent."""
+        """End an attempt unless its command is completely sent."""
 
 
 class ClientRequests:
-    """Handles the calls of the clients' connections."""
+    """Handles the callbacks of the connections to clients."""
 
     def __init__(
         self, context: RequestContext, deadlines: RequestDeadlines, attempts: CancellableAttempts
@@ -64,7 +64,7 @@
         )
         self._handle(arrival, number)
         request = self._requests.get(number)
-        if request is not None:  # the engine has not ended it at once
+        if request is not None:  # the engine did not end it while handling the arrival
             self._deadlines.schedule(number, request)
 
     def shed(self, client_request: ClientRequest, pending_reply: PendingReply) -> None:
@@ -75,7 +75,7 @@
         pending_reply.client.reply(pending_reply, REJECTED_REPLY)
 
     def client_disconnected(self, number: int) -> None:
-        """Close a request whose client disconnected; attempts that are not wholly written are cancelled."""
+        """Close a request whose client disconnected; its attempts are cancelled unless completely written."""
         request = self._requests.get_unanswered(number)
         if request is None:
             return
--- a/qos_gateway/server/requests/final_actions.py
+++ b/qos_gateway/server/requests/final_actions.py
@@ -1,4 +1,4 @@
-"""The engine's actions that end a request: rejections, failures, and failures after an internal fault."""
+"""Actions of the engine that end a request: rejection, failure, and failure after an internal fault."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class FinalActions:
-    """Sends the final responses that the engine decides on; one to an answered request is dropped."""
+    """Sends the final responses that the engine decides; those for answered requests are dropped."""
 
     def __init__(self, context: RequestContext, repeat_guard: RepeatGuard) -> None:
         self._requests = context.requests
@@ -20,7 +20,10 @@
         self._metrics = context.metrics
 
     def reject(self, action: Reject) -> None:
-        """Reject a request that was never executed; the client may retry it."""
+        """Reject a request, which allows its client to retry it.
+
+        It fails instead if the repeat guard finds that it may have been executed.
+        """
         request = self._requests.get_unanswered(action.request_id)
         if request is None:
             return
@@ -33,13 +36,13 @@
         self._requests.answer(action.request_id, request, reply, result)
 
     def fail(self, action: Fail) -> None:
-        """Fail a request, without a statement on whether it was executed."""
+        """Fail a request; the reply does not say whether it was executed."""
         request = self._requests.get_unanswered(action.request_id)
         if request is not None:
             self._requests.answer(action.request_id, request, FAILED_REPLY, RequestResult.FAILED)
 
     def fail_after_fault(self, number: int) -> None:
-        """Fail the request that an internal fault affected, and have the engine remove it."""
+        """Fail the request in which an internal fault occurred, and remove it from the engine."""
         request = self._requests.get_unanswered(number)
         if request is not None:
             self._requests.answer(number, request, INTERNAL_FAULT_REPLY, RequestResult.FAILED)
--- a/qos_gateway/server/requests/final_replies.py
+++ b/qos_gateway/server/requests/final_replies.py
@@ -1,4 +1,4 @@
-"""The replies that end a request without a value."""
+"""Final replies that carry no value."""
 
 from __future__ import annotations
 
--- a/qos_gateway/server/requests/open_request.py
+++ b/qos_gateway/server/requests/open_request.py
@@ -1,4 +1,4 @@
-"""One request of a client while it is open."""
+"""State of one open request."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
         self.client_request = client_request
         self.pending_reply = pending_reply
         self.deadline = deadline
-        self.closed = False  # it has its final response, or its client disconnected
-        self.streaming_attempt: Attempt | None = None  # the attempt whose large value is passed to the client
-        self.attempts_started = 0  # including those that were not made
-        self.attempts: list[Attempt] = []  # all that were made, ended or not
+        self.closed = False  # answered, or its client disconnected
+        self.streaming_attempt: Attempt | None = None  # whose large value is streamed to the client
+        self.attempts_started = 0  # including those that were refused before they were sent
+        self.attempts: list[Attempt] = []  # all that were passed to a connection, ended or not
         self.attempts_in_flight: dict[int, Attempt] = {}  # by number
         self.deadline_timer: asyncio.TimerHandle | None = None
 
--- a/qos_gateway/server/requests/open_requests.py
+++ b/qos_gateway/server/requests/open_requests.py
@@ -1,4 +1,4 @@
-"""The table of open requests: the one place where a request is added, answered and removed."""
+"""The table of open requests: adds, answers and removes all requests."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class OpenRequests:
-    """All open requests by number.
+    """Open requests by number.
 
-    Each gets at most one final response, and none after its client disconnected.
+    Each gets at most one final response, and none once its client has disconnected.
     """
 
     def __init__(self, metrics: Metrics) -> None:
@@ -23,7 +23,9 @@
         self._loop = asyncio.get_running_loop()
         self._numbers = count(1)
         self._requests: dict[int, OpenRequest] = {}
-        self._open_ids: set[bytes] = set()  # the clients' ids of the requests without a final response
+        self._open_ids: set[bytes] = (
+            set()
+        )  # request ids, as sent by clients, of requests without a final response
 
     def __len__(self) -> int:
         return len(self._requests)
@@ -39,7 +41,7 @@
         return self._requests.get(number)
 
     def get_unanswered(self, number: int) -> OpenRequest | None:
-        """Return a request that waits for its final response, None for any other number."""
+        """Return a request that has no final response yet, None for any other number."""
         request = self._requests.get(number)
         return None if request is None or request.closed else request
 
@@ -53,15 +55,15 @@
         return len(self._open_ids)
 
     def client_has_disconnected(self, request: OpenRequest) -> bool:
-        """Return whether the client has closed its connection, and have that connection aborted if so.
+        """Return whether the client has closed its connection; if so, schedule an abort of that connection.
 
-        The event loop may not have read the end of the connection yet. No attempt may start more than 0.1 s
-        after it, so this is checked before each attempt.
+        No attempt may start more than 0.1 s after the client has disconnected, and the event loop may not
+        have read the end of the connection yet. So this is checked before each attempt.
         """
         client = request.pending_reply.client
         if not client.has_hung_up():
             return False
-        # The end of the connection ends its requests.
+        # The abort closes all requests of the connection.
         self._loop.call_soon(client.abort, CloseReason.HANGUP_SEEN)
         return True
 
@@ -97,8 +99,8 @@
     def remove_if_finished(self, number: int, request: OpenRequest) -> None:
         """Remove a closed request once its last attempt has ended.
 
-        The deadline timer runs until then, as it also ends attempts at endpoints that never respond. Their
-        connections and their place in the engine's in-flight count would not be released otherwise.
+        The deadline timer runs until then, as it also ends attempts at endpoints that never respond. Without
+        it, their connections and their entries in the engine's in-flight count would never be released.
         """
         if request.closed and not request.attempts_in_flight:
             if request.deadline_timer is not None:
--- a/qos_gateway/server/requests/repeat_guard.py
+++ b/qos_gateway/server/requests/repeat_guard.py
@@ -1,6 +1,6 @@
-"""The repeat guard: whether a request may be executed once more.
+"""The repeat guard: checks whether a request may be executed a second time.
 
-It uses the attempts of this process and the endpoint list, independently of the decision engine's state.
+It uses the attempts of this process and the endpoint list, and no state of the decision engine.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 
 
 class RepeatedRequest(Protocol):
-    """What the guard needs of a request."""
+    """Fields of a request that the guard reads."""
 
     attempts: list[Attempt]
 
     @property
     def attempts_started(self) -> int:
-        """Return the number of attempts, including those that were not made."""
+        """Return the number of attempts, including those that were refused before they were sent."""
 
     @property
     def client_id(self) -> bytes:
@@ -34,7 +34,7 @@
 class RepeatGuard:
     """Refuses an attempt or a rejection that could lead to a second execution of a request.
 
-    A rejection permits the client to retry. Each refusal is reported as a violation.
+    A rejection allows the client to retry. Each refusal is reported as a violation.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         monitor: InvariantMonitor,
         find_endpoint: Callable[[int], Endpoint | None],
     ) -> None:
-        """Take `find_endpoint` to return a listed endpoint by its id."""
+        """Take `find_endpoint`, which returns a listed endpoint by its id, or None."""
         self._settings = settings
         self._monitor = monitor
         self._find_endpoint = find_endpoint
@@ -91,7 +91,7 @@
             return "idempotency_window"
         before, after = self._find_endpoint(first.endpoint), self._find_endpoint(endpoint)
         if before is None or after is None:
-            return None  # the zone and the cell of an endpoint that is not listed are unknown
+            return None  # zone and cell of an unlisted endpoint are unknown
         scope = request_class.idempotency_scope
         if scope is IdempotencyScope.ZONE and before.zone != after.zone:
             return "idempotency_zone"
@@ -101,5 +101,5 @@
 
 
 def _first_possible_execution(attempts: Iterable[Attempt]) -> Attempt | None:
-    """Return the first attempt that may have been executed or may still be, None if there is none."""
+    """Return the first attempt that may have been executed or may still be executed, if any."""
     return next((attempt for attempt in attempts if attempt.outcome not in NOT_EXECUTED), None)
--- a/qos_gateway/server/requests/request_attempts.py
+++ b/qos_gateway/server/requests/request_attempts.py
@@ -1,4 +1,4 @@
-"""The engine's actions on attempts: attempts are started and cancelled on the connections to endpoints."""
+"""Actions of the engine on attempts: starts and cancels them on the connections to endpoints."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class AttemptConnections(Protocol):
-    """What attempts need of the connections to endpoints."""
+    """Interface of the connections to endpoints that `RequestAttempts` uses."""
 
     def start_attempt(self, attempt: Attempt, timeout_s: float | None) -> None:
         """Start an attempt; its end is reported exactly once, never before this returns."""
@@ -42,7 +42,7 @@
         self._loop = asyncio.get_running_loop()
 
     def start(self, action: Send) -> None:
-        """Start an attempt, or report it as not sent where the request is over or a guard refuses it."""
+        """Start an attempt, or report it as not sent if the request has ended or a guard refuses it."""
         request = self._requests.get(action.request_id)
         now = self._clock()
         if request is None:
@@ -73,7 +73,7 @@
         self._connections.start_attempt(attempt, action.timeout / SECOND if has_own_timeout else None)
 
     def _may_repeat(self, request: OpenRequest, endpoint: int, now: int) -> bool:
-        """Count and log a further attempt with its cause, and return whether the guard allows it."""
+        """Count and log a retry with its cause, and return whether the repeat guard allows it."""
         cause = retry_cause(request.attempts)
         self._metrics.retries[cause] += 1
         log_retry(request.client_id, cause, request.attempts_started, endpoint)
@@ -94,7 +94,7 @@
         self._loop.call_soon(self._handle, event, action.request_id)
 
     def cancel(self, action: CancelAttempt) -> None:
-        """Cancel an attempt in a later turn of the event loop, as its end is an event of its own."""
+        """Cancel an attempt in a later iteration of the event loop, as its end is a separate event."""
         request = self._requests.get(action.request_id)
         if request is not None and (attempt := request.attempts_in_flight.get(action.attempt)) is not None:
             self._loop.call_soon(self._cancel_if_in_flight, attempt)
--- a/qos_gateway/server/requests/request_context.py
+++ b/qos_gateway/server/requests/request_context.py
@@ -1,4 +1,4 @@
-"""What all parts that handle requests share."""
+"""Dependencies shared by the classes that handle requests."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True, eq=False, repr=False)
 class RequestContext:
-    """The table of open requests, and what changes to it are decided by and reported to."""
+    """The table of open requests, and the settings, clock, dispatcher and metrics used with it."""
 
     settings: Settings
     clock: Callable[[], int]  # ns
--- a/qos_gateway/server/requests/request_deadlines.py
+++ b/qos_gateway/server/requests/request_deadlines.py
@@ -1,4 +1,4 @@
-"""The deadlines of open requests, and the cancellation of what is left of a request at its deadline."""
+"""Deadlines of open requests; at its deadline a request fails and its attempts are cancelled."""
 
 from __future__ import annotations
 
@@ -14,18 +14,20 @@
 from .open_request import OpenRequest
 from .request_context import RequestContext
 
-DEADLINE_MARGIN_NS = 10 * MILLISECOND  # for the network to and from the client, and delays of the event loop
-NO_DEADLINE_NS = 1 << 62  # later than any request ends
+DEADLINE_MARGIN_NS = (
+    10 * MILLISECOND
+)  # covers network latency to and from the client, and delays of the event loop
+NO_DEADLINE_NS = 1 << 62  # later than the end of any request
 
 
 class ExpiringAttempts(Protocol):
-    """What deadlines need of the connections to endpoints."""
+    """Interface of the connections to endpoints that `RequestDeadlines` uses."""
 
     def expire_attempt(self, attempt: Attempt) -> None:
         """End an attempt that is past its deadline."""
 
     def limit_overtime(self, attempt: Attempt) -> None:
-        """Bound the time for which a value is streamed past the request's deadline."""
+        """Limit the time for which a value is streamed after the request's deadline."""
 
 
 class RequestDeadlines:
@@ -33,7 +35,7 @@
 
     def __init__(self, context: RequestContext, attempts: ExpiringAttempts) -> None:
         self.clock = context.clock
-        self.latest_deadline = NO_DEADLINE_NS  # of any request; brought forward when the process stops
+        self.latest_deadline = NO_DEADLINE_NS  # upper limit for all requests; lowered when the process stops
         self._class_deadlines = tuple(request_class.deadline for request_class in context.settings.classes)
         self._requests = context.requests
         self._attempts = attempts
@@ -49,7 +51,7 @@
         return min(now + time_left, self.latest_deadline)
 
     def schedule(self, number: int, request: OpenRequest) -> None:
-        """Start the timer of an open request."""
+        """Start the deadline timer of an open request."""
         delay_ns = max(0, request.deadline - self.clock())
         request.deadline_timer = self._loop.call_later(delay_ns / SECOND, self.on_deadline, number)
 
@@ -64,15 +66,15 @@
         for attempt in list(request.attempts_in_flight.values()):
             self._attempts.expire_attempt(attempt)
         if not request.closed:
-            # The engine has not ended it. FAILED makes no statement on whether it was executed.
+            # The engine did not end it. FAILED leaves open whether it was executed.
             self._requests.answer(number, request, TIMED_OUT_REPLY, RequestResult.FAILED)
             self._handle(ClientDisconnected(number))
 
     def _may_continue_streaming(self, number: int, request: OpenRequest) -> bool:
-        """Return whether a large value is still streamed past the deadline, and bound for how long.
+        """Return whether a large value may be streamed past the deadline, and limit the time for it.
 
-        A value of which nothing was written is not, so that the client gets its failure in time. A process
-        that stops streams none past its latest deadline.
+        A value of which nothing has been written is aborted, so that the client gets the failure in time. A
+        stopping process streams nothing past its latest deadline.
         """
         attempt, stream = request.streaming_attempt, request.pending_reply.stream
         now = self.clock()
--- a/qos_gateway/server/requests/request_log.py
+++ b/qos_gateway/server/requests/request_log.py
@@ -1,6 +1,6 @@
-"""The log of requests: why each was rejected or sent once more.
+"""Log lines of requests: the reason of each rejection and each retry.
 
-The lines are at debug level, as there is one for each event. The metrics count the same reasons.
+They are at debug level, as there is one for each event. The metrics count the same reasons.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def retry_cause(attempts: Sequence[Attempt]) -> RetryCause:
-    """Return the cause of the next attempt of a request with these attempts."""
+    """Return the cause of the next attempt of a request, given its attempts so far."""
     if not attempts:
         return RetryCause.NOT_SENT
     last = attempts[-1]
@@ -26,7 +26,7 @@
 
 
 def log_retry(request_id: bytes, cause: RetryCause, attempt: int, endpoint: int) -> None:
-    """Log a further attempt."""
+    """Log a retry with its cause."""
     if log.isEnabledFor(logging.DEBUG):
         log.debug(
             "request_retried request=%s cause=%s attempt=%d endpoint=%d",
@@ -38,7 +38,7 @@
 
 
 def log_rejection(request_id: bytes, reason: RejectReason, attempts: int) -> None:
-    """Log a rejection."""
+    """Log a rejection with its reason."""
     if log.isEnabledFor(logging.DEBUG):
         log.debug(
             "request_rejected request=%s reason=%s attempts=%d", request_id.decode(), reason.value, attempts
--- a/qos_gateway/server/requests/send_guard.py
+++ b/qos_gateway/server/requests/send_guard.py
@@ -1,4 +1,4 @@
-"""The send guard: whether an attempt may be written, checked immediately before its bytes are written."""
+"""The send guard: checks whether an attempt may be written, immediately before its bytes are written."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class WaitingRequest(Protocol):
-    """What the guard needs of the request that an attempt is for."""
+    """Fields of an attempt's request that the guard reads."""
 
     closed: bool
     deadline: int
@@ -22,7 +22,7 @@
 class SendGuard:
     """Refuses an attempt that must not be written, and reports it as a violation.
 
-    Earlier checks exclude such attempts, so that each refusal shows a fault of this program.
+    Earlier checks exclude such attempts, so each refusal indicates a bug in the gateway.
     """
 
     def __init__(self, monitor: InvariantMonitor) -> None:
