--- a/tests/server/test_guards.py
+++ b/tests/server/test_guards.py
@@ -44,7 +44,7 @@
         return len(self.attempts)
 
 
-def attempt_at(
+def make_attempt(
     endpoint: int = 1, started_at_ns: int = 0, outcome: Outcome | None = None, expires_at_ns: int = 2 * SECOND
 ) -> Attempt:
     attempt = Attempt(
@@ -61,12 +61,12 @@
 
 
 @pytest.fixture
-def full_log_rate_limit(monkeypatch: pytest.MonkeyPatch) -> None:
+def fresh_log_rate_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let violations that earlier tests logged suppress no line of this one."""
     monkeypatch.setattr(invariants.log, "filters", [RateLimitFilter()])
 
 
-@pytest.mark.usefixtures("full_log_rate_limit")
+@pytest.mark.usefixtures("fresh_log_rate_limit")
 @pytest.mark.parametrize(
     ("request_changes", "expires_at_ns", "send_deadline_ns", "is_drained", "rule"),
     [
@@ -79,7 +79,7 @@
         ({}, 2 * SECOND, SECOND + 1, False, None),
     ],
 )
-def test_send_guard_reports_each_broken_rule(
+def test_send_guard_reports_each_violated_rule(
     request_changes: dict[str, object],
     expires_at_ns: int,
     send_deadline_ns: int,
@@ -88,7 +88,7 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     monitor = InvariantMonitor()
-    attempt = attempt_at(expires_at_ns=expires_at_ns)
+    attempt = make_attempt(expires_at_ns=expires_at_ns)
     attempt.send_deadline_ns = send_deadline_ns
     request = replace(FakeRequest(), **request_changes)  # type: ignore[arg-type]
     assert SendGuard(monitor).allows(attempt, request, is_drained, SECOND) is (rule is None)
@@ -103,10 +103,10 @@
 }
 
 
-def settings(scope: IdempotencyScope = IdempotencyScope.CELL, hedging: bool = True) -> Settings:
-    made = make_config(1).settings
-    classes = tuple(replace(request_class, idempotency_scope=scope) for request_class in made.classes)
-    return replace(made, classes=classes, hedging=hedging, max_attempts=3)
+def make_settings(scope: IdempotencyScope = IdempotencyScope.CELL, hedging: bool = True) -> Settings:
+    base = make_config(1).settings
+    classes = tuple(replace(request_class, idempotency_scope=scope) for request_class in base.classes)
+    return replace(base, classes=classes, hedging=hedging, max_attempts=3)
 
 
 CELL, ZONE, ALL = IdempotencyScope.CELL, IdempotencyScope.ZONE, IdempotencyScope.ALL
@@ -125,42 +125,50 @@
     now_ns: int = 0
 
 
-def after(outcome: Outcome | None) -> list[Attempt]:
+def one_attempt(outcome: Outcome | None) -> list[Attempt]:
     """Return one attempt at endpoint 1 that ended so, or that is in flight."""
-    return [attempt_at(outcome=outcome)]
+    return [make_attempt(outcome=outcome)]
 
 
 @pytest.mark.parametrize(
     "case",
     [
-        RepeatCase(class_index=IDEMPOTENT, attempts=after(Outcome.RESET), allowed=True),
-        RepeatCase(class_index=IDEMPOTENT, attempts=after(Outcome.RESET) * 3, allowed=False),
-        RepeatCase(class_index=IDEMPOTENT, attempts=after(None), allowed=True),
-        RepeatCase(class_index=IDEMPOTENT, attempts=after(None), allowed=False, hedging=False),
-        RepeatCase(class_index=NOT_IDEMPOTENT, attempts=after(Outcome.CONNECT_FAILED) * 2, allowed=True),
-        RepeatCase(class_index=NOT_IDEMPOTENT, attempts=after(Outcome.OVERLOADED), allowed=True),
-        RepeatCase(class_index=NOT_IDEMPOTENT, attempts=after(Outcome.RESET), allowed=False),
-        RepeatCase(class_index=NOT_IDEMPOTENT, attempts=after(Outcome.ERROR), allowed=False),
-        RepeatCase(class_index=NOT_IDEMPOTENT, attempts=after(Outcome.TIMEOUT), allowed=False),
-        RepeatCase(class_index=NOT_IDEMPOTENT, attempts=after(None), allowed=False),
-        RepeatCase(class_index=KEYED, attempts=after(Outcome.RESET), allowed=True, endpoint=3),
-        RepeatCase(class_index=KEYED, attempts=after(Outcome.RESET), allowed=False),
-        RepeatCase(class_index=KEYED, attempts=after(Outcome.RESET), allowed=True, scope=ZONE),
-        RepeatCase(class_index=KEYED, attempts=after(Outcome.RESET), allowed=False, scope=ZONE, endpoint=3),
-        RepeatCase(class_index=KEYED, attempts=after(Outcome.RESET), allowed=True, scope=ALL, endpoint=3),
+        RepeatCase(class_index=IDEMPOTENT, attempts=one_attempt(Outcome.RESET), allowed=True),
+        RepeatCase(class_index=IDEMPOTENT, attempts=one_attempt(Outcome.RESET) * 3, allowed=False),
+        RepeatCase(class_index=IDEMPOTENT, attempts=one_attempt(None), allowed=True),
+        RepeatCase(class_index=IDEMPOTENT, attempts=one_attempt(None), allowed=False, hedging=False),
+        RepeatCase(
+            class_index=NOT_IDEMPOTENT, attempts=one_attempt(Outcome.CONNECT_FAILED) * 2, allowed=True
+        ),
+        RepeatCase(class_index=NOT_IDEMPOTENT, attempts=one_attempt(Outcome.OVERLOADED), allowed=True),
+        RepeatCase(class_index=NOT_IDEMPOTENT, attempts=one_attempt(Outcome.RESET), allowed=False),
+        RepeatCase(class_index=NOT_IDEMPOTENT, attempts=one_attempt(Outcome.ERROR), allowed=False),
+        RepeatCase(class_index=NOT_IDEMPOTENT, attempts=one_attempt(Outcome.TIMEOUT), allowed=False),
+        RepeatCase(class_index=NOT_IDEMPOTENT, attempts=one_attempt(None), allowed=False),
+        RepeatCase(class_index=KEYED, attempts=one_attempt(Outcome.RESET), allowed=True, endpoint=3),
+        RepeatCase(class_index=KEYED, attempts=one_attempt(Outcome.RESET), allowed=False),
+        RepeatCase(class_index=KEYED, attempts=one_attempt(Outcome.RESET), allowed=True, scope=ZONE),
+        RepeatCase(
+            class_index=KEYED, attempts=one_attempt(Outcome.RESET), allowed=False, scope=ZONE, endpoint=3
+        ),
+        RepeatCase(
+            class_index=KEYED, attempts=one_attempt(Outcome.RESET), allowed=True, scope=ALL, endpoint=3
+        ),
         RepeatCase(
             class_index=KEYED,
-            attempts=after(Outcome.RESET),
+            attempts=one_attempt(Outcome.RESET),
             allowed=False,
             scope=ALL,
             endpoint=3,
             now_ns=5 * SECOND,
         ),
-        RepeatCase(class_index=KEYED, attempts=after(Outcome.OVERLOADED), allowed=True, now_ns=9 * SECOND),
+        RepeatCase(
+            class_index=KEYED, attempts=one_attempt(Outcome.OVERLOADED), allowed=True, now_ns=9 * SECOND
+        ),
         # The first attempt that may have executed counts, not the first that was started.
         RepeatCase(
             class_index=KEYED,
-            attempts=[attempt_at(2, 0, Outcome.OVERLOADED), attempt_at(1, 1)],
+            attempts=[make_attempt(2, 0, Outcome.OVERLOADED), make_attempt(1, 1)],
             allowed=True,
             endpoint=3,
             now_ns=SECOND,
@@ -169,7 +177,7 @@
 )
 def test_repeat_guard_allows_only_attempts_that_idempotency_permits(case: RepeatCase) -> None:
     monitor = InvariantMonitor()
-    guard = RepeatGuard(settings(case.scope, case.hedging), monitor, ENDPOINTS.get)
+    guard = RepeatGuard(make_settings(case.scope, case.hedging), monitor, ENDPOINTS.get)
     request = FakeRequest(case.class_index, attempts=case.attempts)
     assert guard.allows_attempt(request, case.endpoint, case.now_ns) is case.allowed
     assert monitor.violations[Invariant.REPEAT] == (not case.allowed)
@@ -191,8 +199,8 @@
     class_index: int, scope: IdempotencyScope, outcome: Outcome | None, allowed: bool
 ) -> None:
     monitor = InvariantMonitor()
-    request = FakeRequest(class_index, attempts=[attempt_at(outcome=outcome)])
-    guard = RepeatGuard(settings(scope), monitor, ENDPOINTS.get)
+    request = FakeRequest(class_index, attempts=[make_attempt(outcome=outcome)])
+    guard = RepeatGuard(make_settings(scope), monitor, ENDPOINTS.get)
     assert guard.allows_rejection(request) is allowed
     assert monitor.violations[Invariant.REPEAT] == (not allowed)
 
--- a/tests/server/test_requests.py
+++ b/tests/server/test_requests.py
@@ -137,7 +137,7 @@
     return connection
 
 
-def test_client_disconnect_is_one_event() -> None:
+def test_client_disconnect_is_reported_to_the_engine_once() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             engine = script_engine(harness, forward_to(only_endpoint(harness)))
--- a/tests/server/test_value_stream.py
+++ b/tests/server/test_value_stream.py
@@ -18,11 +18,11 @@
 
 
 @pytest.mark.parametrize("size", range(1, 13))
-def test_value_goes_to_the_sink_and_what_follows_its_line_end_comes_back(size: int) -> None:
+def test_value_is_written_to_the_sink_and_the_rest_is_returned(size: int) -> None:
     sink = RecordingSink()
     stream = ValueStream(sink, len(b"val\r\n"))
     data = b"val\r\n" + b"\r\n" + b"$-1\r\n"
-    rest = b"".join(stream.feed(data[at : at + size]) for at in range(0, len(data), size))
+    remaining_data = b"".join(stream.feed(data[at : at + size]) for at in range(0, len(data), size))
     assert b"".join(sink.parts) == b"val\r\n"
     assert b"" not in sink.parts
-    assert rest == b"$-1\r\n"
+    assert remaining_data == b"$-1\r\n"
