--- a/qos_gateway/server/requests/open_request.py
+++ b/qos_gateway/server/requests/open_request.py
@@ -31,7 +31,7 @@
         self.deadline = deadline
         self.closed = False  # answered, or its client disconnected
         self.streaming_attempt: Attempt | None = None  # whose large value is streamed to the client
-        self.attempts_started = 0  # including those that were refused before they were sent
+        self.attempts_started = 0  # including those that were never passed to a connection
         self.attempts: list[Attempt] = []  # all that were passed to a connection, ended or not
         self.attempts_in_flight: dict[int, Attempt] = {}  # by number
         self.deadline_timer: asyncio.TimerHandle | None = None
--- a/qos_gateway/server/requests/open_requests.py
+++ b/qos_gateway/server/requests/open_requests.py
@@ -23,9 +23,7 @@
         self._loop = asyncio.get_running_loop()
         self._numbers = count(1)
         self._requests: dict[int, OpenRequest] = {}
-        self._open_ids: set[bytes] = (
-            set()
-        )  # request ids, as sent by clients, of requests without a final response
+        self._open_ids: set[bytes] = set()  # ids that clients gave to the requests without a final response
 
     def __len__(self) -> int:
         return len(self._requests)
--- a/qos_gateway/server/requests/repeat_guard.py
+++ b/qos_gateway/server/requests/repeat_guard.py
@@ -20,7 +20,7 @@
 
     @property
     def attempts_started(self) -> int:
-        """Return the number of attempts, including those that were refused before they were sent."""
+        """Return the number of attempts, including those never passed to a connection."""
 
     @property
     def client_id(self) -> bytes:
--- a/qos_gateway/server/requests/request_deadlines.py
+++ b/qos_gateway/server/requests/request_deadlines.py
@@ -14,9 +14,7 @@
 from .open_request import OpenRequest
 from .request_context import RequestContext
 
-DEADLINE_MARGIN_NS = (
-    10 * MILLISECOND
-)  # covers network latency to and from the client, and delays of the event loop
+DEADLINE_MARGIN_NS = 10 * MILLISECOND  # for network latency in both directions and event loop delays
 NO_DEADLINE_NS = 1 << 62  # later than the end of any request
 
 
@@ -35,7 +33,7 @@
 
     def __init__(self, context: RequestContext, attempts: ExpiringAttempts) -> None:
         self.clock = context.clock
-        self.latest_deadline = NO_DEADLINE_NS  # upper limit for all requests; lowered when the process stops
+        self.latest_deadline = NO_DEADLINE_NS  # bounds all requests; lowered when the process stops
         self._class_deadlines = tuple(request_class.deadline for request_class in context.settings.classes)
         self._requests = context.requests
         self._attempts = attempts
--- a/tests/server/test_engine_faults.py
+++ b/tests/server/test_engine_faults.py
@@ -1,4 +1,4 @@
-"""Exceptions in the engine or in its actions: each costs at most the request that it concerns."""
+"""Exceptions in the engine or in one of its actions: each fails at most the request that it concerns."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 def test_failed_action_does_not_prevent_the_others(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The engine sets its periodic timer once a tick: it must be set once, not lost and not set twice."""
+    """The engine sets its periodic timer once per tick: a failed action must neither drop nor repeat it."""
 
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -102,7 +102,7 @@
 
 
 def test_endpoint_list_that_causes_a_fault_is_requested_again() -> None:
-    """A fault must not lose the notice of a drain: rule 3 counts from the time at which it was sent."""
+    """A fault must not lose the notice of a drain: the drain grace counts from when the notice was sent."""
 
     class FaultyEngine(ScriptedEngine):
         def handle(self, now: int, event: Event) -> list[Action]:
--- a/tests/server/test_guards.py
+++ b/tests/server/test_guards.py
@@ -1,4 +1,4 @@
-"""The run-time guards of sends, retries, closes, start and stop: each must detect a faulty gateway."""
+"""Run-time guards of sends, retries, closes, start and stop: each must detect its violations."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from tests.support.gateway_harness import gateway_harness
 from tests.support.scripted_engine import forward_to, leave_open, only_endpoint, script_engine
 
-IDEMPOTENT, KEYED, NOT_IDEMPOTENT = 0, 1, 2  # classes of the settings of the tests
+IDEMPOTENT, KEYED, NOT_IDEMPOTENT = 0, 1, 2  # indexes of the classes in the settings of the tests
 COMMAND = RequestCommand((b"CALL.GET", b"c", b"i"), b"", b"", ())
 
 
@@ -62,7 +62,7 @@
 
 @pytest.fixture
 def fresh_log_rate_limit(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let violations that earlier tests logged suppress no line of this one."""
+    """Reset the rate limit of the log, so that violations of earlier tests suppress no line of this one."""
     monkeypatch.setattr(invariants.log, "filters", [RateLimitFilter()])
 
 
@@ -114,7 +114,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RepeatCase:
-    """A further attempt at an endpoint, and the attempts that its request has had before."""
+    """A retry at `endpoint`, and the earlier attempts of its request."""
 
     class_index: int
     attempts: list[Attempt]
@@ -126,7 +126,7 @@
 
 
 def one_attempt(outcome: Outcome | None) -> list[Attempt]:
-    """Return one attempt at endpoint 1 that ended so, or that is in flight."""
+    """Return one attempt at endpoint 1 that ended with `outcome`, or that is in flight if it is None."""
     return [make_attempt(outcome=outcome)]
 
 
@@ -165,7 +165,7 @@
         RepeatCase(
             class_index=KEYED, attempts=one_attempt(Outcome.OVERLOADED), allowed=True, now_ns=9 * SECOND
         ),
-        # The first attempt that may have executed counts, not the first that was started.
+        # The window and the cell are those of the first attempt that may have executed, here the second.
         RepeatCase(
             class_index=KEYED,
             attempts=[make_attempt(2, 0, Outcome.OVERLOADED), make_attempt(1, 1)],
@@ -216,7 +216,7 @@
 
 
 def test_faulty_engine_cannot_execute_a_request_twice() -> None:
-    """The engine retries a request that is not idempotent, then invites its client to retry."""
+    """The engine retries a request that is not idempotent, then rejects it, so that its client may retry."""
 
     async def test() -> None:
         async with gateway_harness() as harness:
--- a/tests/server/test_load_reports.py
+++ b/tests/server/test_load_reports.py
@@ -1,4 +1,4 @@
-"""What endpoints report to the engine: load, quota usage and health."""
+"""Reports of endpoints that are passed to the engine: load, quota usage and health."""
 
 from __future__ import annotations
 
--- a/tests/server/test_requests.py
+++ b/tests/server/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests through a gateway: what the client, the engine and the endpoint receive of each other."""
+"""Requests through a gateway: what the client, the engine and the endpoint each receive."""
 
 from __future__ import annotations
 
@@ -122,13 +122,13 @@
             client = await harness.connect_client()
             client.send(call_command(wait_ms=60))
             assert str(await client.next_message()).startswith("ERR")
-            assert len(engine.events_of(ClientDisconnected)) == 1  # it ends the request in the engine
+            assert len(engine.events_of(ClientDisconnected)) == 1  # which ends the request in the engine
 
     run_on_loop(test)
 
 
 async def disconnect_with_a_request_in_flight(harness: GatewayHarness, engine: ScriptedEngine) -> Connection:
-    """Let a client send a request and disconnect; return the connection to the endpoint that serves it."""
+    """Send a request and disconnect its client; return the connection on which the endpoint received it."""
     client = await harness.connect_client()
     client.send(call_command())
     connection, _ = await harness.endpoint.next_command()
@@ -153,7 +153,7 @@
 
 
 def test_attempt_whose_client_disconnected_ends_at_its_deadline() -> None:
-    """A failed endpoint may send nothing, not even an end of its connection."""
+    """A failed endpoint may neither respond nor close its connection; the deadline then ends the attempt."""
 
     async def test() -> None:
         async with gateway_harness() as harness:
--- a/tests/server/test_resp_connection.py
+++ b/tests/server/test_resp_connection.py
@@ -1,4 +1,4 @@
-"""The RESP connection that the tests use."""
+"""The RESP connection with which tests act as a client or as an endpoint."""
 
 from __future__ import annotations
 
--- a/tests/server/test_value_stream.py
+++ b/tests/server/test_value_stream.py
@@ -1,4 +1,4 @@
-"""Which bytes of a large response go to its sink, and which are left to the parser."""
+"""Large responses: the bytes of the value are written to the sink, the others are left to the parser."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RecordingSink:
-    """Keeps each part that it was given."""
+    """Records each part that is written to it."""
 
     def __init__(self) -> None:
         self.parts: list[bytes] = []
