--- a/qos_gateway/server/requests/repeat_guard.py
+++ b/qos_gateway/server/requests/repeat_guard.py
@@ -1,6 +1,6 @@
-"""The repeat guard: whether a request may be executed once more.
+"""The repeat guard: checks whether a request may be executed a second time.
 
-It uses the attempts of this process and the endpoint list, independently of the decision engine's state.
+It uses the attempts of this process and the endpoint list, and no state of the decision engine.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 
 
 class RepeatedRequest(Protocol):
-    """What the guard needs of a request."""
+    """Fields of a request that the guard reads."""
 
     attempts: list[Attempt]
 
     @property
     def attempts_started(self) -> int:
-        """Return the number of attempts, including those that were not made."""
+        """Return the number of attempts, including those never passed to a connection."""
 
     @property
     def client_id(self) -> bytes:
@@ -34,7 +34,7 @@
 class RepeatGuard:
     """Refuses an attempt or a rejection that could lead to a second execution of a request.
 
-    A rejection permits the client to retry. Each refusal is reported as a violation.
+    A rejection allows the client to retry. Each refusal is reported as a violation.
     """
 
     def __init__(
@@ -43,14 +43,14 @@
         monitor: InvariantMonitor,
         find_endpoint: Callable[[int], Endpoint | None],
     ) -> None:
-        """Take `find_endpoint` to return a listed endpoint by its id."""
+        """Take `find_endpoint`, which returns a listed endpoint by its id, or None."""
         self._settings = settings
         self._monitor = monitor
         self._find_endpoint = find_endpoint
 
     def allows_attempt(self, request: RepeatedRequest, endpoint: int, now: int) -> bool:
         """Return whether a further attempt may be made at an endpoint at `now`, in ns."""
-        return self._check(request, self._broken_rule(request, endpoint, now))
+        return self._check(request, self._violated_rule(request, endpoint, now))
 
     def allows_rejection(self, request: RepeatedRequest) -> bool:
         """Return whether the client may retry the request at any endpoint."""
@@ -69,7 +69,7 @@
         self._monitor.report(Invariant.REPEAT, rule, request.client_id)
         return False
 
-    def _broken_rule(self, request: RepeatedRequest, endpoint: int, now: int) -> str | None:
+    def _violated_rule(self, request: RepeatedRequest, endpoint: int, now: int) -> str | None:
         if request.attempts_started >= self._settings.max_attempts:
             return "too_many_attempts"
         if not self._settings.hedging and any(not attempt.ended for attempt in request.attempts):
@@ -81,17 +81,17 @@
         if request_class.idempotence is Idempotence.NOT_IDEMPOTENT:
             return "not_idempotent"
         if request_class.idempotence is Idempotence.KEYED:
-            return self._broken_key_rule(request_class, first, endpoint, now)
+            return self._violated_idempotency_key_rule(request_class, first, endpoint, now)
         return None
 
-    def _broken_key_rule(
+    def _violated_idempotency_key_rule(
         self, request_class: RequestClass, first: Attempt, endpoint: int, now: int
     ) -> str | None:
         if now - first.started_at_ns >= request_class.idempotency_window:
             return "idempotency_window"
         before, after = self._find_endpoint(first.endpoint), self._find_endpoint(endpoint)
         if before is None or after is None:
-            return None  # the zone and the cell of an endpoint that is not listed are unknown
+            return None  # zone and cell of an unlisted endpoint are unknown
         scope = request_class.idempotency_scope
         if scope is IdempotencyScope.ZONE and before.zone != after.zone:
             return "idempotency_zone"
@@ -101,5 +101,5 @@
 
 
 def _first_possible_execution(attempts: Iterable[Attempt]) -> Attempt | None:
-    """Return the first attempt that may have been executed or may still be, None if there is none."""
+    """Return the first attempt that may have been executed or may still be executed, if any."""
     return next((attempt for attempt in attempts if attempt.outcome not in NOT_EXECUTED), None)
--- a/qos_gateway/server/requests/request_attempts.py
+++ b/qos_gateway/server/requests/request_attempts.py
@@ -1,4 +1,4 @@
-"""The engine's actions on attempts: attempts are started and cancelled on the connections to endpoints."""
+"""Actions of the engine on attempts: starts and cancels them on the connections to endpoints."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class AttemptConnections(Protocol):
-    """What attempts need of the connections to endpoints."""
+    """Interface of the connections to endpoints that `RequestAttempts` uses."""
 
     def start_attempt(self, attempt: Attempt, timeout_s: float | None) -> None:
         """Start an attempt; its end is reported exactly once, never before this returns."""
@@ -42,7 +42,7 @@
         self._loop = asyncio.get_running_loop()
 
     def start(self, action: Send) -> None:
-        """Start an attempt, or report it as not sent where the request is over or a guard refuses it."""
+        """Start an attempt, or report it as not sent if the request has ended or a guard refuses it."""
         request = self._requests.get(action.request_id)
         now = self._clock()
         if request is None:
@@ -50,18 +50,18 @@
             log.error("attempt_of_closed_request request=%d", action.request_id)
             self._report_not_sent(action, 0, request_finished=True)
             return
-        index = request.attempts_started
-        is_refused = index > 0 and not self._may_repeat(request, action.endpoint, now)
+        attempt_number = request.attempts_started
+        is_refused = attempt_number > 0 and not self._may_repeat(request, action.endpoint, now)
         request.attempts_started += 1
-        is_finished = request.closed or self._requests.client_has_left(request)
+        is_finished = request.closed or self._requests.client_has_disconnected(request)
         time_left = request.deadline - now
         if is_finished or is_refused or time_left <= 0:
-            self._report_not_sent(action, index, request_finished=is_finished)
+            self._report_not_sent(action, attempt_number, request_finished=is_finished)
             return
         has_own_timeout = 0 < action.timeout < time_left
         attempt = Attempt(
             request=action.request_id,
-            number=index,
+            number=attempt_number,
             endpoint=action.endpoint,
             started_at_ns=now,
             expires_at_ns=now + (action.timeout if has_own_timeout else time_left),
@@ -69,17 +69,17 @@
             send_deadline_ns=action.send_deadline,
         )
         request.attempts.append(attempt)
-        request.attempts_in_flight[index] = attempt
+        request.attempts_in_flight[attempt_number] = attempt
         self._connections.start_attempt(attempt, action.timeout / SECOND if has_own_timeout else None)
 
     def _may_repeat(self, request: OpenRequest, endpoint: int, now: int) -> bool:
-        """Count and log a further attempt with its cause, and return whether the guard allows it."""
+        """Count and log a retry with its cause, and return whether the repeat guard allows it."""
         cause = retry_cause(request.attempts)
         self._metrics.retries[cause] += 1
         log_retry(request.client_id, cause, request.attempts_started, endpoint)
         return self._repeat_guard.allows_attempt(request, endpoint, now)
 
-    def _report_not_sent(self, action: Send, index: int, request_finished: bool) -> None:
+    def _report_not_sent(self, action: Send, attempt_number: int, request_finished: bool) -> None:
         event = AttemptEnded(
             request_id=action.request_id,
             request_finished=request_finished,
@@ -88,13 +88,13 @@
             quota_usage=0,
             outcome=Outcome.NOT_SENT,
             elapsed=0,
-            attempt=index,
+            attempt=attempt_number,
             load_report=(),
         )
         self._loop.call_soon(self._handle, event, action.request_id)
 
     def cancel(self, action: CancelAttempt) -> None:
-        """Cancel an attempt in a later turn of the event loop, as its end is an event of its own."""
+        """Cancel an attempt in a later iteration of the event loop, as its end is a separate event."""
         request = self._requests.get(action.request_id)
         if request is not None and (attempt := request.attempts_in_flight.get(action.attempt)) is not None:
             self._loop.call_soon(self._cancel_if_in_flight, attempt)
--- a/qos_gateway/server/requests/send_guard.py
+++ b/qos_gateway/server/requests/send_guard.py
@@ -1,4 +1,4 @@
-"""The send guard: whether an attempt may be written, checked immediately before its bytes are written."""
+"""The send guard: checks whether an attempt may be written, immediately before its bytes are written."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class WaitingRequest(Protocol):
-    """What the guard needs of the request that an attempt is for."""
+    """Fields of an attempt's request that the guard reads."""
 
     closed: bool
     deadline: int
@@ -22,7 +22,7 @@
 class SendGuard:
     """Refuses an attempt that must not be written, and reports it as a violation.
 
-    Earlier checks exclude such attempts, so that each refusal shows a fault of this program.
+    Earlier checks exclude such attempts, so each refusal indicates a bug in the gateway.
     """
 
     def __init__(self, monitor: InvariantMonitor) -> None:
@@ -30,13 +30,13 @@
 
     def allows(self, attempt: Attempt, request: WaitingRequest | None, is_drained: bool, now: int) -> bool:
         """Return whether an attempt may be written at `now`, in ns; `request` is None for a health check."""
-        rule = self._broken_rule(attempt, request, is_drained, now)
+        rule = self._violated_rule(attempt, request, is_drained, now)
         if rule is None:
             return True
         self._monitor.report(Invariant.SEND, rule, b"" if request is None else request.client_id)
         return False
 
-    def _broken_rule(
+    def _violated_rule(
         self, attempt: Attempt, request: WaitingRequest | None, is_drained: bool, now: int
     ) -> str | None:
         if is_drained:
