--- a/qos_gateway/server/counter/client.py
+++ b/qos_gateway/server/counter/client.py
@@ -157,14 +157,14 @@
         """
         self._expiry_timer = None
         now_s = self.time()
-        while self._incomplete and self._is_over(self._incomplete[0], now_s):
+        while self._incomplete and self._is_completed_or_expired(self._incomplete[0], now_s):
             self._complete_expired(self._incomplete.popleft())
         self._write_waiting()
         if self._incomplete and self._expiry_timer is None:
             delay_s = self._incomplete[0].called_at_s + self._timeout_s - now_s
             self._expiry_timer = self._loop.call_later(max(MIN_EXPIRY_DELAY_S, delay_s), self._expire)
 
-    def _is_over(self, increment: PendingIncrement, now_s: float) -> bool:
+    def _is_completed_or_expired(self, increment: PendingIncrement, now_s: float) -> bool:
         return increment.completed or now_s - increment.called_at_s >= self._timeout_s
 
     def _complete_expired(self, increment: PendingIncrement) -> None:
--- a/qos_gateway/server/counter/connections.py
+++ b/qos_gateway/server/counter/connections.py
@@ -22,7 +22,7 @@
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
 
-CONNECTIONS = 4  # several, as a missing response delays all requests behind it on its connection
+CONNECTION_COUNT = 4  # several, as a missing response delays all requests behind it on its connection
 INITIAL_BACKOFF_S = 0.05  # between attempts to connect; doubles with each that fails
 MAX_BACKOFF_S = 0.5
 RESPONSE_TIMEOUT_S = 1.0  # for the oldest pending request: the counter's machine counts as stopped
@@ -57,7 +57,7 @@
         self._active: list[CounterConnection] = []
         self._draining: list[CounterConnection] = []  # at the previous address, until their last response
         self._address_changed = False  # the active connections still lead to the previous address
-        self._latest_answered_call_s = 0.0  # when the latest of the answered requests was made
+        self._newest_answered_call_at_s = 0.0  # when the latest of the answered requests was made
         self._last_attempt_failed = False
         self._closed = False
         self._connect_task: asyncio.Task[None] | None = None
@@ -109,7 +109,7 @@
 
     async def _open_missing(self) -> None:
         backoff_s = INITIAL_BACKOFF_S
-        while self._address_changed or len(self._active) < CONNECTIONS:
+        while self._address_changed or len(self._active) < CONNECTION_COUNT:
             try:
                 connection = await self._open()
             except (OSError, TimeoutError) as error:
@@ -152,8 +152,8 @@
 
     def on_response(self, request: PendingRequest, response: CounterResponse) -> None:
         """Forward a response to the listener."""
-        if request.called_at_s > self._latest_answered_call_s:
-            self._latest_answered_call_s = request.called_at_s
+        if request.called_at_s > self._newest_answered_call_at_s:
+            self._newest_answered_call_at_s = request.called_at_s
         self._listener.on_response(request, response)
 
     def on_connection_closed(self, connection: CounterConnection, reason: str) -> None:
@@ -188,7 +188,7 @@
         now_s = self.time()
         for connection in (*self._active, *self._draining):
             self.abandon_if_response_missing(connection, call_timeout_s)
-            self._abandon_if_silent(connection, now_s)
+            self._abandon_if_timed_out(connection, now_s)
         self._close_drained()
         self._ping_idle(now_s)
 
@@ -201,12 +201,12 @@
         oldest_called_at_s = connection.oldest_called_at_s()
         if oldest_called_at_s is None or self.time() - oldest_called_at_s < call_timeout_s:
             return False
-        if oldest_called_at_s >= self._latest_answered_call_s:
+        if oldest_called_at_s >= self._newest_answered_call_at_s:
             return False
         self.abandon(connection, AbandonReason.RESPONSE_MISSING)
         return True
 
-    def _abandon_if_silent(self, connection: CounterConnection, now_s: float) -> None:
+    def _abandon_if_timed_out(self, connection: CounterConnection, now_s: float) -> None:
         oldest_called_at_s = connection.oldest_called_at_s()
         if oldest_called_at_s is not None and now_s - oldest_called_at_s >= RESPONSE_TIMEOUT_S:
             self.abandon(connection, AbandonReason.RESPONSE_TIMEOUT)
--- a/qos_gateway/server/discovery/client.py
+++ b/qos_gateway/server/discovery/client.py
@@ -39,7 +39,7 @@
     """
 
     def __init__(self, options: DiscoveryOptions, on_update: Callable[[EndpointUpdate], None]) -> None:
-        """Take `on_update` as what applies an update; the watch ends where it raises `ListError`."""
+        """Take `on_update` as what applies an update; the watch ends where it raises `EndpointListError`."""
         self._options = options
         self._agent = options.agent
         self._on_update = on_update
@@ -59,7 +59,7 @@
             return
         log.info("discovery_address_changed to=%s:%d", *agent)
         self._agent = agent
-        self._schedule.on_moved(asyncio.get_running_loop().time())
+        self._schedule.on_agent_changed(asyncio.get_running_loop().time())
         if self._task is not None:
             self._task.cancel()
             self.start()
@@ -79,12 +79,12 @@
         """Return the list in discovery's form; None if there was none yet."""
         return self._list.snapshot()
 
-    def note_known(self, update: EndpointUpdate) -> None:
+    def record_cached_list(self, update: EndpointUpdate) -> None:
         """Continue from the configuration's list, which is in force already."""
-        self._list.note_known(update)
+        self._list.record_cached_list(update)
 
-    def adopt_list(self, raw: dict[str, Any]) -> EndpointUpdate:
-        """Continue from the list of the previous process, and return it; raises `ListError`."""
+    def restore_list(self, raw: dict[str, Any]) -> EndpointUpdate:
+        """Continue from the list of the previous process, and return it; raises `EndpointListError`."""
         update = self._parse(raw, cached=True)
         self._list.store(raw, update)
         return update
--- a/qos_gateway/server/discovery/endpoint_directory.py
+++ b/qos_gateway/server/discovery/endpoint_directory.py
@@ -54,7 +54,7 @@
     def apply(self, update: EndpointUpdate) -> None:
         """Apply a full list, which removes the endpoints that it does not name, or changes to the list."""
         if update.topology.kind is not ListKind.DELTA:
-            self._remove_unnamed({entry.id for entry in update.topology.entries})
+            self._remove_unlisted({entry.id for entry in update.topology.entries})
         for entry in update.topology.entries:
             self._apply_entry(entry, update.addresses)
 
@@ -71,8 +71,8 @@
         for endpoint in endpoints:
             self.set_admin_disabled(endpoint, True)
 
-    def _remove_unnamed(self, named: set[int]) -> None:
-        for endpoint in self._listed.keys() - named:
+    def _remove_unlisted(self, listed_ids: set[int]) -> None:
+        for endpoint in self._listed.keys() - listed_ids:
             del self._listed[endpoint]
             self._update_address(endpoint)
 
--- a/qos_gateway/server/discovery/endpoint_feed.py
+++ b/qos_gateway/server/discovery/endpoint_feed.py
@@ -11,13 +11,13 @@
 from ..event_dispatcher import TopologyNotAppliedError
 from .endpoint_directory import EndpointDirectory
 from .endpoint_list import EndpointUpdate, parse_update
-from .errors import ListError
+from .errors import EndpointListError
 
 log = logging.getLogger(__name__)
 
 FIRST_LIST_TIMEOUT_S = 0.5  # for discovery at the start, before clients are accepted without a list
 CACHED_LIST_TIMEOUT_S = 0.15  # the same where a cached list can serve requests
-SOCKET_POLL_S = 0.01  # one turn of the event loop reads its sockets within this time
+SOCKET_POLL_INTERVAL_S = 0.01  # one turn of the event loop reads its sockets within this time
 
 
 class TopologyHandler(Protocol):
@@ -40,24 +40,24 @@
     def __init__(self, directory: EndpointDirectory, dispatcher: TopologyHandler) -> None:
         self._directory = directory
         self._dispatcher = dispatcher
-        self._received = asyncio.Event()
+        self._list_received = asyncio.Event()
 
-    def is_received(self) -> bool:
+    def has_received_list(self) -> bool:
         """Return whether this process has applied a list from discovery itself."""
-        return self._received.is_set()
+        return self._list_received.is_set()
 
     def apply(self, update: EndpointUpdate) -> None:
-        """Apply a list or changes to it; raises `ListError` where the engine did not apply it."""
+        """Apply a list or changes to it; raises `EndpointListError` where the engine did not apply it."""
         self._directory.apply(update)
         try:
             self._dispatcher.handle(update.topology)
         except TopologyNotAppliedError as error:
-            raise ListError(str(error)) from error
+            raise EndpointListError(str(error)) from error
 
     def on_update(self, update: EndpointUpdate) -> None:
-        """Apply an update from discovery; raises `ListError` where the engine did not apply it."""
+        """Apply an update from discovery; raises `EndpointListError` where the engine did not apply it."""
         self.apply(update)
-        self._received.set()
+        self._list_received.set()
 
     def apply_cached(self, config: Config) -> EndpointUpdate | None:
         """Apply the configuration's list and return it.
@@ -75,19 +75,19 @@
         try:
             update = parse_update(config.cached_list, config.zones, config.machine_classes, cached=True)
             self.apply(update)
-        except ListError as error:
+        except EndpointListError as error:
             log.warning("known_list_invalid error=%s", error)
             return None
         return update
 
-    async def wait_for_first(self, endpoint_connections: UsableEndpoints) -> None:
+    async def wait_for_first_list(self, endpoint_connections: UsableEndpoints) -> None:
         """Wait for the first list from discovery, for less time where a cached list can serve requests."""
         timeout_s = CACHED_LIST_TIMEOUT_S if endpoint_connections.has_usable() else FIRST_LIST_TIMEOUT_S
         try:
             async with asyncio.timeout(timeout_s):
-                await self._received.wait()
+                await self._list_received.wait()
         except TimeoutError:
             # A delayed loop handles its timer before it reads the list from the socket.
-            await asyncio.sleep(SOCKET_POLL_S)
-            if not self._received.is_set():
+            await asyncio.sleep(SOCKET_POLL_INTERVAL_S)
+            if not self._list_received.is_set():
                 log.warning("discovery_late starting_with=last_known_list")
--- a/qos_gateway/server/discovery/endpoint_list.py
+++ b/qos_gateway/server/discovery/endpoint_list.py
@@ -11,7 +11,7 @@
 from ...units import MILLISECOND
 from ..config import Address, ConfigError, address
 from . import field_names
-from .errors import ListError
+from .errors import EndpointListError
 
 ENDPOINT_ID_BYTES = 6
 _HEALTH_BY_NAME = {
@@ -39,7 +39,7 @@
 ) -> EndpointUpdate:
     """Parse a decoded JSON object; zones and machine classes become indices into the names given.
 
-    `cached` marks a list that did not come from discovery itself. Raises `ListError`.
+    `cached` marks a list that did not come from discovery itself. Raises `EndpointListError`.
     """
     try:
         addresses: dict[int, Address] = {}
@@ -52,7 +52,7 @@
             entries.append(entry)
         return EndpointUpdate(Topology(kind, int(raw[field_names.VERSION]), tuple(entries)), addresses)
     except (AttributeError, KeyError, TypeError, ValueError, OverflowError, ConfigError) as error:
-        raise ListError(f"{type(error).__name__}: {error}") from None
+        raise EndpointListError(f"{type(error).__name__}: {error}") from None
 
 
 def _list_kind(raw: Any, cached: bool) -> ListKind:
--- a/qos_gateway/server/discovery/errors.py
+++ b/qos_gateway/server/discovery/errors.py
@@ -3,5 +3,5 @@
 from __future__ import annotations
 
 
-class ListError(ValueError):
+class EndpointListError(ValueError):
     """An endpoint list, or a change to it, that cannot be read or applied."""
--- a/qos_gateway/server/discovery/json_objects.py
+++ b/qos_gateway/server/discovery/json_objects.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from .errors import ListError
+from .errors import EndpointListError
 
 _CLOSING_BRACKETS = (b"}", b"]")
 
@@ -30,12 +30,12 @@
     def read_line(self, line: bytes) -> None:
         """Read the next line.
 
-        Raises `ValueError` for invalid JSON, `ListError` for an empty line within an object.
+        Raises `ValueError` for invalid JSON, `EndpointListError` for an empty line within an object.
         """
         if line.strip():
             self._object_lines.append(line)
         elif self._object_lines:
-            raise ListError("an empty line within an object")
+            raise EndpointListError("an empty line within an object")
         if self._may_be_complete(line):
             self._parse()
 
--- a/qos_gateway/server/discovery/watch_connection.py
+++ b/qos_gateway/server/discovery/watch_connection.py
@@ -12,7 +12,7 @@
 
 import h11
 
-from .errors import ListError
+from .errors import EndpointListError
 from .field_names import WATCH_TARGET
 from .json_objects import JsonObjectReader
 from .watch_end_reason import WatchEndReason
@@ -62,7 +62,7 @@
         self._reader = JsonObjectReader(on_object)
         self._last_data_at_s = self._loop.time()
         self._silence_deadline_s = silence_deadline_s
-        self._has_data = False
+        self._has_received_body = False
         self._timer: asyncio.TimerHandle | None = None
         self._transport: asyncio.Transport | None = None
         self.ended: asyncio.Future[None] = self._loop.create_future()
@@ -107,7 +107,7 @@
                 if event is h11.NEED_DATA or event is h11.PAUSED:
                     return
                 self._on_event(event)
-        except (h11.RemoteProtocolError, ListError, ValueError) as error:
+        except (h11.RemoteProtocolError, EndpointListError, ValueError) as error:
             self._finish(WatchEndReason.INVALID_RESPONSE, error)
 
     def _on_event(self, event: object) -> None:
@@ -125,7 +125,7 @@
 
     def _read_body(self, data: bytes) -> None:
         self._last_data_at_s = self._loop.time()  # only a body counts: a head without one is silence
-        self._has_data = True
+        self._has_received_body = True
         for line in self._reader.split_lines(data):
             self._reader.read_line(line)
             if self._reader.is_between_objects():
@@ -145,19 +145,19 @@
 
     def _check_idle(self) -> None:
         """End a silent watch: a machine that stops closes no connection."""
-        time_left_s = self._idle_until_s() - self._loop.time()
+        time_left_s = self._idle_deadline_s() - self._loop.time()
         if time_left_s <= 0:
             self._finish(WatchEndReason.IDLE_TIMEOUT)
         else:
             self._timer = self._loop.call_later(time_left_s, self._check_idle)
 
-    def _idle_until_s(self) -> float:
+    def _idle_deadline_s(self) -> float:
         """Return when the watch ends unless data is received before."""
-        idle_until_s = self._last_data_at_s + IDLE_TIMEOUT_S
+        idle_deadline_s = self._last_data_at_s + IDLE_TIMEOUT_S
         if self._last_data_at_s >= self._silence_deadline_s:
-            return idle_until_s
-        heartbeat_until_s = self._last_data_at_s + HEARTBEAT_TIMEOUT_S if self._has_data else 0.0
-        return min(idle_until_s, max(self._silence_deadline_s, heartbeat_until_s))
+            return idle_deadline_s
+        heartbeat_deadline_s = self._last_data_at_s + HEARTBEAT_TIMEOUT_S if self._has_received_body else 0.0
+        return min(idle_deadline_s, max(self._silence_deadline_s, heartbeat_deadline_s))
 
     # The end.
 
--- a/qos_gateway/server/discovery/watch_schedule.py
+++ b/qos_gateway/server/discovery/watch_schedule.py
@@ -9,7 +9,7 @@
 MAX_BACKOFF_S = 2.0
 MAX_BACKOFF_GRACE_FRACTION = 0.5  # of the drain grace: a drain may begin while no watch is open
 PROPAGATION_DEADLINE_S = 6.0  # after it a change counts as known here, even if all calls failed
-PROPAGATION_DEADLINE_AFTER_MOVE_S = 4.0  # the same after a change of the agent
+PROPAGATION_DEADLINE_AFTER_AGENT_CHANGE_S = 4.0  # the same after a change of the agent
 FIRST_LIST_DEADLINE_S = 3.0  # the same without any list, as no request is served before the first
 UPDATE_TIME_S = 0.6  # for the call itself and for applying the largest list
 OVERLOAD_MIN_WAIT_FRACTION = 2 / 3  # of the time left, in which an overloaded discovery gets no call
@@ -37,10 +37,10 @@
         self._backoff_s = INITIAL_BACKOFF_S
         self._call_due_at_s = at_s + deadline_s - UPDATE_TIME_S
 
-    def on_moved(self, at_s: float) -> None:
+    def on_agent_changed(self, at_s: float) -> None:
         """Note that the agent has changed, which shortens the deadline; a second move extends no deadline."""
         due_before_s = self._call_due_at_s
-        self.on_up_to_date(at_s, PROPAGATION_DEADLINE_AFTER_MOVE_S)
+        self.on_up_to_date(at_s, PROPAGATION_DEADLINE_AFTER_AGENT_CHANGE_S)
         if due_before_s is not None and due_before_s > at_s and self._call_due_at_s is not None:
             self._call_due_at_s = min(due_before_s, self._call_due_at_s)
 
@@ -59,7 +59,7 @@
         self, called_at_s: float, now_s: float, deadline_s: float = PROPAGATION_DEADLINE_S
     ) -> float:
         """Return the wait after a call that was refused, reset, malformed or never answered."""
-        time_left_s = self._take_time_left(called_at_s, now_s, deadline_s)
+        time_left_s = self._consume_time_left(called_at_s, now_s, deadline_s)
         backoff_s = min(self._backoff_s, self._max_backoff_s, time_left_s)
         self._backoff_s = min(MAX_BACKOFF_S, 2 * self._backoff_s)
         return backoff_s * self._rng.uniform(0.5, 1.0)
@@ -75,12 +75,12 @@
 
         It takes most of the time left: a fleet that retries sooner keeps discovery from serving anyone.
         """
-        time_left_s = self._take_time_left(called_at_s, now_s, deadline_s)
+        time_left_s = self._consume_time_left(called_at_s, now_s, deadline_s)
         advised_fraction = max(OVERLOAD_MIN_WAIT_FRACTION, retry_after_s / time_left_s)
         min_fraction = min(OVERLOAD_MAX_ADVISED_FRACTION, advised_fraction)
         return time_left_s * self._rng.uniform(min_fraction, 1.0)
 
-    def _take_time_left(self, called_at_s: float, now_s: float, deadline_s: float) -> float:
+    def _consume_time_left(self, called_at_s: float, now_s: float, deadline_s: float) -> float:
         """Return the time until the next call must begin, at least the initial back-off.
 
         The time of the last up-to-date list limits only the first call after it: later changes cannot be
--- a/qos_gateway/server/discovery/watched_list.py
+++ b/qos_gateway/server/discovery/watched_list.py
@@ -10,7 +10,7 @@
 from . import field_names
 from .endpoint_list import EndpointUpdate
 
-MAX_LEAVING_ENDPOINTS = 1024  # several full fleets
+MAX_WITHDRAWN_ENDPOINTS = 1024  # several full fleets
 
 
 class WatchedList:
@@ -26,7 +26,7 @@
         self._newest_version = version
         self._raw_entries: dict[str, Any] = {}  # in discovery's form, by name
         self._listed_starts: dict[int, int] = {}  # start times by id, as the newest version lists them
-        self._leaving_starts: dict[int, int] = {}  # of draining and removed endpoints, the latest last
+        self._withdrawn_starts: dict[int, int] = {}  # of draining and removed endpoints, the latest last
 
     def reconcile(self, update: EndpointUpdate) -> EndpointUpdate | None:
         """Return the update with what the newest version says; None for changes that are out of date."""
@@ -35,12 +35,12 @@
             return None
         if self._is_newest(version):
             return update
-        entries = tuple(self._preserve_newest(entry) for entry in update.topology.entries)
+        entries = tuple(self._apply_newest_state(entry) for entry in update.topology.entries)
         return EndpointUpdate(replace(update.topology, entries=entries), update.addresses)
 
-    def note_known(self, update: EndpointUpdate) -> None:
+    def record_cached_list(self, update: EndpointUpdate) -> None:
         """Note a list that was applied before the start, until discovery sends a newer one."""
-        self._store_newest(update)
+        self._record_newest(update)
         self.version = update.topology.version
 
     def store(self, raw: dict[str, Any], update: EndpointUpdate) -> None:
@@ -50,7 +50,7 @@
             self._raw_entries = {}
         self._store_raw_entries(raw, update.topology.entries)
         if self._is_newest(version):
-            self._store_newest(update)
+            self._record_newest(update)
         self.version = version
 
     def snapshot(self) -> dict[str, Any] | None:
@@ -63,12 +63,12 @@
     def _is_newest(self, version: int) -> bool:
         return self._newest_version is None or version >= self._newest_version
 
-    def _preserve_newest(self, entry: Endpoint) -> Endpoint:
+    def _apply_newest_state(self, entry: Endpoint) -> Endpoint:
         """Return an older version's entry with the latest start and the drain that the newest version has."""
-        leaving_start = self._leaving_starts.get(entry.id)
-        if leaving_start is not None and leaving_start >= entry.started_at:
+        withdrawn_start = self._withdrawn_starts.get(entry.id)
+        if withdrawn_start is not None and withdrawn_start >= entry.started_at:
             health = Health.DRAINING if entry.health is Health.READY else entry.health
-            return replace(entry, health=health, started_at=leaving_start)
+            return replace(entry, health=health, started_at=withdrawn_start)
         started_at = max(entry.started_at, self._listed_starts.get(entry.id, 0))
         return entry if started_at == entry.started_at else replace(entry, started_at=started_at)
 
@@ -83,24 +83,24 @@
                 stored[field_names.HEALTH] = field_names.HEALTH_DRAINING
             self._raw_entries[name] = stored
 
-    def _store_newest(self, update: EndpointUpdate) -> None:
+    def _record_newest(self, update: EndpointUpdate) -> None:
         """Note which endpoints the newest version lists, and which are draining or removed."""
         self._newest_version = update.topology.version
         if update.topology.kind is not ListKind.DELTA:
-            named = {entry.id for entry in update.topology.entries}
-            self._note_leaving({i: at for i, at in self._listed_starts.items() if i not in named})
+            listed = {entry.id for entry in update.topology.entries}
+            self._record_withdrawn({i: at for i, at in self._listed_starts.items() if i not in listed})
             self._listed_starts = {}
         for entry in update.topology.entries:
-            self._leaving_starts.pop(entry.id, None)
+            self._withdrawn_starts.pop(entry.id, None)
             self._listed_starts.pop(entry.id, None)
             if entry.health is not Health.READY:
-                self._note_leaving({entry.id: entry.started_at})
+                self._record_withdrawn({entry.id: entry.started_at})
             if entry.health is not Health.REMOVED:
                 self._listed_starts[entry.id] = entry.started_at
 
-    def _note_leaving(self, starts: dict[int, int]) -> None:
+    def _record_withdrawn(self, starts: dict[int, int]) -> None:
         for endpoint, started_at in starts.items():
-            self._leaving_starts.pop(endpoint, None)
-            self._leaving_starts[endpoint] = started_at
-        while len(self._leaving_starts) > MAX_LEAVING_ENDPOINTS:
-            del self._leaving_starts[next(iter(self._leaving_starts))]
+            self._withdrawn_starts.pop(endpoint, None)
+            self._withdrawn_starts[endpoint] = started_at
+        while len(self._withdrawn_starts) > MAX_WITHDRAWN_ENDPOINTS:
+            del self._withdrawn_starts[next(iter(self._withdrawn_starts))]
--- a/qos_gateway/server/gateway.py
+++ b/qos_gateway/server/gateway.py
@@ -7,7 +7,7 @@
 
 from ..units import MILLISECOND, SECOND
 from .config import Config, keys_requiring_restart
-from .discovery.endpoint_feed import FIRST_LIST_TIMEOUT_S, SOCKET_POLL_S
+from .discovery.endpoint_feed import FIRST_LIST_TIMEOUT_S, SOCKET_POLL_INTERVAL_S
 from .networking.transient_errors import retry_transient
 from .observability.activity_log import ActivityGauges
 from .start_guard import check_start, check_stop
@@ -48,11 +48,11 @@
         if parts.counter is not None:
             parts.counter.start()
         parts.observability.activity.start(self._activity_gauges())
-        await parts.endpoint_feed.wait_for_first(parts.endpoint_connections)
+        await parts.endpoint_feed.wait_for_first_list(parts.endpoint_connections)
         if services.handover_channel is not None:
             received = await services.handover_channel.request_state()
             if received is not None:
-                services.handover.restore_state(received, parts.endpoint_feed.is_received())
+                services.handover.restore_state(received, parts.endpoint_feed.has_received_list())
         await self._read_from_discovery()
         invariants, engine = parts.observability.invariants, parts.dispatcher.engine
         check_start(invariants, engine.started, parts.discovery.has_unread_data())
@@ -75,7 +75,7 @@
         loop = asyncio.get_running_loop()
         give_up_at_s = loop.time() + FIRST_LIST_TIMEOUT_S
         while self.parts.discovery.has_unread_data() and loop.time() < give_up_at_s:
-            await asyncio.sleep(SOCKET_POLL_S)
+            await asyncio.sleep(SOCKET_POLL_INTERVAL_S)
 
     async def _listen_to_peers(self) -> None:
         loop = asyncio.get_running_loop()
--- a/qos_gateway/server/handover/handover.py
+++ b/qos_gateway/server/handover/handover.py
@@ -83,7 +83,7 @@
         try:
             endpoint_list = received.endpoint_list()
             if not list_is_current and endpoint_list is not None:
-                self._apply_list(self._discovery.adopt_list(endpoint_list))
+                self._apply_list(self._discovery.restore_list(endpoint_list))
             state = received.decode(len(self._settings.plans), len(self._settings.classes))
             restore(engine, self._clock(), state.engine, FRACTIONS.incoming)
         except (KeyError, TypeError, ValueError) as error:
--- a/qos_gateway/server/wiring.py
+++ b/qos_gateway/server/wiring.py
@@ -234,7 +234,7 @@
     )
     discovery = DiscoveryClient(options, feed.on_update)
     if cached is not None:
-        discovery.note_known(cached)
+        discovery.record_cached_list(cached)
     return discovery
 
 
--- a/tests/server/test_counter.py
+++ b/tests/server/test_counter.py
@@ -12,7 +12,7 @@
 from qos_gateway.server.counter import connections as counter_connections
 from qos_gateway.server.counter.client import CounterClient
 from qos_gateway.server.counter.connection import AbandonReason
-from qos_gateway.server.counter.connections import CONNECTIONS
+from qos_gateway.server.counter.connections import CONNECTION_COUNT
 from qos_gateway.server.counter.protocol import CounterResponse, encode_increment, parse_increment_response
 from qos_gateway.types import CounterReplied, Outcome
 from tests.support.clients import call_command
@@ -111,7 +111,7 @@
 def test_lost_answer_holds_up_no_other_key_and_its_connection_is_abandoned() -> None:
     async def test() -> None:
         async with calling() as (caller, fake):
-            await wait_until(lambda: len(fake.connections) == CONNECTIONS)
+            await wait_until(lambda: len(fake.connections) == CONNECTION_COUNT)
             caller.counter.call(7, TIME_TO_LIVE, 1.0)
             await fake.next_call()
             made = caller.counter.time()
@@ -122,7 +122,7 @@
             caller.counter._timeout_s = 0.0
             caller.counter._expire()
             assert caller.ends()[1:] == [(7, Outcome.RESET, 0.0)]
-            await wait_until(lambda: len(fake.connections) == CONNECTIONS + 1)
+            await wait_until(lambda: len(fake.connections) == CONNECTION_COUNT + 1)
 
     run_on_loop(test)
 
@@ -130,7 +130,7 @@
 def test_call_without_an_answer_times_out_and_its_late_answer_is_not_taken_for_the_next() -> None:
     async def test() -> None:
         async with calling(0.05) as (caller, fake):
-            await wait_until(lambda: len(fake.connections) == CONNECTIONS)
+            await wait_until(lambda: len(fake.connections) == CONNECTION_COUNT)
             caller.counter.call(7, TIME_TO_LIVE, 1.0)
             late = await fake.next_call()
             assert await caller.wait_for(1) == [(7, Outcome.TIMEOUT, 0.0)]
@@ -146,7 +146,7 @@
 def test_answer_without_a_number_was_added_and_its_connection_is_abandoned() -> None:
     async def test() -> None:
         async with calling() as (caller, fake):
-            await wait_until(lambda: len(fake.connections) == CONNECTIONS)
+            await wait_until(lambda: len(fake.connections) == CONNECTION_COUNT)
             caller.counter.call(7, TIME_TO_LIVE, 1.0)
             caller.counter.call(7, TIME_TO_LIVE, 1.0)
             (await fake.next_call()).answer(b"ok many")
@@ -155,7 +155,7 @@
             caller.counter.call(9, TIME_TO_LIVE, 1.0)
             again = await fake.next_call()
             assert again.name == b"9"
-            await wait_until(lambda: len(fake.connections) == CONNECTIONS + 1)
+            await wait_until(lambda: len(fake.connections) == CONNECTION_COUNT + 1)
             again.answer(b"ok 1")
             assert (await caller.wait_for(3))[2] == (9, Outcome.OK, 1.0)
 
@@ -190,11 +190,11 @@
 
     async def test() -> None:
         async with calling(0.05) as (caller, fake):
-            await wait_until(lambda: len(fake.connections) == CONNECTIONS)
+            await wait_until(lambda: len(fake.connections) == CONNECTION_COUNT)
             caller.counter.call(7, TIME_TO_LIVE, 1.0)
             await fake.next_call()
             assert await caller.wait_for(1) == [(7, Outcome.TIMEOUT, 0.0)]
-            await wait_until(lambda: len(fake.connections) == CONNECTIONS + 1)
+            await wait_until(lambda: len(fake.connections) == CONNECTION_COUNT + 1)
 
     run_on_loop(test)
 
--- a/tests/server/test_discovery_deadlines.py
+++ b/tests/server/test_discovery_deadlines.py
@@ -22,7 +22,7 @@
     FIRST_LIST_DEADLINE_S,
     INITIAL_BACKOFF_S,
     OVERLOAD_MIN_WAIT_FRACTION,
-    PROPAGATION_DEADLINE_AFTER_MOVE_S,
+    PROPAGATION_DEADLINE_AFTER_AGENT_CHANGE_S,
     PROPAGATION_DEADLINE_S,
     UPDATE_TIME_S,
     WatchSchedule,
@@ -174,23 +174,26 @@
 def test_after_a_move_the_first_retry_is_in_time_for_the_shorter_propagation_deadline() -> None:
     for seed in range(50):
         schedule = WatchSchedule(60.0, random.Random(seed))
-        schedule.on_up_to_date(100.0, PROPAGATION_DEADLINE_AFTER_MOVE_S)
+        schedule.on_up_to_date(100.0, PROPAGATION_DEADLINE_AFTER_AGENT_CHANGE_S)
         assert (
             schedule.delay_after_overload(100.0, 100.01, 30.0)
-            <= PROPAGATION_DEADLINE_AFTER_MOVE_S - UPDATE_TIME_S
+            <= PROPAGATION_DEADLINE_AFTER_AGENT_CHANGE_S - UPDATE_TIME_S
         )
 
 
 def test_second_move_puts_the_deadline_of_the_first_off_by_nothing() -> None:
     schedule = WatchSchedule(60.0, random.Random(1))
     schedule.on_up_to_date(0.0)
-    schedule.on_moved(100.0)
-    first = 100.0 + PROPAGATION_DEADLINE_AFTER_MOVE_S - UPDATE_TIME_S
+    schedule.on_agent_changed(100.0)
+    first = 100.0 + PROPAGATION_DEADLINE_AFTER_AGENT_CHANGE_S - UPDATE_TIME_S
     assert schedule.silence_deadline_s(100.0) == first
-    schedule.on_moved(102.0)
+    schedule.on_agent_changed(102.0)
     assert schedule.silence_deadline_s(102.0) == first
-    schedule.on_moved(104.0)
-    assert schedule.silence_deadline_s(104.0) == 104.0 + PROPAGATION_DEADLINE_AFTER_MOVE_S - UPDATE_TIME_S
+    schedule.on_agent_changed(104.0)
+    assert (
+        schedule.silence_deadline_s(104.0)
+        == 104.0 + PROPAGATION_DEADLINE_AFTER_AGENT_CHANGE_S - UPDATE_TIME_S
+    )
 
 
 def calls_of(gateways: int, per_s: int, wait: Callable[[int, random.Random], float]) -> list[float]:
--- a/tests/server/test_discovery_silence.py
+++ b/tests/server/test_discovery_silence.py
@@ -33,7 +33,7 @@
     """What the new agent has binds 4 s after the move, so 5 s of silence are too many there."""
 
     async def test() -> None:
-        monkeypatch.setattr(watch_schedule, "PROPAGATION_DEADLINE_AFTER_MOVE_S", UPDATE_TIME_S + 0.2)
+        monkeypatch.setattr(watch_schedule, "PROPAGATION_DEADLINE_AFTER_AGENT_CHANGE_S", UPDATE_TIME_S + 0.2)
         loop = asyncio.get_running_loop()
         old, new = FakeDiscovery(), FakeDiscovery()
         async with listening(old), listening(new):
@@ -55,7 +55,7 @@
     """It brought a list and nothing since, not even the heartbeat that was due."""
 
     async def test() -> None:
-        monkeypatch.setattr(watch_schedule, "PROPAGATION_DEADLINE_AFTER_MOVE_S", UPDATE_TIME_S + 0.3)
+        monkeypatch.setattr(watch_schedule, "PROPAGATION_DEADLINE_AFTER_AGENT_CHANGE_S", UPDATE_TIME_S + 0.3)
         monkeypatch.setattr(discovery_watch, "HEARTBEAT_TIMEOUT_S", 0.1, raising=False)
         loop = asyncio.get_running_loop()
         old, new = FakeDiscovery(), FakeDiscovery()
--- a/tests/server/test_discovery_versions.py
+++ b/tests/server/test_discovery_versions.py
@@ -85,7 +85,7 @@
                 await change.follower.next()
                 await change.follower.next()
             elif known_by == "previous process":
-                change.follower.watch.adopt_list(newest)
+                change.follower.watch.restore_list(newest)
             await change.change_agent()
             listed = [endpoint_entry(f"s-{n}", n) for n in (1, 2, 3)]
             change.new.send_update(endpoint_list(39, *listed, endpoint_entry("s-4", 4, born_ms=9)))
--- a/tests/server/test_endpoint_list.py
+++ b/tests/server/test_endpoint_list.py
@@ -8,7 +8,7 @@
 import pytest
 
 from qos_gateway.server.discovery.endpoint_list import endpoint_id, parse_update
-from qos_gateway.server.discovery.errors import ListError
+from qos_gateway.server.discovery.errors import EndpointListError
 from qos_gateway.types import Endpoint, Health, ListKind
 from tests.support.event_loop import LOOPBACK, run_on_loop, wait_until
 from tests.support.fake_discovery import endpoint_entry, endpoint_list
@@ -81,7 +81,7 @@
     ],
 )
 def test_unreadable_list_is_an_error_not_a_crash(raw: Any) -> None:
-    with pytest.raises(ListError):
+    with pytest.raises(EndpointListError):
         parse_update(raw, ZONES, KINDS)
 
 
@@ -90,5 +90,5 @@
     """JSON as Python reads it has Infinity; nothing catches the error of its conversion but this."""
     raw = endpoint_list(1, endpoint_entry("s-1", 1))
     (raw if field == "seq" else raw["hosts"][0])[field] = float("inf")
-    with pytest.raises(ListError):
+    with pytest.raises(EndpointListError):
         parse_update(raw, ("a",), ("m1",))
--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -42,7 +42,7 @@
         self.updates: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
         self.watch = discovery_client(agent, index, self.updates.put_nowait)
         if known is not None:
-            self.watch.note_known(parse_update(known, ZONES, KINDS, cached=True))
+            self.watch.record_cached_list(parse_update(known, ZONES, KINDS, cached=True))
         self.watch.start()
 
     async def next(self) -> EndpointUpdate:
