--- a/qos_gateway/server/counter/__init__.py
+++ b/qos_gateway/server/counter/__init__.py
@@ -1,1 +1,1 @@
-"""The client of the quota counter."""
+"""Client of the quota counter."""
--- a/qos_gateway/server/counter/client.py
+++ b/qos_gateway/server/counter/client.py
@@ -1,4 +1,4 @@
-"""Calls to the quota counter: each increment has exactly one end, which is reported within the time-out."""
+"""Calls to the quota counter: each increment is completed exactly once, within its timeout."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from .connections import CounterConnections
 from .protocol import CounterResponse
 
-CHECK_INTERVAL_S = 0.25  # between checks of the connections
-MIN_EXPIRY_DELAY_S = 0.001  # a timer that is due at once would keep the loop busy
+CHECK_INTERVAL_S = 0.25  # between connection checks
+MIN_EXPIRY_DELAY_S = 0.001  # a timer due immediately would keep the event loop busy
 
 
 @dataclass(slots=True)
 class InFlightKey:
-    """The connection on which increments of one key are in flight, and their number."""
+    """The connection used by a key's in-flight increments, and their number."""
 
     connection: CounterConnection
     count: int
@@ -29,8 +29,8 @@
 class CounterClient:
     """Sends increments over a few connections.
 
-    The end of each is reported exactly once, within the time-out, for each key in the order of the calls, and
-    never before `call` returns.
+    Each increment is completed exactly once, within the timeout and never before `call` returns. Increments
+    of one key are completed in call order.
     """
 
     def __init__(
@@ -45,24 +45,24 @@
         self._connections = CounterConnections(address, connect_timeout_s, self)
         self._timeout_s = timeout_s
         self._on_reply = on_reply
-        self._incomplete: deque[PendingIncrement] = deque()  # by age; completed ones are removed at the front
+        self._incomplete: deque[PendingIncrement] = deque()  # oldest first; completed ones are removed lazily
         self._in_flight: dict[int, InFlightKey] = {}  # by key
-        self._waiting: list[PendingIncrement] = []  # for a usable connection
+        self._waiting: list[PendingIncrement] = []  # until a connection is usable
         self._closed = False
         self._expiry_timer: asyncio.TimerHandle | None = None
         self._check_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begin to connect, and to check the connections at intervals."""
+        """Start connecting and checking connections periodically."""
         self._connections.connect()
         self._schedule_check()
 
     def change_address(self, address: Address) -> None:
-        """Connect to another address; until a connection is open there, calls go to the previous one."""
+        """Connect to another address; the previous one is used until a connection to it is open."""
         self._connections.change_address(address)
 
     def close(self) -> None:
-        """Report nothing more, and close the connections once what was written is sent."""
+        """Stop reporting replies, and close the connections after sending buffered data."""
         self._closed = True
         for timer in (self._expiry_timer, self._check_timer):
             if timer is not None:
@@ -70,7 +70,7 @@
         self._connections.close()
 
     def call(self, key: int, time_to_live_ns: int, amount: float) -> None:
-        """Add `amount` to a key's total, which expires `time_to_live_ns` later."""
+        """Add `amount` to a key's total, which expires after `time_to_live_ns`."""
         increment = PendingIncrement(key, time_to_live_ns, amount, self.time())
         if self._connections.is_unreachable():
             self._loop.call_soon(self._complete, increment, Outcome.CONNECT_FAILED)
@@ -82,7 +82,7 @@
             self._waiting.append(increment)
 
     def _try_write(self, increment: PendingIncrement) -> bool:
-        """Write an increment on the connection of its key, so that a key's responses stay in order."""
+        """Write an increment to its key's connection, so that a key's responses stay in order."""
         in_flight = self._in_flight.get(increment.key)
         if in_flight is None:
             connection = self._connections.pick_connection()
@@ -106,32 +106,32 @@
         ]
         self._waiting = still_waiting + self._waiting
 
-    # Reports of the connections.
+    # Callbacks from the connections.
 
     def on_response(self, request: PendingRequest, response: CounterResponse) -> None:
-        """Complete an increment, unless it has timed out before."""
+        """Complete an increment unless it has already timed out."""
         if isinstance(request, PendingIncrement):
             self._complete(request, response.outcome, response.total)
         if self._waiting:
             self._write_waiting()
 
     def on_increments_reset(self, increments: list[PendingIncrement]) -> None:
-        """Complete increments whose connection has ended: any may have been added."""
+        """Complete increments whose connection has closed; the counter may have added any of them."""
         for increment in increments:
             self._complete(increment, Outcome.RESET)
 
     def on_unreachable(self) -> None:
-        """Complete the increments that wait for a connection: none was added."""
+        """Fail the increments waiting for a connection; none of them was sent."""
         waiting = self._waiting
         self._waiting = []
         for increment in waiting:
             self._complete(increment, Outcome.CONNECT_FAILED)
 
     def on_connections_changed(self) -> None:
-        """Write the increments that wait for a connection."""
+        """Write the increments waiting for a connection."""
         self._write_waiting()
 
-    # The end of an increment.
+    # Completing increments.
 
     def _complete(self, increment: PendingIncrement, outcome: Outcome, total: float = 0.0) -> None:
         if increment.completed:
@@ -144,7 +144,7 @@
             self._on_reply(CounterReplied(elapsed_ns, outcome, increment.key, total))
 
     def _release_key(self, key: int) -> None:
-        """Allow the key's next increment on any connection once none is in flight."""
+        """Decrement a key's in-flight count; at 0 its next increment may use any connection."""
         in_flight = self._in_flight[key]
         in_flight.count -= 1
         if not in_flight.count:
@@ -153,7 +153,7 @@
     def _expire(self) -> None:
         """Complete the increments that have timed out.
 
-        Each written one stays pending on its connection, so that a late response is matched with it.
+        Written increments stay pending on their connection, so that late responses are matched with them.
         """
         self._expiry_timer = None
         now_s = self.time()
@@ -176,7 +176,7 @@
         elif not self._connections.abandon_if_response_missing(connection, self._timeout_s):
             self._complete(increment, Outcome.TIMEOUT)
 
-    # Checks at intervals.
+    # Periodic checks.
 
     def _check(self) -> None:
         self._schedule_check()
--- a/qos_gateway/server/counter/connection.py
+++ b/qos_gateway/server/counter/connection.py
@@ -1,4 +1,4 @@
-"""One connection to the quota counter, and the requests that wait for a response on it."""
+"""A connection to the quota counter, and its pending requests."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
     parse_ping_response,
 )
 
-MAX_PENDING_REQUESTS = 256  # on a connection: more than the counter serves within the response time-out
+MAX_PENDING_REQUESTS = 256  # per connection: more than the counter answers within the response timeout
 MAX_LOGGED_LINE_BYTES = 80
 
 
 class AbandonReason(Enum):
-    """The reason in the log event counter_connection_abandoned; each value is a format of its text."""
+    """The reason in the log event counter_connection_abandoned; each value is its format string."""
 
     INVALID_RESPONSE = "invalid_response line={line!r}"
     RESPONSE_MISSING = "response_missing"
@@ -31,13 +31,13 @@
     UNSOLICITED_RESPONSE = "unsolicited_response"
 
     def log_text(self, line: bytes = b"") -> str:
-        """Return the reason, with the start of the line that was received."""
+        """Return the reason, with the received line truncated."""
         return self.value.format(line=line[:MAX_LOGGED_LINE_BYTES])
 
 
 @dataclass(slots=True, eq=False)
 class PendingIncrement:
-    """An increment from its call until its response; `completed` once its end was reported to the caller."""
+    """An increment without a response yet; `completed` is set once its outcome is known to the caller."""
 
     key: int
     time_to_live_ns: int
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True, eq=False)
 class PendingPing:
-    """A ping from its call until its response."""
+    """A ping without a response yet."""
 
     called_at_s: float  # on the loop's clock
 
@@ -74,10 +74,10 @@
 
 
 class ConnectionListener(Protocol):
-    """What a connection reports to."""
+    """Receives the events of a connection."""
 
     def time(self) -> float:
-        """Return the time in seconds of the loop's clock."""
+        """Return the event loop's time in seconds."""
 
     def on_response(self, request: PendingRequest, response: CounterResponse) -> None:
         """Handle the response to the oldest pending request."""
@@ -85,15 +85,15 @@
     def abandon(self, connection: CounterConnection, reason: AbandonReason, line: bytes = b"") -> None:
         """Abort a connection whose responses can no longer be matched with its requests.
 
-        `line` is the response that was received, for the log.
+        `line` is the received response, for the log.
         """
 
     def on_connection_closed(self, connection: CounterConnection, reason: str) -> None:
-        """Note that a connection was closed, by whichever side."""
+        """Handle the closing of a connection by either side."""
 
 
 class CounterConnection(asyncio.Protocol):
-    """One connection; `pending` holds the requests without a response, completed or not, in their order."""
+    """A connection; `pending` holds the unanswered requests in order, including completed increments."""
 
     def __init__(self, listener: ConnectionListener) -> None:
         self._listener = listener
@@ -104,7 +104,7 @@
         self.closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = cast(asyncio.Transport, transport)
 
     def is_usable(self) -> bool:
@@ -121,11 +121,11 @@
         self._transport.write(request.encode())
 
     def is_idle(self, now_s: float, interval_s: float) -> bool:
-        """Return whether a ping is due: nothing is pending, and nothing was written for the interval."""
+        """Return whether a ping is due: nothing is pending or was written during the interval."""
         return self.is_usable() and not self.pending and now_s - self.last_write_at_s >= interval_s
 
     def oldest_called_at_s(self) -> float | None:
-        """Return when the oldest pending request was made; None without one."""
+        """Return when the oldest pending request was made; None if none is pending."""
         return self.pending[0].called_at_s if self.pending else None
 
     def take_pending_increments(self) -> list[PendingIncrement]:
@@ -143,29 +143,29 @@
             self._listener.abandon(self, AbandonReason.RESPONSE_TOO_LONG)
 
     def _read_line(self, line: bytes) -> bool:
-        """Report the response; return whether the lines behind it can be read."""
+        """Report a response; return whether the following lines can be read."""
         if not self.pending:
             self._listener.abandon(self, AbandonReason.UNSOLICITED_RESPONSE)
             return False
         response = self.pending[0].parse_response(line)
         if response is None:
-            # The increment may have been added, and later responses cannot be matched.
+            # The counter may have added the increment, and later responses cannot be matched.
             self._listener.abandon(self, AbandonReason.INVALID_RESPONSE, line)
             return False
         self._listener.on_response(self.pending.popleft(), response)
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the end of the connection."""
+        """Report that the connection was closed."""
         self.closed = True
         self._listener.on_connection_closed(self, str(exc or "closed"))
 
     def close(self) -> None:
-        """Close once everything is written."""
+        """Close after sending buffered data."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close without sending buffered data."""
         if self._transport is not None:
             self._transport.abort()
--- a/qos_gateway/server/counter/connections.py
+++ b/qos_gateway/server/counter/connections.py
@@ -1,4 +1,4 @@
-"""The connections to the quota counter: keep a few open, replace lost ones, abandon those that are stuck."""
+"""Maintains a few connections to the quota counter: replaces lost ones and abandons stuck ones."""
 
 from __future__ import annotations
 
@@ -22,31 +22,31 @@
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
 
-CONNECTION_COUNT = 4  # several, as a missing response delays all requests behind it on its connection
-INITIAL_BACKOFF_S = 0.05  # between attempts to connect; doubles with each that fails
+CONNECTION_COUNT = 4  # a missing response delays all later requests on its connection
+INITIAL_BACKOFF_S = 0.05  # between connection attempts; doubled after each failure
 MAX_BACKOFF_S = 0.5
-RESPONSE_TIMEOUT_S = 1.0  # for the oldest pending request: the counter's machine counts as stopped
-PING_INTERVAL_S = 2.0  # of idleness: the counter closes idle connections, and a ping finds a dead one
+RESPONSE_TIMEOUT_S = 1.0  # for the oldest pending request; then the counter's machine counts as failed
+PING_INTERVAL_S = 2.0  # idle time; pings keep the counter from closing the connection and detect dead ones
 
 
 class ConnectionsListener(Protocol):
-    """What the connections report to."""
+    """Receives the events of the connections."""
 
     def on_response(self, request: PendingRequest, response: CounterResponse) -> None:
         """Handle the response to a request."""
 
     def on_increments_reset(self, increments: list[PendingIncrement]) -> None:
-        """Note that a connection ended before the responses to these; any may have been added."""
+        """Handle a connection closed before it answered these; the counter may have added any of them."""
 
     def on_unreachable(self) -> None:
-        """Note that an attempt to connect failed and no connection is open."""
+        """Handle a failed connection attempt while no connection is open."""
 
     def on_connections_changed(self) -> None:
-        """Note that a connection was opened or has ended: waiting increments may be written now."""
+        """Handle a connection that was opened or closed: waiting increments may now be written."""
 
 
 class CounterConnections:
-    """Keeps connections open to the counter's current address; those to the previous address drain."""
+    """Keeps connections to the counter's current address open; those to a previous address drain."""
 
     def __init__(self, address: Address, connect_timeout_s: float, listener: ConnectionsListener) -> None:
         self._loop = asyncio.get_running_loop()
@@ -55,9 +55,9 @@
         self._connect_timeout_s = connect_timeout_s
         self._listener = listener
         self._active: list[CounterConnection] = []
-        self._draining: list[CounterConnection] = []  # at the previous address, until their last response
-        self._address_changed = False  # the active connections still lead to the previous address
-        self._newest_answered_call_at_s = 0.0  # when the latest of the answered requests was made
+        self._draining: list[CounterConnection] = []  # to a previous address, until nothing is pending
+        self._address_changed = False  # the active connections still go to the previous address
+        self._newest_answered_call_at_s = 0.0  # call time of the newest answered request
         self._last_attempt_failed = False
         self._closed = False
         self._connect_task: asyncio.Task[None] | None = None
@@ -67,7 +67,7 @@
         return not self._active and self._last_attempt_failed
 
     def is_active(self, connection: CounterConnection) -> bool:
-        """Return whether a connection is used for new increments."""
+        """Return whether new increments may be sent on a connection."""
         return connection in self._active
 
     def pick_connection(self) -> CounterConnection | None:
@@ -81,7 +81,7 @@
         return best
 
     def change_address(self, address: Address) -> None:
-        """Connect to another address; until a connection is open there, the previous one is used."""
+        """Connect to another address; the previous one is used until a connection to it is open."""
         if address == self._address or self._closed:
             return
         log.info("counter_address_changed to=%s:%d", *address)
@@ -93,7 +93,7 @@
         self.connect()
 
     def close(self) -> None:
-        """Close all connections once what was written is sent."""
+        """Close all connections after sending buffered data."""
         self._closed = True
         if self._connect_task is not None:
             self._connect_task.cancel()
@@ -103,7 +103,7 @@
     # Opening connections.
 
     def connect(self) -> None:
-        """Open the missing connections, unless an attempt is in progress."""
+        """Open the missing connections, unless connecting is already in progress."""
         if not self._closed and (self._connect_task is None or self._connect_task.done()):
             self._connect_task = self._loop.create_task(self._open_missing())
 
@@ -114,7 +114,7 @@
                 connection = await self._open()
             except (OSError, TimeoutError) as error:
                 self._on_connect_failed(error)
-                # Jitter, or gateways whose counter failed would reconnect together.
+                # Jitter keeps gateways that lost the counter together from reconnecting together.
                 await asyncio.sleep(backoff_s * random.uniform(0.5, 1.0))
                 backoff_s = min(MAX_BACKOFF_S, 2 * backoff_s)
             else:
@@ -126,12 +126,12 @@
                 lambda: CounterConnection(self), *self._address
             )
         if connection.closed:
-            raise ConnectionResetError("closed at once")
+            raise ConnectionResetError("connection closed immediately")
         return connection
 
     def _on_connect_failed(self, error: Exception) -> None:
         if not self._last_attempt_failed:
-            reason = error or "no connection in time"
+            reason = error or "connect timeout"
             log.warning("counter_unreachable address=%s:%d error=%s", *self._address, reason)
         self._last_attempt_failed = True
         if not self._active:
@@ -148,7 +148,7 @@
         self._active.append(connection)
         self._listener.on_connections_changed()
 
-    # Reports of the connections.
+    # Callbacks from the connections.
 
     def on_response(self, request: PendingRequest, response: CounterResponse) -> None:
         """Forward a response to the listener."""
@@ -157,7 +157,7 @@
         self._listener.on_response(request, response)
 
     def on_connection_closed(self, connection: CounterConnection, reason: str) -> None:
-        """Open another connection in place of one that was closed."""
+        """Replace a connection that was closed."""
         if self._closed:
             return
         if connection in self._active:
@@ -167,7 +167,7 @@
             self._remove(connection)
 
     def abandon(self, connection: CounterConnection, reason: AbandonReason, line: bytes = b"") -> None:
-        """Abort a connection that can no longer be used, and open another in its place."""
+        """Abort and replace a connection that can no longer be used."""
         text = reason.log_text(line)
         log.warning("counter_connection_abandoned address=%s:%d reason=%s", *self._address, text)
         connection.abort()
@@ -181,10 +181,10 @@
         self.connect()
         self._listener.on_connections_changed()
 
-    # Checks at intervals.
+    # Periodic checks.
 
     def check(self, call_timeout_s: float) -> None:
-        """Abandon stuck connections, close those that have drained, and ping those that are idle."""
+        """Abandon stuck connections, close drained ones, and ping idle ones."""
         now_s = self.time()
         for connection in (*self._active, *self._draining):
             self.abandon_if_response_missing(connection, call_timeout_s)
@@ -193,10 +193,10 @@
         self._ping_idle(now_s)
 
     def abandon_if_response_missing(self, connection: CounterConnection, call_timeout_s: float) -> bool:
-        """Abandon a connection whose oldest request has timed out though newer requests were answered.
+        """Abandon a connection whose oldest request has timed out although newer requests were answered.
 
-        The counter is not overloaded then: one response was lost, and no request behind it would get its own.
-        Return whether the connection was abandoned.
+        The counter is then not overloaded: a response was lost, and later requests on the connection would be
+        matched with the wrong responses. Return whether the connection was abandoned.
         """
         oldest_called_at_s = connection.oldest_called_at_s()
         if oldest_called_at_s is None or self.time() - oldest_called_at_s < call_timeout_s:
--- a/qos_gateway/server/counter/protocol.py
+++ b/qos_gateway/server/counter/protocol.py
@@ -1,4 +1,4 @@
-"""The quota counter's wire form: lines of text, one response for each request, in their order."""
+"""The quota counter's protocol: text lines, with one response per request, in order."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from ...units import MILLISECOND
 
 MAX_RESPONSE_BYTES = 512  # several times the longest response
-MAX_TIME_TO_LIVE_MS = 60_000  # the counter accepts no more
+MAX_TIME_TO_LIVE_MS = 60_000  # the maximum that the counter accepts
 PING_REQUEST = b"ping\r\n"
 PING_RESPONSE = b"pong"
 INCREMENT_STATUS = b"ok"  # followed by the key's new total
@@ -20,14 +20,14 @@
 
 @dataclass(slots=True)
 class CounterResponse:
-    """The meaning of one response; `total` is the key's new total, 0.0 where nothing was added."""
+    """A parsed response; `total` is the key's new total, 0.0 if nothing was added."""
 
     outcome: Outcome
     total: float
 
 
 class LineBuffer:
-    """Splits the received bytes into lines, without their ends."""
+    """Splits received bytes into lines without line endings."""
 
     __slots__ = ("_partial_line",)
 
@@ -35,12 +35,12 @@
         self._partial_line = b""
 
     def add(self, data: bytes) -> list[bytes]:
-        """Return the lines that the data completes."""
+        """Append data and return the lines it completes."""
         *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         return [line.rstrip(b"\r") for line in lines]
 
     def is_too_long(self) -> bool:
-        """Return whether the incomplete line is longer than any response."""
+        """Return whether the incomplete line exceeds the maximum length of a response."""
         return len(self._partial_line) > MAX_RESPONSE_BYTES
 
 
@@ -51,7 +51,7 @@
 
 
 def parse_increment_response(line: bytes) -> CounterResponse | None:
-    """Parse the response to an increment; None if it has neither a total nor says that nothing was added."""
+    """Parse the response to an increment; None unless it is a total, busy or error."""
     if line == OVERLOADED_RESPONSE:
         return CounterResponse(Outcome.OVERLOADED, 0.0)
     if line == ERROR_RESPONSE:
@@ -63,5 +63,5 @@
 
 
 def parse_ping_response(line: bytes) -> CounterResponse | None:
-    """Parse the response to a ping; None if it is anything else."""
+    """Parse the response to a ping; None if it is invalid."""
     return CounterResponse(Outcome.OK, 0.0) if line == PING_RESPONSE else None
--- a/qos_gateway/server/discovery/__init__.py
+++ b/qos_gateway/server/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The client of discovery, and the endpoint list from its JSON form to the parts that use it."""
+"""The client of the discovery service, and parsing, storage and application of endpoint lists."""
--- a/qos_gateway/server/discovery/client.py
+++ b/qos_gateway/server/discovery/client.py
@@ -1,4 +1,4 @@
-"""The client of discovery: keeps one watch open, and resumes it from the last version after it ends."""
+"""The discovery client: keeps one watch open and, when it ends, resumes from the last version."""
 
 from __future__ import annotations
 
@@ -17,29 +17,29 @@
 
 log = logging.getLogger(__name__)
 
-CONNECT_TIMEOUT_S = 1.0  # the agent is on this machine
+CONNECT_TIMEOUT_S = 1.0  # the agent runs on the same machine
 
 
 @dataclass(frozen=True, slots=True, kw_only=True, eq=False, repr=False)
 class DiscoveryOptions:
-    """Where discovery's agent is, and how its lists are read."""
+    """Address of the discovery agent, and the settings for parsing its lists."""
 
     agent: Address
-    zones: tuple[str, ...]  # names, in the order of their indices
-    machine_classes: tuple[str, ...]  # the same
-    known_version: int | None  # of the list before the first watch; None without one
+    zones: tuple[str, ...]  # names, ordered by index
+    machine_classes: tuple[str, ...]  # names, ordered by index
+    known_version: int | None  # version of the list held before the first watch; None without a list
     drain_grace_s: float = 2 * MAX_BACKOFF_S
 
 
 class DiscoveryClient:
-    """Keeps one watch open; while there is none, the last list stays in force.
+    """Keeps one watch open; between watches the last list remains in effect.
 
-    A watch goes through these steps, in `_run`: open, read (each object is parsed, reconciled with the newest
-    version, applied and stored), end, and the wait for the next.
+    `_run` repeats these steps: open a watch, read it until it ends, wait before opening the next. Each object
+    read is parsed, reconciled with the newest version, applied and stored.
     """
 
     def __init__(self, options: DiscoveryOptions, on_update: Callable[[EndpointUpdate], None]) -> None:
-        """Take `on_update` as what applies an update; the watch ends where it raises `EndpointListError`."""
+        """Initialize; `on_update` applies an update, and the watch ends if it raises `EndpointListError`."""
         self._options = options
         self._agent = options.agent
         self._on_update = on_update
@@ -47,14 +47,14 @@
         self._schedule = WatchSchedule(options.drain_grace_s, random.Random())
         self._closed = False
         self._task: asyncio.Task[None] | None = None
-        self._connection: WatchConnection | None = None  # the watch that was opened last
+        self._connection: WatchConnection | None = None  # the most recent watch
 
     def start(self) -> None:
-        """Open the watch."""
+        """Start the task that keeps a watch open."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def change_agent(self, agent: Address) -> None:
-        """Move the watch to another agent at once: the previous one may soon be out of date."""
+        """Switch to another agent immediately: the previous one may soon be out of date."""
         if agent == self._agent or self._closed:
             return
         log.info("discovery_address_changed to=%s:%d", *agent)
@@ -65,32 +65,30 @@
             self.start()
 
     async def close(self) -> None:
-        """Close the watch; no other is opened."""
+        """Close the watch and open no other."""
         self._closed = True
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     def has_unread_data(self) -> bool:
-        """Return whether the agent has sent what the event loop has not read yet."""
+        """Return whether the agent has sent data that the event loop has not read yet."""
         return self._connection is not None and self._connection.has_unread_data()
 
     def current_list(self) -> dict[str, Any] | None:
-        """Return the list in discovery's form; None if there was none yet."""
+        """Return the current list as a JSON object; None before the first list."""
         return self._list.snapshot()
 
     def record_cached_list(self, update: EndpointUpdate) -> None:
-        """Continue from the configuration's list, which is in force already."""
+        """Record the configuration's cached list, which has already been applied."""
         self._list.record_cached_list(update)
 
     def restore_list(self, raw: dict[str, Any]) -> EndpointUpdate:
-        """Continue from the list of the previous process, and return it; raises `EndpointListError`."""
+        """Restore the list of the previous process and return it; raises `EndpointListError`."""
         update = self._parse(raw, cached=True)
         self._list.store(raw, update)
         return update
 
-    # The steps of a watch.
-
     async def _run(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
@@ -107,7 +105,7 @@
         return watch
 
     async def _open_and_read(self, watch: WatchConnection) -> None:
-        """Connect, and return once the watch has ended; `_on_object` gets what it reads."""
+        """Connect and wait until the watch ends; it passes each object to `_on_object`."""
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await asyncio.get_running_loop().create_connection(lambda: watch, *self._agent)
@@ -118,7 +116,7 @@
             watch.close()
 
     def _on_object(self, raw: Any) -> None:
-        """Apply an update and store it; one that is out of date is ignored."""
+        """Apply and store an update, unless it is out of date."""
         update = self._list.reconcile(self._parse(raw))
         if update is not None:
             self._on_update(update)
@@ -128,7 +126,7 @@
         return parse_update(raw, self._options.zones, self._options.machine_classes, cached)
 
     def _delay_after(self, watch: WatchConnection, opened_at_s: float, now_s: float) -> float:
-        """Return the seconds from the end of a watch to the next."""
+        """Return the delay in seconds before the next watch is opened."""
         deadline_s = FIRST_LIST_DEADLINE_S if self._list.version is None else PROPAGATION_DEADLINE_S
         match watch.outcome():
             case WatchOutcome.OVERLOADED:
--- a/qos_gateway/server/discovery/endpoint_directory.py
+++ b/qos_gateway/server/discovery/endpoint_directory.py
@@ -1,4 +1,4 @@
-"""The endpoints that are listed or administratively disabled, and the address of each connection pool."""
+"""The listed and the administratively disabled endpoints, and the address for each connection pool."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 
 class AddressListener(Protocol):
-    """Opens connections to the endpoints."""
+    """Opens connections to endpoints at the addresses it is given."""
 
     def set_address(self, endpoint: int, address: Address | None) -> None:
-        """Open new connections of an endpoint at this address; none while it is None."""
+        """Set the address for new connections to an endpoint; None stops new connections."""
 
 
 @dataclass(slots=True)
 class ListedEndpoint:
-    """An endpoint's entry in the list, and where it is."""
+    """An endpoint's list entry and its address."""
 
     entry: Endpoint
     address: Address
 
 
 class EndpointDirectory:
-    """Owns the listed endpoints with their addresses, and the set of those that operators have disabled."""
+    """Holds the listed endpoints with their addresses, and the set of endpoints disabled by operators."""
 
     def __init__(self, endpoint_connections: AddressListener) -> None:
         self._endpoint_connections = endpoint_connections
@@ -35,31 +35,31 @@
         self._admin_disabled: set[int] = set()
 
     def listed_count(self) -> int:
-        """Count the listed endpoints, draining ones too."""
+        """Return the number of listed endpoints, including draining ones."""
         return len(self._listed)
 
     def admin_disabled_count(self) -> int:
-        """Count the endpoints that operators have disabled, listed or not."""
+        """Return the number of endpoints disabled by operators, listed or not."""
         return len(self._admin_disabled)
 
     def find_listed(self, endpoint: int) -> Endpoint | None:
-        """Return the list's entry of an endpoint, None where it is not listed."""
+        """Return an endpoint's list entry; None if it is not listed."""
         listed = self._listed.get(endpoint)
         return None if listed is None else listed.entry
 
     def is_listed_or_disabled(self, endpoint: int) -> bool:
-        """Return whether operators may name an endpoint: an unlisted one that is disabled can be enabled."""
+        """Return whether the admin API accepts an endpoint: disabled ones can be enabled even if unlisted."""
         return endpoint in self._listed or endpoint in self._admin_disabled
 
     def apply(self, update: EndpointUpdate) -> None:
-        """Apply a full list, which removes the endpoints that it does not name, or changes to the list."""
+        """Apply a delta, or a full list, which also removes the endpoints that it omits."""
         if update.topology.kind is not ListKind.DELTA:
             self._remove_unlisted({entry.id for entry in update.topology.entries})
         for entry in update.topology.entries:
             self._apply_entry(entry, update.addresses)
 
     def set_admin_disabled(self, endpoint: int, disabled: bool) -> None:
-        """Disable an endpoint or enable it again, whatever its health in the list."""
+        """Disable or enable an endpoint, independently of its listed health."""
         if disabled:
             self._admin_disabled.add(endpoint)
         else:
@@ -87,7 +87,7 @@
         self._endpoint_connections.set_address(endpoint, self._usable_address(endpoint))
 
     def _usable_address(self, endpoint: int) -> Address | None:
-        """Return where new connections go; None unless the endpoint is ready and enabled."""
+        """Return the address for new connections; None unless the endpoint is ready and enabled."""
         listed = self._listed.get(endpoint)
         if listed is None or listed.entry.health is not Health.READY or endpoint in self._admin_disabled:
             return None
--- a/qos_gateway/server/discovery/endpoint_feed.py
+++ b/qos_gateway/server/discovery/endpoint_feed.py
@@ -1,4 +1,4 @@
-"""Applies endpoint lists to the process: from discovery, the configuration, or the previous process."""
+"""Applies endpoint lists received from discovery, the configuration or the previous process."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 
 log = logging.getLogger(__name__)
 
-FIRST_LIST_TIMEOUT_S = 0.5  # for discovery at the start, before clients are accepted without a list
-CACHED_LIST_TIMEOUT_S = 0.15  # the same where a cached list can serve requests
-SOCKET_POLL_INTERVAL_S = 0.01  # one turn of the event loop reads its sockets within this time
+FIRST_LIST_TIMEOUT_S = 0.5  # startup wait for discovery; after it clients are accepted without a list
+CACHED_LIST_TIMEOUT_S = 0.15  # startup wait if a cached list can serve requests
+SOCKET_POLL_INTERVAL_S = 0.01  # long enough for the event loop to read its sockets once
 
 
 class TopologyHandler(Protocol):
     """Passes events to the decision engine."""
 
     def handle(self, event: Topology) -> None:
-        """Apply a list; raises `TopologyNotAppliedError` where the engine did not."""
+        """Apply a list; raises `TopologyNotAppliedError` if the engine did not apply it."""
 
 
 class UsableEndpoints(Protocol):
-    """Knows whether any endpoint can be used."""
+    """Reports whether any endpoint is usable."""
 
     def has_usable(self) -> bool:
         """Return whether any endpoint accepts requests."""
 
 
 class EndpointFeed:
-    """Applies each list to the directory, then to the decision engine."""
+    """Applies each list to the endpoint directory, then to the decision engine."""
 
     def __init__(self, directory: EndpointDirectory, dispatcher: TopologyHandler) -> None:
         self._directory = directory
@@ -43,11 +43,11 @@
         self._list_received = asyncio.Event()
 
     def has_received_list(self) -> bool:
-        """Return whether this process has applied a list from discovery itself."""
+        """Return whether this process has applied a list received from discovery."""
         return self._list_received.is_set()
 
     def apply(self, update: EndpointUpdate) -> None:
-        """Apply a list or changes to it; raises `EndpointListError` where the engine did not apply it."""
+        """Apply a full list or a delta; raises `EndpointListError` if the engine did not apply it."""
         self._directory.apply(update)
         try:
             self._dispatcher.handle(update.topology)
@@ -55,14 +55,14 @@
             raise EndpointListError(str(error)) from error
 
     def on_update(self, update: EndpointUpdate) -> None:
-        """Apply an update from discovery; raises `EndpointListError` where the engine did not apply it."""
+        """Apply an update from discovery; raises `EndpointListError` if the engine did not apply it."""
         self.apply(update)
         self._list_received.set()
 
     def apply_cached(self, config: Config) -> EndpointUpdate | None:
-        """Apply the configuration's list and return it.
+        """Apply the configuration's cached list and return it.
 
-        Without a usable one the engine gets an empty list, and None is returned.
+        If there is none, or it is invalid, apply an empty list to the engine and return None.
         """
         update = self._apply_configured(config)
         if update is None:
@@ -81,13 +81,13 @@
         return update
 
     async def wait_for_first_list(self, endpoint_connections: UsableEndpoints) -> None:
-        """Wait for the first list from discovery, for less time where a cached list can serve requests."""
+        """Wait for the first list from discovery, less long if a cached list can serve requests."""
         timeout_s = CACHED_LIST_TIMEOUT_S if endpoint_connections.has_usable() else FIRST_LIST_TIMEOUT_S
         try:
             async with asyncio.timeout(timeout_s):
                 await self._list_received.wait()
         except TimeoutError:
-            # A delayed loop handles its timer before it reads the list from the socket.
+            # After a delay the event loop runs this timer before it reads a list already in the socket.
             await asyncio.sleep(SOCKET_POLL_INTERVAL_S)
             if not self._list_received.is_set():
                 log.warning("discovery_late starting_with=last_known_list")
--- a/qos_gateway/server/discovery/endpoint_list.py
+++ b/qos_gateway/server/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Endpoint lists in discovery's JSON form, parsed into the engine's types."""
+"""Parses endpoint lists from discovery's JSON format into the engine's types."""
 
 from __future__ import annotations
 
@@ -23,23 +23,24 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """One version of the list, or changes to it; `addresses` is by id, without the removed endpoints."""
+    """A full list or a delta; `addresses` is keyed by endpoint id and omits removed endpoints."""
 
     topology: Topology
     addresses: dict[int, Address]
 
 
 def endpoint_id(name: str) -> int:
-    """Return an endpoint's id: a hash of its name, so that all gateways and restarts agree on it."""
+    """Return an endpoint's id: a hash of its name, the same in all gateways and after restarts."""
     return int.from_bytes(blake2b(name.encode(), digest_size=ENDPOINT_ID_BYTES).digest(), "big")
 
 
 def parse_update(
     raw: Any, zones: Sequence[str], machine_classes: Sequence[str], cached: bool = False
 ) -> EndpointUpdate:
-    """Parse a decoded JSON object; zones and machine classes become indices into the names given.
+    """Parse a decoded JSON object; zones and machine classes become indices into the given names.
 
-    `cached` marks a list that did not come from discovery itself. Raises `EndpointListError`.
+    `cached` marks a list from the configuration or the previous process, not from discovery. Raises
+    `EndpointListError`.
     """
     try:
         addresses: dict[int, Address] = {}
@@ -74,7 +75,7 @@
 
 
 def _index_of(names: Sequence[str], name: Any) -> int:
-    """Return a name's index; all names that the settings lack share the index after the last."""
+    """Return a name's index; names missing from the settings share the index after the last."""
     try:
         return names.index(name)
     except ValueError:
--- a/qos_gateway/server/discovery/errors.py
+++ b/qos_gateway/server/discovery/errors.py
@@ -1,7 +1,7 @@
-"""Errors of the client of discovery."""
+"""Errors of the discovery client."""
 
 from __future__ import annotations
 
 
 class EndpointListError(ValueError):
-    """An endpoint list, or a change to it, that cannot be read or applied."""
+    """An endpoint list or delta is invalid or could not be applied."""
--- a/qos_gateway/server/discovery/json_objects.py
+++ b/qos_gateway/server/discovery/json_objects.py
@@ -1,4 +1,4 @@
-"""JSON objects in a stream of lines: one on a line, or indented over many."""
+"""Reads a stream of JSON objects, each on one line or indented over several."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class JsonObjectReader:
-    """Splits the stream into lines and passes on each object as soon as it is complete.
+    """Splits a stream into lines and passes each object to `on_object` as soon as it is complete.
 
-    An empty line between objects is a heartbeat: no further object is pending.
+    An empty line between objects is a heartbeat: the sender has no further object to send.
     """
 
     def __init__(self, on_object: Callable[[Any], None]) -> None:
         self._on_object = on_object
         self._partial_line = b""
-        self._object_lines: list[bytes] = []  # of the object that is not complete yet
+        self._object_lines: list[bytes] = []  # lines of the incomplete object
 
     def split_lines(self, data: bytes) -> list[bytes]:
-        """Add data to the stream and return the lines that it completes, for `read_line`."""
+        """Append data and return the lines it completes, each to be passed to `read_line`."""
         *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         return lines
 
@@ -35,16 +35,16 @@
         if line.strip():
             self._object_lines.append(line)
         elif self._object_lines:
-            raise EndpointListError("an empty line within an object")
+            raise EndpointListError("empty line within a JSON object")
         if self._may_be_complete(line):
             self._parse()
 
     def is_between_objects(self) -> bool:
-        """Return whether the lines read so far end with a complete object, or without any."""
+        """Return whether the lines read so far leave no object incomplete."""
         return not self._object_lines
 
     def buffered_bytes(self) -> int:
-        """Count the bytes of what is not complete yet."""
+        """Return the number of bytes buffered for the incomplete line and object."""
         return len(self._partial_line) + sum(map(len, self._object_lines))
 
     def _may_be_complete(self, line: bytes) -> bool:
@@ -58,6 +58,6 @@
         except json.JSONDecodeError as error:
             if error.pos < len(error.doc.rstrip()):
                 raise
-            return  # valid up to its end: more lines follow
+            return  # the error is at the end of the text: more lines follow
         self._object_lines.clear()
         self._on_object(raw)
--- a/qos_gateway/server/discovery/watch_connection.py
+++ b/qos_gateway/server/discovery/watch_connection.py
@@ -1,4 +1,4 @@
-"""One watch on discovery: an HTTP request whose response lasts as long as the connection."""
+"""A watch on discovery: an HTTP request with a streamed response that lasts as long as the connection."""
 
 from __future__ import annotations
 
@@ -19,32 +19,32 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_TIMEOUT_S = 5.0  # two heartbeats missed: an idle watch brings one every 2 s
-HEARTBEAT_TIMEOUT_S = 2.5  # one heartbeat missed
-MAX_OBJECT_BYTES = 4 << 20  # some 20,000 endpoints
+IDLE_TIMEOUT_S = 5.0  # two missed heartbeats; discovery sends one every 2 s
+HEARTBEAT_TIMEOUT_S = 2.5  # one missed heartbeat
+MAX_OBJECT_BYTES = 4 << 20  # about 20,000 endpoints
 MAX_RETRY_AFTER_DIGITS = 5
 STATUS_OK = 200
 OVERLOAD_STATUSES = (429, 503)
 
 
 class WatchOutcome(Enum):
-    """What a watch achieved by its end."""
+    """The result of a watch, on which the delay before the next depends."""
 
-    UP_TO_DATE = auto()  # the list was up to date at least once
-    OVERLOADED = auto()  # discovery rejected it with 429 or 503
-    FAILED = auto()  # neither
+    UP_TO_DATE = auto()  # the list was up to date at some time during the watch
+    OVERLOADED = auto()  # discovery rejected the request with status 429 or 503
+    FAILED = auto()  # any other result
 
 
 def parse_retry_after(value: bytes) -> float:
-    """Return the seconds of a Retry-After header; 0.0 for a date or anything else."""
+    """Return the seconds of a Retry-After header; 0.0 for a date or an invalid value."""
     return float(value) if value.isdigit() and len(value) <= MAX_RETRY_AFTER_DIGITS else 0.0
 
 
 class WatchConnection(asyncio.Protocol):
     """One HTTP exchange; `ended` is done when no further object can be received.
 
-    `retry_after_s` is the advice of an overloaded discovery, 0.0 without one. `up_to_date_at_s` is when the
-    stream last ended with a complete object or a heartbeat, None if it never did.
+    `retry_after_s` is taken from the Retry-After header of a rejection, 0.0 without one. `up_to_date_at_s` is
+    when the last complete object or heartbeat was read, None if there was none.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         on_object: Callable[[Any], None],
         silence_deadline_s: float = inf,
     ) -> None:
-        """Take `silence_deadline_s` as the time at which a silent watch ends before its idle time-out."""
+        """Initialize; at `silence_deadline_s` a silent watch ends even before its idle timeout."""
         self._loop = asyncio.get_running_loop()
         self._host = host
         self._version = version
@@ -71,7 +71,7 @@
         self.up_to_date_at_s: float | None = None
 
     def outcome(self) -> WatchOutcome:
-        """Return what the watch has achieved so far."""
+        """Return the outcome so far."""
         if self._was_overloaded:
             return WatchOutcome.OVERLOADED
         return WatchOutcome.FAILED if self.up_to_date_at_s is None else WatchOutcome.UP_TO_DATE
@@ -79,7 +79,7 @@
     # Opening.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the request, unless the watch was closed while it connected."""
+        """Send the request, unless the watch was closed while connecting."""
         self._transport = cast(asyncio.Transport, transport)
         if self.ended.done():
             self._transport.abort()
@@ -99,7 +99,7 @@
     # Reading.
 
     def data_received(self, data: bytes) -> None:
-        """Read the response as far as it has been received."""
+        """Process the received part of the response."""
         try:
             self._http.receive_data(data)
             while not self.ended.done():
@@ -124,7 +124,7 @@
         self._finish(WatchEndReason.REJECTED, response.status_code)
 
     def _read_body(self, data: bytes) -> None:
-        self._last_data_at_s = self._loop.time()  # only a body counts: a head without one is silence
+        self._last_data_at_s = self._loop.time()  # response headers without a body do not count
         self._has_received_body = True
         for line in self._reader.split_lines(data):
             self._reader.read_line(line)
@@ -134,17 +134,17 @@
             self._finish(WatchEndReason.OBJECT_TOO_LONG)
 
     def has_unread_data(self) -> bool:
-        """Return whether the socket holds bytes, or an end, that the event loop has not read."""
+        """Return whether the socket holds data or an EOF that the event loop has not read."""
         if self._transport is None or self._transport.is_closing():
             return False
         poll = select.poll()
         poll.register(self._transport.get_extra_info("socket").fileno(), select.POLLIN)
         return bool(poll.poll(0))
 
-    # Silence.
+    # Idle timeout.
 
     def _check_idle(self) -> None:
-        """End a silent watch: a machine that stops closes no connection."""
+        """End the watch if it is silent: a machine that fails does not close its connections."""
         time_left_s = self._idle_deadline_s() - self._loop.time()
         if time_left_s <= 0:
             self._finish(WatchEndReason.IDLE_TIMEOUT)
@@ -152,14 +152,14 @@
             self._timer = self._loop.call_later(time_left_s, self._check_idle)
 
     def _idle_deadline_s(self) -> float:
-        """Return when the watch ends unless data is received before."""
+        """Return when the watch ends if no data is received before then."""
         idle_deadline_s = self._last_data_at_s + IDLE_TIMEOUT_S
         if self._last_data_at_s >= self._silence_deadline_s:
             return idle_deadline_s
         heartbeat_deadline_s = self._last_data_at_s + HEARTBEAT_TIMEOUT_S if self._has_received_body else 0.0
         return min(idle_deadline_s, max(self._silence_deadline_s, heartbeat_deadline_s))
 
-    # The end.
+    # Closing.
 
     def connection_lost(self, exc: Exception | None) -> None:
         """End the watch."""
@@ -174,7 +174,7 @@
             self.ended.set_result(None)
 
     def close(self) -> None:
-        """Close the connection, now or as soon as it is established."""
+        """Close the connection, or abort it as soon as it is established."""
         if self._timer is not None:
             self._timer.cancel()
         if self._transport is not None:
--- a/qos_gateway/server/discovery/watch_end_reason.py
+++ b/qos_gateway/server/discovery/watch_end_reason.py
@@ -1,4 +1,4 @@
-"""Why a watch on discovery ended."""
+"""Reasons for the end of a watch on discovery."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class WatchEndReason(Enum):
-    """The reason in the log event discovery_watch_ended; each value is a format of its text."""
+    """The reason in the log event discovery_watch_ended; each value is its format string."""
 
     RESPONSE_ENDED = "response_ended"
     CONNECTION_CLOSED = "connection_closed"
@@ -17,5 +17,5 @@
     REJECTED = "status_{detail}"
 
     def log_text(self, detail: object = None) -> str:
-        """Return the reason with its detail: the error, or the HTTP status of a rejection."""
+        """Return the reason with its detail: an error, or the HTTP status of a rejection."""
         return self.value.format(detail=detail)
--- a/qos_gateway/server/discovery/watch_schedule.py
+++ b/qos_gateway/server/discovery/watch_schedule.py
@@ -1,27 +1,27 @@
-"""When to call discovery next, so that changes are applied before they count as propagated."""
+"""Schedules calls to discovery so that changes are applied within the propagation deadline."""
 
 from __future__ import annotations
 
 import random
 from math import inf
 
-INITIAL_BACKOFF_S = 0.05  # doubles with each failed watch
+INITIAL_BACKOFF_S = 0.05  # doubled after each failed watch
 MAX_BACKOFF_S = 2.0
-MAX_BACKOFF_GRACE_FRACTION = 0.5  # of the drain grace: a drain may begin while no watch is open
-PROPAGATION_DEADLINE_S = 6.0  # after it a change counts as known here, even if all calls failed
-PROPAGATION_DEADLINE_AFTER_AGENT_CHANGE_S = 4.0  # the same after a change of the agent
-FIRST_LIST_DEADLINE_S = 3.0  # the same without any list, as no request is served before the first
-UPDATE_TIME_S = 0.6  # for the call itself and for applying the largest list
-OVERLOAD_MIN_WAIT_FRACTION = 2 / 3  # of the time left, in which an overloaded discovery gets no call
-OVERLOAD_MAX_ADVISED_FRACTION = 0.85  # of the time left: Retry-After adds no more, so that calls stay spread
+MAX_BACKOFF_GRACE_FRACTION = 0.5  # of the drain grace period: a drain may begin while no watch is open
+PROPAGATION_DEADLINE_S = 6.0  # a change must be in effect by then, even if calls have failed
+PROPAGATION_DEADLINE_AFTER_AGENT_CHANGE_S = 4.0
+FIRST_LIST_DEADLINE_S = 3.0  # shorter, because no request is served before the first list
+UPDATE_TIME_S = 0.6  # allowance for the call and for applying the largest list
+OVERLOAD_MIN_WAIT_FRACTION = 2 / 3  # of the time left: minimum wait after an overload response
+OVERLOAD_MAX_ADVISED_FRACTION = 0.85  # of the time left: limits Retry-After, so that calls stay spread out
 
 
 class WatchSchedule:
-    """Schedules calls to discovery.
+    """Computes the delay before each call to discovery.
 
-    Every call begins early enough that, if it succeeds, a change is in force before its propagation deadline.
-    The deadline counts from when the list was last up to date, or from the start of a failed call. Times are
-    seconds of the loop's clock, waits are seconds.
+    Every call begins early enough that, if it succeeds, a change takes effect before its propagation
+    deadline. The deadline counts from when the list was last up to date, or from the start of a failed call.
+    Times are in seconds on the event loop's clock, delays in seconds.
     """
 
     __slots__ = ("_backoff_s", "_call_due_at_s", "_max_backoff_s", "_rng")
@@ -29,36 +29,38 @@
     def __init__(self, drain_grace_s: float, rng: random.Random) -> None:
         self._backoff_s = INITIAL_BACKOFF_S
         self._max_backoff_s = min(MAX_BACKOFF_S, MAX_BACKOFF_GRACE_FRACTION * drain_grace_s)
-        self._call_due_at_s: float | None = None  # for the first call after the list was up to date
+        self._call_due_at_s: float | None = (
+            None  # latest start of the first call after the last up-to-date list
+        )
         self._rng = rng
 
     def on_up_to_date(self, at_s: float, deadline_s: float = PROPAGATION_DEADLINE_S) -> None:
-        """Note that at `at_s` this gateway had all that discovery had."""
+        """Record that the list was up to date at `at_s`."""
         self._backoff_s = INITIAL_BACKOFF_S
         self._call_due_at_s = at_s + deadline_s - UPDATE_TIME_S
 
     def on_agent_changed(self, at_s: float) -> None:
-        """Note that the agent has changed, which shortens the deadline; a second move extends no deadline."""
+        """Record a change of agent, which shortens the deadline; a further change does not extend it."""
         due_before_s = self._call_due_at_s
         self.on_up_to_date(at_s, PROPAGATION_DEADLINE_AFTER_AGENT_CHANGE_S)
         if due_before_s is not None and due_before_s > at_s and self._call_due_at_s is not None:
             self._call_due_at_s = min(due_before_s, self._call_due_at_s)
 
     def silence_deadline_s(self, now_s: float) -> float:
-        """Return when a call that begins now ends if it is silent, so that the next begins in time."""
+        """Return when a silent call that begins now must end, so that the next begins in time."""
         if self._call_due_at_s is None:
             return inf
         return max(now_s + INITIAL_BACKOFF_S, self._call_due_at_s)
 
     def delay_after_disconnect(self) -> float:
-        """Return the wait after a watch that had been up to date."""
-        # Jitter, or gateways whose agents failed together would reconnect together.
+        """Return the delay after a watch during which the list was up to date."""
+        # Jitter keeps gateways whose agents failed together from reconnecting together.
         return INITIAL_BACKOFF_S * self._rng.uniform(0.5, 1.0)
 
     def delay_after_failure(
         self, called_at_s: float, now_s: float, deadline_s: float = PROPAGATION_DEADLINE_S
     ) -> float:
-        """Return the wait after a call that was refused, reset, malformed or never answered."""
+        """Return the delay after a call that was refused, reset, unanswered or had an invalid response."""
         time_left_s = self._consume_time_left(called_at_s, now_s, deadline_s)
         backoff_s = min(self._backoff_s, self._max_backoff_s, time_left_s)
         self._backoff_s = min(MAX_BACKOFF_S, 2 * self._backoff_s)
@@ -71,9 +73,9 @@
         retry_after_s: float,
         deadline_s: float = PROPAGATION_DEADLINE_S,
     ) -> float:
-        """Return the wait after a call that discovery rejected with 429 or 503.
+        """Return the delay after a call that discovery rejected with status 429 or 503.
 
-        It takes most of the time left: a fleet that retries sooner keeps discovery from serving anyone.
+        It is most of the time left: a fleet that retries sooner keeps discovery from serving any gateway.
         """
         time_left_s = self._consume_time_left(called_at_s, now_s, deadline_s)
         advised_fraction = max(OVERLOAD_MIN_WAIT_FRACTION, retry_after_s / time_left_s)
@@ -81,10 +83,10 @@
         return time_left_s * self._rng.uniform(min_fraction, 1.0)
 
     def _consume_time_left(self, called_at_s: float, now_s: float, deadline_s: float) -> float:
-        """Return the time until the next call must begin, at least the initial back-off.
+        """Return the time until the next call must begin, at least the initial backoff.
 
-        The time of the last up-to-date list limits only the first call after it: later changes cannot be
-        older than the call that failed.
+        The time at which the list was last up to date limits only the first call after it: changes that
+        later calls receive cannot be older than the call that failed.
         """
         due_at_s = self._call_due_at_s
         self._call_due_at_s = None
--- a/qos_gateway/server/discovery/watched_list.py
+++ b/qos_gateway/server/discovery/watched_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list of the watch: its version, its entries, and what older versions must not undo."""
+"""The endpoint list received from the watch, protected against changes by older versions."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 from . import field_names
 from .endpoint_list import EndpointUpdate
 
-MAX_WITHDRAWN_ENDPOINTS = 1024  # several full fleets
+MAX_WITHDRAWN_ENDPOINTS = 1024  # several times the size of a full fleet
 
 
 class WatchedList:
-    """The list's version, its entries in discovery's form, and what the newest version says of each.
+    """Holds the list's version and JSON entries, and the state of each endpoint in the newest version.
 
-    An agent that lags behind the previous one sends older versions. They are applied, because later changes
-    refer to them. An endpoint that is draining, removed or restarted in the newest version stays so until
+    An agent that lags behind the previous one sends older versions. They are applied, because later deltas
+    are based on them. An endpoint that is draining, removed or restarted in the newest version stays so until
     discovery sends that version or a newer one.
     """
 
     def __init__(self, version: int | None) -> None:
         self.version = version
         self._newest_version = version
-        self._raw_entries: dict[str, Any] = {}  # in discovery's form, by name
-        self._listed_starts: dict[int, int] = {}  # start times by id, as the newest version lists them
-        self._withdrawn_starts: dict[int, int] = {}  # of draining and removed endpoints, the latest last
+        self._raw_entries: dict[str, Any] = {}  # JSON entries by endpoint name
+        self._listed_starts: dict[int, int] = {}  # start times by endpoint id, from the newest version
+        self._withdrawn_starts: dict[int, int] = {}  # of draining and removed endpoints, latest last
 
     def reconcile(self, update: EndpointUpdate) -> EndpointUpdate | None:
-        """Return the update with what the newest version says; None for changes that are out of date."""
+        """Return the update with the newest version's state applied; None for an outdated delta."""
         version = update.topology.version
         if self.version is not None and version < self.version and update.topology.kind is ListKind.DELTA:
             return None
@@ -39,12 +39,12 @@
         return EndpointUpdate(replace(update.topology, entries=entries), update.addresses)
 
     def record_cached_list(self, update: EndpointUpdate) -> None:
-        """Note a list that was applied before the start, until discovery sends a newer one."""
+        """Record a list that was applied before the watch was started."""
         self._record_newest(update)
         self.version = update.topology.version
 
     def store(self, raw: dict[str, Any], update: EndpointUpdate) -> None:
-        """Note an update that was applied, in both forms."""
+        """Store an applied update, given as JSON and as parsed."""
         version = update.topology.version
         if update.topology.kind is not ListKind.DELTA:
             self._raw_entries = {}
@@ -54,7 +54,7 @@
         self.version = version
 
     def snapshot(self) -> dict[str, Any] | None:
-        """Return the list in discovery's form; None without any entry."""
+        """Return the list as a JSON object; None if it is empty."""
         entries = list(self._raw_entries.values())
         if not entries:
             return None
@@ -64,7 +64,7 @@
         return self._newest_version is None or version >= self._newest_version
 
     def _apply_newest_state(self, entry: Endpoint) -> Endpoint:
-        """Return an older version's entry with the latest start and the drain that the newest version has."""
+        """Return an older version's entry with the later start time and the drain of the newest version."""
         withdrawn_start = self._withdrawn_starts.get(entry.id)
         if withdrawn_start is not None and withdrawn_start >= entry.started_at:
             health = Health.DRAINING if entry.health is Health.READY else entry.health
@@ -84,7 +84,7 @@
             self._raw_entries[name] = stored
 
     def _record_newest(self, update: EndpointUpdate) -> None:
-        """Note which endpoints the newest version lists, and which are draining or removed."""
+        """Record which endpoints the newest version lists, and which are draining or removed."""
         self._newest_version = update.topology.version
         if update.topology.kind is not ListKind.DELTA:
             listed = {entry.id for entry in update.topology.entries}
