--- a/tests/server/test_counter.py
+++ b/tests/server/test_counter.py
@@ -24,35 +24,37 @@
 
 
 @pytest.fixture(autouse=True)
-def patient(monkeypatch: pytest.MonkeyPatch) -> None:
+def long_response_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     """Keep a slow machine from failing a test: connections wait far longer for responses."""
-    monkeypatch.setattr(counter_connections, "RESPONSE_TIMEOUT_S", 3 * LONG)
+    monkeypatch.setattr(counter_connections, "RESPONSE_TIMEOUT_S", 3 * UNREACHED_TIMEOUT_S)
 
 
-TIME_TO_LIVE = 60_000_000_000
-LONG = 15.0  # s: a time-out that no test reaches
+TIME_TO_LIVE_NS = 60_000_000_000
+UNREACHED_TIMEOUT_S = 15.0  # s: a time-out that no test reaches
 
 
-class Caller:
+class CounterCaller:
     """A counter client and the replies it reported."""
 
     def __init__(self, port: int, timeout: float) -> None:
         self.replies: list[CounterReplied] = []
-        self.counter = CounterClient((LOOPBACK, port), timeout, LONG, self.replies.append)
+        self.counter = CounterClient((LOOPBACK, port), timeout, UNREACHED_TIMEOUT_S, self.replies.append)
 
-    def ends(self) -> list[tuple[int, Outcome, float]]:
+    def outcomes(self) -> list[tuple[int, Outcome, float]]:
         return [(event.key, event.outcome, event.total) for event in self.replies]
 
     async def wait_for(self, number: int) -> list[tuple[int, Outcome, float]]:
         await wait_until(lambda: len(self.replies) >= number)
-        return self.ends()
+        return self.outcomes()
 
 
 @asynccontextmanager
-async def calling(timeout: float = LONG) -> AsyncIterator[tuple[Caller, FakeCounter]]:
+async def counter_caller(
+    timeout: float = UNREACHED_TIMEOUT_S,
+) -> AsyncIterator[tuple[CounterCaller, FakeCounter]]:
     fake = FakeCounter()
     async with listening(fake):
-        caller = Caller(fake.port, timeout)
+        caller = CounterCaller(fake.port, timeout)
         caller.counter.start()
         try:
             yield caller, fake
@@ -75,7 +77,7 @@
         (b"", None),
     ],
 )
-def test_response_to_an_increment(line: bytes, response: CounterResponse | None) -> None:
+def test_increment_response_is_parsed(line: bytes, response: CounterResponse | None) -> None:
     assert parse_increment_response(line) == response
 
 
@@ -88,15 +90,15 @@
         (12, 123456789.1234567, 2_999_999, b"bump 12 123456789.123457 2\r\n"),
     ],
 )
-def test_increment_on_the_wire(key: int, amount: float, time_to_live: int, line: bytes) -> None:
+def test_increment_is_encoded(key: int, amount: float, time_to_live: int, line: bytes) -> None:
     assert encode_increment(key, amount, time_to_live) == line
 
 
-def test_calls_of_one_key_are_written_one_behind_another_and_reported_in_order() -> None:
+def test_calls_of_one_key_are_pipelined_and_completed_in_order() -> None:
     async def test() -> None:
-        async with calling() as (caller, fake):
-            caller.counter.call(7, TIME_TO_LIVE, 1.0)
-            caller.counter.call(7, TIME_TO_LIVE, -2.5)
+        async with counter_caller() as (caller, fake):
+            caller.counter.call(7, TIME_TO_LIVE_NS, 1.0)
+            caller.counter.call(7, TIME_TO_LIVE_NS, -2.5)
             first, second = await fake.next_call(), await fake.next_call()
             assert (first.name, first.amount, first.time_to_live) == (b"7", 1.0, 60_000)
             assert (second.name, second.amount) == (b"7", -2.5)
@@ -108,75 +110,75 @@
     run_on_loop(test)
 
 
-def test_lost_answer_holds_up_no_other_key_and_its_connection_is_abandoned() -> None:
+def test_lost_response_delays_no_other_key_and_its_connection_is_abandoned() -> None:
     async def test() -> None:
-        async with calling() as (caller, fake):
+        async with counter_caller() as (caller, fake):
             await wait_until(lambda: len(fake.connections) == CONNECTION_COUNT)
-            caller.counter.call(7, TIME_TO_LIVE, 1.0)
+            caller.counter.call(7, TIME_TO_LIVE_NS, 1.0)
             await fake.next_call()
-            made = caller.counter.time()
-            await wait_until(lambda: caller.counter.time() > made)
-            caller.counter.call(8, TIME_TO_LIVE, 1.0)
+            called_at_s = caller.counter.time()
+            await wait_until(lambda: caller.counter.time() > called_at_s)
+            caller.counter.call(8, TIME_TO_LIVE_NS, 1.0)
             (await fake.next_call()).answer(b"ok 1")
             assert await caller.wait_for(1) == [(8, Outcome.OK, 1.0)]
             caller.counter._timeout_s = 0.0
             caller.counter._expire()
-            assert caller.ends()[1:] == [(7, Outcome.RESET, 0.0)]
+            assert caller.outcomes()[1:] == [(7, Outcome.RESET, 0.0)]
             await wait_until(lambda: len(fake.connections) == CONNECTION_COUNT + 1)
 
     run_on_loop(test)
 
 
-def test_call_without_an_answer_times_out_and_its_late_answer_is_not_taken_for_the_next() -> None:
+def test_late_response_of_a_timed_out_call_is_not_matched_with_the_next_call() -> None:
     async def test() -> None:
-        async with calling(0.05) as (caller, fake):
+        async with counter_caller(0.05) as (caller, fake):
             await wait_until(lambda: len(fake.connections) == CONNECTION_COUNT)
-            caller.counter.call(7, TIME_TO_LIVE, 1.0)
+            caller.counter.call(7, TIME_TO_LIVE_NS, 1.0)
             late = await fake.next_call()
             assert await caller.wait_for(1) == [(7, Outcome.TIMEOUT, 0.0)]
-            caller.counter._timeout_s = LONG
+            caller.counter._timeout_s = UNREACHED_TIMEOUT_S
             late.answer(b"ok 41")
-            caller.counter.call(9, TIME_TO_LIVE, 1.0)
+            caller.counter.call(9, TIME_TO_LIVE_NS, 1.0)
             (await fake.next_call()).answer(b"ok 3")
             assert (await caller.wait_for(2))[1] == (9, Outcome.OK, 3.0)
 
     run_on_loop(test)
 
 
-def test_answer_without_a_number_was_added_and_its_connection_is_abandoned() -> None:
+def test_connection_with_an_invalid_response_is_abandoned_and_its_calls_are_reset() -> None:
     async def test() -> None:
-        async with calling() as (caller, fake):
+        async with counter_caller() as (caller, fake):
             await wait_until(lambda: len(fake.connections) == CONNECTION_COUNT)
-            caller.counter.call(7, TIME_TO_LIVE, 1.0)
-            caller.counter.call(7, TIME_TO_LIVE, 1.0)
+            caller.counter.call(7, TIME_TO_LIVE_NS, 1.0)
+            caller.counter.call(7, TIME_TO_LIVE_NS, 1.0)
             (await fake.next_call()).answer(b"ok many")
             assert await caller.wait_for(2) == [(7, Outcome.RESET, 0.0), (7, Outcome.RESET, 0.0)]
             await fake.next_call()
-            caller.counter.call(9, TIME_TO_LIVE, 1.0)
-            again = await fake.next_call()
-            assert again.name == b"9"
+            caller.counter.call(9, TIME_TO_LIVE_NS, 1.0)
+            third = await fake.next_call()
+            assert third.name == b"9"
             await wait_until(lambda: len(fake.connections) == CONNECTION_COUNT + 1)
-            again.answer(b"ok 1")
+            third.answer(b"ok 1")
             assert (await caller.wait_for(3))[2] == (9, Outcome.OK, 1.0)
 
     run_on_loop(test)
 
 
-def test_refused_connection_adds_nothing_and_the_counter_is_found_again() -> None:
+def test_refused_connection_fails_the_call_and_the_client_reconnects() -> None:
     async def test() -> None:
         fake = FakeCounter()
         async with listening(fake):
             pass
-        caller = Caller(fake.port, LONG)
+        caller = CounterCaller(fake.port, UNREACHED_TIMEOUT_S)
         caller.counter.start()
         try:
-            caller.counter.call(7, TIME_TO_LIVE, 1.0)
+            caller.counter.call(7, TIME_TO_LIVE_NS, 1.0)
             assert await caller.wait_for(1) == [(7, Outcome.CONNECT_FAILED, 0.0)]
             back = FakeCounter(fake.port)
             async with listening(back):
                 while not back.connections:
                     await asyncio.sleep(0.01)
-                caller.counter.call(8, TIME_TO_LIVE, 1.0)
+                caller.counter.call(8, TIME_TO_LIVE_NS, 1.0)
                 (await back.next_call()).answer(b"ok 1")
                 assert (await caller.wait_for(2))[1] == (8, Outcome.OK, 1.0)
         finally:
@@ -189,9 +191,9 @@
     monkeypatch.setattr(counter_connections, "RESPONSE_TIMEOUT_S", 0.05)
 
     async def test() -> None:
-        async with calling(0.05) as (caller, fake):
+        async with counter_caller(0.05) as (caller, fake):
             await wait_until(lambda: len(fake.connections) == CONNECTION_COUNT)
-            caller.counter.call(7, TIME_TO_LIVE, 1.0)
+            caller.counter.call(7, TIME_TO_LIVE_NS, 1.0)
             await fake.next_call()
             assert await caller.wait_for(1) == [(7, Outcome.TIMEOUT, 0.0)]
             await wait_until(lambda: len(fake.connections) == CONNECTION_COUNT + 1)
@@ -199,17 +201,17 @@
     run_on_loop(test)
 
 
-def test_after_a_move_calls_go_to_the_new_address_behind_those_still_out_at_the_old() -> None:
+def test_calls_after_an_address_change_wait_for_calls_of_the_same_key_in_flight_to_the_old_address() -> None:
     async def test() -> None:
-        async with calling() as (caller, old):
-            caller.counter.call(7, TIME_TO_LIVE, 1.0)
+        async with counter_caller() as (caller, old):
+            caller.counter.call(7, TIME_TO_LIVE_NS, 1.0)
             first = await old.next_call()
             new = FakeCounter()
             async with listening(new):
                 caller.counter.change_address((LOOPBACK, new.port))
                 await wait_until(lambda: bool(new.connections))
                 await wait_until(lambda: bool(caller.counter._connections._draining))
-                caller.counter.call(7, TIME_TO_LIVE, 2.0)
+                caller.counter.call(7, TIME_TO_LIVE_NS, 2.0)
                 assert new.calls.empty()
                 first.answer(b"ok 1")
                 (await new.next_call()).answer(b"ok 3")
@@ -218,7 +220,7 @@
     run_on_loop(test)
 
 
-def test_gateway_asks_the_counter_and_goes_by_its_answer() -> None:
+def test_gateway_waits_for_the_counter_response_before_it_forwards_the_request() -> None:
     async def test() -> None:
         fake = FakeCounter()
         async with (
@@ -226,17 +228,17 @@
             gateway_harness(
                 counter=f"{LOOPBACK}:{fake.port}",
                 familyInfo__counter=True,
-                familyInfo__counterTimeout=TIME_TO_LIVE,
+                familyInfo__counterTimeout=TIME_TO_LIVE_NS,
                 limits__peerMessages=False,
                 packages=[{**nested_settings()["packages"][0], "parallel": 5}],
             ) as harness,
         ):
             client = await harness.connect_client()
             client.send(call_command(number=1))
-            asked = await fake.next_call()
-            assert asked.amount >= 1.0
+            counter_call = await fake.next_call()
+            assert counter_call.amount >= 1.0
             assert harness.endpoint.commands.empty()
-            asked.answer(b"ok %d" % asked.amount)
+            counter_call.answer(b"ok %d" % counter_call.amount)
             connection, _ = await harness.endpoint.next_command()
             connection.send(success_reply(b"v"))
             assert await client.next_message() == b"v"
@@ -244,22 +246,22 @@
     run_on_loop(test)
 
 
-def test_settings_follow_whether_there_is_a_counter_to_call() -> None:
+def test_counter_is_used_only_if_its_address_is_configured() -> None:
     family = {"familyInfo__counter": True, "familyInfo__counterTimeout": 80_000_000}
-    named = parse({**raw_config(1, None, **family), "counter": "127.0.0.1:6400"}, {})
-    assert named.settings.has_counter
-    assert named.counter == ("127.0.0.1", 6400)
-    assert named.counter_timeout == 80_000_000
-    unnamed = parse(raw_config(1, None, **family), {})
-    assert not unnamed.settings.has_counter
-    assert unnamed.counter is None
+    with_address = parse({**raw_config(1, None, **family), "counter": "127.0.0.1:6400"}, {})
+    assert with_address.settings.has_counter
+    assert with_address.counter == ("127.0.0.1", 6400)
+    assert with_address.counter_timeout == 80_000_000
+    without_address = parse(raw_config(1, None, **family), {})
+    assert not without_address.settings.has_counter
+    assert without_address.counter is None
 
 
-def test_reply_is_never_reported_within_the_call() -> None:
+def test_reply_is_never_reported_before_the_call_returns() -> None:
     async def test() -> None:
-        async with calling() as (caller, fake):
+        async with counter_caller() as (caller, fake):
             await wait_until(lambda: bool(fake.connections))
-            caller.counter.call(7, TIME_TO_LIVE, 1.0)
+            caller.counter.call(7, TIME_TO_LIVE_NS, 1.0)
             assert caller.replies == []
             (await with_timeout(fake.next_call())).answer(b"ok 1")
             await caller.wait_for(1)
@@ -277,5 +279,5 @@
         (AbandonReason.UNSOLICITED_RESPONSE, "unsolicited_response"),
     ],
 )
-def test_reason_for_abandoning_a_connection_in_the_log(reason: AbandonReason, text: str) -> None:
+def test_log_text_of_the_reason_for_abandoning_a_connection(reason: AbandonReason, text: str) -> None:
     assert reason.log_text(b"{x}" + b"y" * 99) == text
--- a/tests/server/test_discovery.py
+++ b/tests/server/test_discovery.py
@@ -18,89 +18,89 @@
 from tests.support.fake_discovery import FakeDiscovery, endpoint_entry, endpoint_list
 
 
-def test_changes_come_in_order_and_a_broken_watch_goes_on_from_the_last_version() -> None:
+def test_updates_arrive_in_order_and_a_reconnected_watch_resumes_from_the_last_version() -> None:
     async def test() -> None:
         agent = FakeDiscovery()
         async with listening(agent):
-            f = Follower(agent, 40)
+            follower = Follower(agent, 40)
             assert await with_timeout(agent.requests.get()) == b"GET /api/targets?stream=1&index=40 HTTP/1.1"
             agent.send_update(endpoint_list(41, endpoint_entry("s-1", 1)))
             line = b'{"seq":42,"whole":false,"hosts":[]}\n\n{"seq":43,"whole":false,"hosts":[]}\n{"se'
             agent.send_bytes(line)
-            kinds = [(u.topology.version, u.topology.kind) for u in [await f.next() for _ in range(3)]]
+            kinds = [(u.topology.version, u.topology.kind) for u in [await follower.next() for _ in range(3)]]
             assert kinds == [(41, ListKind.FULL), (42, ListKind.DELTA), (43, ListKind.DELTA)]
             agent.abort()
             assert await with_timeout(agent.requests.get()) == b"GET /api/targets?stream=1&index=43 HTTP/1.1"
             agent.send_update(endpoint_list(44, whole=False))
-            assert (await f.next()).topology.version == 44
-            await f.watch.close()
+            assert (await follower.next()).topology.version == 44
+            await follower.watch.close()
 
     run_on_loop(test)
 
 
-def test_watch_moves_to_another_agent_and_goes_on_from_the_last_version() -> None:
+def test_watch_on_another_agent_resumes_from_the_last_version() -> None:
     async def test() -> None:
         old, new = FakeDiscovery(), FakeDiscovery()
         async with listening(old), listening(new):
-            f = Follower(old, None)
+            follower = Follower(old, None)
             await with_timeout(old.requests.get())
             old.send_update(endpoint_list(41, endpoint_entry("s-1", 1)))
-            await f.next()
-            f.watch.change_agent((LOOPBACK, new.port))
+            await follower.next()
+            follower.watch.change_agent((LOOPBACK, new.port))
             assert b"index=41" in await with_timeout(new.requests.get())
-            f.watch.change_agent((LOOPBACK, new.port))  # where it already is
+            follower.watch.change_agent((LOOPBACK, new.port))  # where it already is
             new.send_update(endpoint_list(42, whole=False))
-            assert (await f.next()).topology.version == 42
+            assert (await follower.next()).topology.version == 42
             assert new.requests.empty()
             assert old.requests.empty()
-            await f.watch.close()
-            f.watch.change_agent((LOOPBACK, old.port))
+            await follower.watch.close()
+            follower.watch.change_agent((LOOPBACK, old.port))
             await asyncio.sleep(0)
             assert old.requests.empty()
 
     run_on_loop(test)
 
 
-def test_junk_on_the_watch_breaks_it_and_it_is_taken_up_again() -> None:
+def test_invalid_data_ends_the_watch_and_it_is_reopened() -> None:
     async def test() -> None:
         agent = FakeDiscovery()
         async with listening(agent):
-            f = Follower(agent, None)
+            follower = Follower(agent, None)
             assert await with_timeout(agent.requests.get()) == b"GET /api/targets?stream=1&index=0 HTTP/1.1"
             agent.send_bytes(b"no json\n")
             await with_timeout(agent.requests.get())
             agent.send_update(endpoint_list(1))
-            assert (await f.next()).topology.version == 1
-            await f.watch.close()
+            assert (await follower.next()).topology.version == 1
+            await follower.watch.close()
 
     run_on_loop(test)
 
 
-def test_indented_list_is_read_however_its_pieces_come() -> None:
+def test_indented_list_is_parsed_from_fragments_of_any_size() -> None:
     async def test() -> None:
         agent = FakeDiscovery()
         async with listening(agent):
-            f = Follower(agent, None)
+            follower = Follower(agent, None)
             await with_timeout(agent.requests.get())
-            whole = endpoint_list(41, endpoint_entry("s-1", 1), endpoint_entry("s-2", 2))
-            agent.send_bytes(json.dumps(whole, indent=2).encode() + b"\n")
-            assert len((await f.next()).topology.entries) == 2
+            full_list = endpoint_list(41, endpoint_entry("s-1", 1), endpoint_entry("s-2", 2))
+            agent.send_bytes(json.dumps(full_list, indent=2).encode() + b"\n")
+            assert len((await follower.next()).topology.entries) == 2
             text = json.dumps(
                 endpoint_list(42, endpoint_entry("s-1", 1, "terminating"), whole=False), indent="\t"
             ).encode()
             for byte in text + b"\n\n":
                 agent.send_bytes(bytes([byte]))
-            assert (await f.next()).topology.entries[0].health is Health.DRAINING
+            assert (await follower.next()).topology.entries[0].health is Health.DRAINING
             agent.send_update(endpoint_list(43, endpoint_entry("s-2", 2, "terminated"), whole=False))
-            assert (await f.next()).topology.version == 43
+            assert (await follower.next()).topology.version == 43
             assert agent.requests.empty()
-            await f.watch.close()
+            await follower.watch.close()
 
     run_on_loop(test)
 
 
 @pytest.mark.parametrize(
-    "junk",
+    "invalid",
     [
         b'{"seq": 42,\n"whole": tru, "hosts": []}\n',
         b'{"seq": 42,\n\n',
@@ -110,26 +110,24 @@
         b"7\n",
     ],
 )
-def test_list_that_cannot_be_read_changes_nothing_and_is_logged(
-    junk: bytes, caplog: pytest.LogCaptureFixture
-) -> None:
+def test_invalid_list_is_logged_and_changes_nothing(invalid: bytes, caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         agent = FakeDiscovery()
         async with listening(agent):
-            f = Follower(agent, 41)
+            follower = Follower(agent, 41)
             await with_timeout(agent.requests.get())
-            agent.send_bytes(junk)
+            agent.send_bytes(invalid)
             assert b"index=41" in await with_timeout(agent.requests.get())
-            assert f.updates.empty()
+            assert follower.updates.empty()
             assert "discovery_watch_ended" in caplog.text
             agent.send_update(endpoint_list(42, endpoint_entry("s-1", 1)))
-            assert (await f.next()).topology.version == 42
-            await f.watch.close()
+            assert (await follower.next()).topology.version == 42
+            await follower.watch.close()
 
     run_on_loop(test)
 
 
-def test_watch_that_was_well_is_opened_anew_at_once_however_long_the_waits_before_it(
+def test_backoff_is_reset_after_a_watch_that_was_up_to_date(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """An idle watch brings empty lines only; the propagation deadline counts from the last of them."""
@@ -138,23 +136,25 @@
     async def test() -> None:
         agent = FakeDiscovery()
         async with listening(agent):
-            f = Follower(agent, 7)
+            follower = Follower(agent, 7)
             for _ in range(8):
                 await with_timeout(agent.requests.get())
                 agent.abort()
             await with_timeout(agent.requests.get())
             assert max(waits[-2:]) >= MAX_BACKOFF_S / 2
             agent.send_bytes(b"\n")
-            watch_waits = len(waits)
+            waits_before_close = len(waits)
             agent.writers[-1].close()  # after the line, so that it is read
             await with_timeout(agent.requests.get())
-            assert waits[watch_waits] <= INITIAL_BACKOFF_S
-            await f.watch.close()
+            assert waits[waits_before_close] <= INITIAL_BACKOFF_S
+            await follower.watch.close()
 
     run_on_loop(test)
 
 
-def test_agent_that_hangs_up_is_called_again_within_the_drain_grace(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_backoff_after_a_closed_connection_is_at_most_half_the_drain_grace(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     waits = record_waits(monkeypatch)
 
     async def test() -> None:
@@ -202,5 +202,7 @@
         (WatchEndReason.REJECTED, 503, "status_503"),
     ],
 )
-def test_reason_for_the_end_of_a_watch_in_the_log(reason: WatchEndReason, detail: object, text: str) -> None:
+def test_log_text_of_the_reason_for_the_end_of_a_watch(
+    reason: WatchEndReason, detail: object, text: str
+) -> None:
     assert reason.log_text(detail) == text
--- a/tests/server/test_discovery_deadlines.py
+++ b/tests/server/test_discovery_deadlines.py
@@ -32,9 +32,9 @@
 from tests.support.fake_discovery import FakeDiscovery, endpoint_entry, endpoint_list
 
 LATEST = PROPAGATION_DEADLINE_S - UPDATE_TIME_S  # s by which the next call begins
-BUSY = b"HTTP/1.1 %d Busy\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n"
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-WHOLE = json.dumps(endpoint_list(41, endpoint_entry("s-1", 1))).encode() + b"\n"
+OVERLOADED_RESPONSE = b"HTTP/1.1 %d Busy\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+FULL_LIST = json.dumps(endpoint_list(41, endpoint_entry("s-1", 1))).encode() + b"\n"
 
 
 class ScriptedDiscovery(FakeDiscovery):
@@ -42,7 +42,7 @@
 
     def __init__(self, outcomes: list[str]) -> None:
         super().__init__()
-        self.outcomes, self.never = outcomes, asyncio.Event()
+        self.outcomes, self.finished = outcomes, asyncio.Event()
         self.server: asyncio.Server | None = None
 
     async def open(self) -> None:
@@ -60,13 +60,13 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             writer.transport.abort()
         elif outcome in ("429", "503"):
-            writer.write(BUSY % int(outcome))
+            writer.write(OVERLOADED_RESPONSE % int(outcome))
         elif outcome == "head":
-            writer.write(HEAD)
+            writer.write(RESPONSE_HEAD)
         elif outcome in ("list", "break", "silence"):
-            writer.write(HEAD + b"%x\r\n%b\r\n" % (len(WHOLE), WHOLE))
+            writer.write(RESPONSE_HEAD + b"%x\r\n%b\r\n" % (len(FULL_LIST), FULL_LIST))
         if outcome in ("hung", "head", "silence", "list"):
-            await self.never.wait()
+            await self.finished.wait()
         writer.close()
 
 
@@ -93,7 +93,7 @@
             await agent.open()
         await with_timeout(updates.get())
         await watch.close()
-        agent.never.set()
+        agent.finished.set()
         if agent.server is not None:
             agent.server.close()
 
@@ -103,7 +103,7 @@
 
 @pytest.mark.parametrize("before", [[], ["break"], ["silence"]])
 @pytest.mark.parametrize("outcome", ["refused", "reset", "hung", "head", "429", "503"])
-def test_next_call_begins_in_time_whatever_came_of_those_before(
+def test_next_call_begins_in_time_after_any_outcome(
     before: list[str], outcome: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Retry-After asks for 30 s, but the propagation deadline comes first."""
@@ -116,7 +116,7 @@
         assert min(waits[len(before) + 1 :]) >= OVERLOAD_MIN_WAIT_FRACTION * (latest - 0.5)
 
 
-def test_without_any_list_an_overloaded_discovery_is_called_three_times_within_the_time_to_be_ready() -> None:
+def test_overloaded_discovery_is_called_three_times_within_the_startup_deadline_without_a_list() -> None:
     waits = [
         WatchSchedule(1.0, random.Random(seed)).delay_after_overload(0.0, 0.0, 30.0, FIRST_LIST_DEADLINE_S)
         for seed in range(99)
@@ -161,7 +161,7 @@
         first = False
 
 
-def test_hung_calls_are_given_up_in_time_for_the_next() -> None:
+def test_hung_calls_time_out_in_time_for_the_next() -> None:
     schedule = WatchSchedule(60.0, random.Random(1))
     schedule.on_up_to_date(0.0)
     now = IDLE_TIMEOUT_S
@@ -171,7 +171,7 @@
         assert now - called_at <= LATEST
 
 
-def test_after_a_move_the_first_retry_is_in_time_for_the_shorter_propagation_deadline() -> None:
+def test_first_retry_after_an_agent_change_meets_the_shorter_propagation_deadline() -> None:
     for seed in range(50):
         schedule = WatchSchedule(60.0, random.Random(seed))
         schedule.on_up_to_date(100.0, PROPAGATION_DEADLINE_AFTER_AGENT_CHANGE_S)
@@ -181,7 +181,7 @@
         )
 
 
-def test_second_move_puts_the_deadline_of_the_first_off_by_nothing() -> None:
+def test_second_agent_change_does_not_extend_the_deadline_of_the_first() -> None:
     schedule = WatchSchedule(60.0, random.Random(1))
     schedule.on_up_to_date(0.0)
     schedule.on_agent_changed(100.0)
@@ -196,7 +196,7 @@
     )
 
 
-def calls_of(gateways: int, per_s: int, wait: Callable[[int, random.Random], float]) -> list[float]:
+def simulate_calls(gateways: int, per_s: int, wait: Callable[[int, random.Random], float]) -> list[float]:
     """Return when a fleet that lost its watches together calls a discovery with room for `per_s` a second.
 
     The calls go on until each gateway was served, `wait` after its n-th rejected one.
@@ -215,7 +215,7 @@
     return calls
 
 
-def doubling_wait(rejected: int, rng: random.Random) -> float:
+def exponential_backoff(rejected: int, rng: random.Random) -> float:
     """Return the wait of exponential back-off, up to 16 s, with jitter."""
     return min(16.0, 2.0**rejected) * rng.uniform(0.5, 1.5)
 
@@ -225,11 +225,12 @@
 
 
 @pytest.mark.parametrize(("gateways", "per_s"), [(40, 10), (200, 20), (200, 50), (480, 40), (480, 120)])
-def test_a_fleet_costs_an_overloaded_discovery_no_more_calls_than_doubling_waits_and_stays_spread(
+def test_fleet_sends_an_overloaded_discovery_no_more_calls_than_exponential_backoff_and_no_bursts(
     gateways: int, per_s: int
 ) -> None:
-    calls, before = calls_of(gateways, per_s, scheduled_wait), calls_of(gateways, per_s, doubling_wait)
-    assert len(calls) <= len(before)
-    again = [at for at in calls if at > 0.1]
-    most = max(sum(start <= at < start + 0.1 for at in again) for start in again)
+    calls = simulate_calls(gateways, per_s, scheduled_wait)
+    backoff_calls = simulate_calls(gateways, per_s, exponential_backoff)
+    assert len(calls) <= len(backoff_calls)
+    retries = [at for at in calls if at > 0.1]
+    most = max(sum(start <= at < start + 0.1 for at in retries) for start in retries)
     assert most <= 4 + 0.1 * gateways
--- a/tests/server/test_discovery_silence.py
+++ b/tests/server/test_discovery_silence.py
@@ -14,20 +14,20 @@
 from tests.support.fake_discovery import FakeDiscovery, endpoint_entry, endpoint_list
 
 
-def test_silent_watch_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_watch_is_reopened(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         monkeypatch.setattr(discovery_watch, "IDLE_TIMEOUT_S", 0.05)
         agent = FakeDiscovery()
         async with listening(agent):
-            f = Follower(agent, 7)
+            follower = Follower(agent, 7)
             for _ in range(2):
                 assert b"index=7" in await with_timeout(agent.requests.get())
-            await f.watch.close()
+            await follower.watch.close()
 
     run_on_loop(test)
 
 
-def test_silent_watch_after_a_move_is_given_up_before_the_shorter_propagation_deadline(
+def test_silent_watch_after_an_agent_change_is_closed_before_the_shorter_propagation_deadline(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What the new agent has binds 4 s after the move, so 5 s of silence are too many there."""
@@ -37,19 +37,19 @@
         loop = asyncio.get_running_loop()
         old, new = FakeDiscovery(), FakeDiscovery()
         async with listening(old), listening(new):
-            f = Follower(old, 7)
+            follower = Follower(old, 7)
             await with_timeout(old.requests.get())
-            f.watch.change_agent((LOOPBACK, new.port))
+            follower.watch.change_agent((LOOPBACK, new.port))
             await with_timeout(new.requests.get())
-            moved_at = loop.time()
+            changed_at = loop.time()
             await with_timeout(new.requests.get())
-            assert loop.time() - moved_at < discovery_watch.IDLE_TIMEOUT_S / 2
-            await f.watch.close()
+            assert loop.time() - changed_at < discovery_watch.IDLE_TIMEOUT_S / 2
+            await follower.watch.close()
 
     run_on_loop(test)
 
 
-def test_watch_that_falls_silent_after_a_move_is_given_up_before_the_shorter_propagation_deadline(
+def test_watch_that_becomes_silent_after_an_agent_change_is_closed_before_the_shorter_propagation_deadline(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It brought a list and nothing since, not even the heartbeat that was due."""
@@ -60,15 +60,15 @@
         loop = asyncio.get_running_loop()
         old, new = FakeDiscovery(), FakeDiscovery()
         async with listening(old), listening(new):
-            f = Follower(old, 7)
+            follower = Follower(old, 7)
             await with_timeout(old.requests.get())
             new.first_update = endpoint_list(8, endpoint_entry("s-1", 1))
-            f.watch.change_agent((LOOPBACK, new.port))
-            await f.next()
-            moved_at = loop.time()
+            follower.watch.change_agent((LOOPBACK, new.port))
+            await follower.next()
+            changed_at = loop.time()
             await with_timeout(new.requests.get())
             await with_timeout(new.requests.get())
-            assert loop.time() - moved_at < discovery_watch.IDLE_TIMEOUT_S / 2
-            await f.watch.close()
+            assert loop.time() - changed_at < discovery_watch.IDLE_TIMEOUT_S / 2
+            await follower.watch.close()
 
     run_on_loop(test)
--- a/tests/server/test_discovery_versions.py
+++ b/tests/server/test_discovery_versions.py
@@ -42,7 +42,7 @@
         await follower.watch.close()
 
 
-def test_drain_holds_though_a_lagging_agent_sends_an_older_full_list() -> None:
+def test_endpoint_stays_draining_if_a_lagging_agent_sends_an_older_full_list() -> None:
     async def test() -> None:
         async with agent_change(None) as change:
             change.old.send_update(
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("known_by", ["full list", "configuration", "previous process"])
-def test_older_full_list_restores_no_endpoint_that_was_removed_or_draining(known_by: str) -> None:
+def test_older_full_list_restores_no_removed_or_draining_endpoint(known_by: str) -> None:
     """An endpoint that a full list omits is removed; an agent that lags behind may still list it."""
 
     async def test() -> None:
@@ -117,7 +117,7 @@
     run_on_loop(test)
 
 
-def test_older_list_reverts_no_restart_that_a_newer_one_reported() -> None:
+def test_older_list_does_not_revert_a_restart_in_a_newer_one() -> None:
     """An endpoint that an older list reports as warm stays in slow start; a draining one stays draining."""
 
     async def test() -> None:
--- a/tests/server/test_endpoint_feed.py
+++ b/tests/server/test_endpoint_feed.py
@@ -22,7 +22,7 @@
 ZONES, KINDS = ("a", "b"), ("m1", "m2")
 
 
-class Lagging(asyncio.Protocol):
+class DelayingAgent(asyncio.Protocol):
     """An agent that answers at once, within a turn of the loop that then lasts too long."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -35,7 +35,7 @@
         time.sleep(0.6)
 
 
-def test_old_list_serves_while_discovery_is_down(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_cached_list_is_used_while_discovery_is_down(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         monkeypatch.setattr("qos_gateway.server.discovery.endpoint_feed.CACHED_LIST_TIMEOUT_S", 0.01)
         monkeypatch.setattr(
@@ -51,22 +51,24 @@
     run_on_loop(test)
 
 
-def test_update_of_discovery_counts_though_the_starting_loop_lagged(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_discovery_list_is_applied_at_startup_despite_a_delayed_event_loop(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """What the agent has binds from the first moment: the list last known must not serve beside it."""
     monkeypatch.setattr("qos_gateway.server.discovery.endpoint_feed.CACHED_LIST_TIMEOUT_S", 0.5)
     ready: list[bool] = []
 
     async def test() -> None:
-        agent = await asyncio.get_running_loop().create_server(Lagging, LOOPBACK, 0)
+        agent = await asyncio.get_running_loop().create_server(DelayingAgent, LOOPBACK, 0)
         gateway = GatewayProcess(
             make_config(agent.sockets[0].getsockname()[1], endpoint_list(5, endpoint_entry("s-1", 1)))
         )
 
-        async def opened() -> None:
+        async def record_readiness_and_start() -> None:
             ready.append(gateway.is_ready())
             await ClientConnections.start(gateway.parts.clients)
 
-        monkeypatch.setattr(gateway.parts.clients, "start", opened)
+        monkeypatch.setattr(gateway.parts.clients, "start", record_readiness_and_start)
         await with_timeout(gateway.start())
         assert ready == [False]
         await gateway.parts.discovery.close()
@@ -93,7 +95,7 @@
     run_on_loop(test)
 
 
-def test_drained_endpoint_gets_nothing_new_and_a_whole_list_takes_away_what_it_lacks() -> None:
+def test_draining_endpoint_gets_no_requests_and_a_full_list_removes_omitted_endpoints() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             client = await harness.connect_client()
@@ -132,7 +134,7 @@
     run_on_loop(test)
 
 
-def test_clients_are_accepted_only_once_what_discovery_sent_is_read(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_clients_are_accepted_only_after_data_from_discovery_is_read(monkeypatch: pytest.MonkeyPatch) -> None:
     """A read may fail for a moment, or the list come in the last one before the start."""
 
     async def test() -> None:
@@ -140,10 +142,10 @@
         async with listening(discovery), listening(endpoint):
             discovery.first_update = endpoint_list(1, endpoint_entry("s-1", endpoint.port))
             gateway = GatewayProcess(make_config(discovery.port))
-            looks = [True, True, False, False]
-            monkeypatch.setattr(gateway.parts.discovery, "has_unread_data", lambda: looks.pop(0))
+            unread_checks = [True, True, False, False]
+            monkeypatch.setattr(gateway.parts.discovery, "has_unread_data", lambda: unread_checks.pop(0))
             await with_timeout(gateway.start())
-            assert looks == []
+            assert unread_checks == []
             assert not gateway.parts.observability.invariants.violations
             await gateway.parts.discovery.close()
             gateway.parts.endpoint_connections.close()
--- a/tests/server/test_endpoint_list.py
+++ b/tests/server/test_endpoint_list.py
@@ -14,18 +14,18 @@
 from tests.support.fake_discovery import endpoint_entry, endpoint_list
 from tests.support.gateway_harness import gateway_harness
 
-ZONES, KINDS = ("a", "b"), ("m1", "m2")
+ZONES, MACHINE_CLASSES = ("a", "b"), ("m1", "m2")
 
 
-def test_entry_is_mapped_as_on_the_simulators_wire() -> None:
+def test_entry_is_parsed() -> None:
     entry = endpoint_entry("s-5be2a07c", 6379, "terminating", born_ms=1_700_000_000_123, block=3)
-    update = parse_update(endpoint_list(41, entry, whole=False), ZONES, KINDS)
+    update = parse_update(endpoint_list(41, entry, whole=False), ZONES, MACHINE_CLASSES)
     assert update.topology.kind is ListKind.DELTA
     assert update.topology.version == 41
-    number = endpoint_id("s-5be2a07c")
+    expected_id = endpoint_id("s-5be2a07c")
     started_at = 1_700_000_000_123_000_000
     expected = Endpoint(
-        id=number,
+        id=expected_id,
         zone=0,
         machine_class=1,
         cell=3,
@@ -34,7 +34,7 @@
         started_at=started_at,
     )
     assert update.topology.entries == (expected,)
-    assert update.addresses == {number: (LOOPBACK, 6379)}
+    assert update.addresses == {expected_id: (LOOPBACK, 6379)}
 
 
 def test_endpoint_id_depends_on_the_name_alone() -> None:
@@ -43,18 +43,18 @@
     assert endpoint_id("s-5be2a07d") != endpoint_id("s-5be2a07c")
 
 
-def test_start_long_ago_stays_zero_and_a_recent_one_is_on_the_engines_clock() -> None:
+def test_unknown_start_time_stays_zero_and_a_recent_one_uses_the_engine_clock() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             now_ms = time.time_ns() // 1_000_000
             entries = endpoint_entry("old", 1, born_ms=0), endpoint_entry("new", 2, born_ms=now_ms)
             harness.discovery.send_update(endpoint_list(2, *entries))
-            servers = harness.gateway.dispatcher.engine.load_balancer.registry.endpoints
-            await wait_until(lambda: endpoint_id("new") in servers)
-            assert servers[endpoint_id("old")].endpoint.started_at == 0
+            endpoints = harness.gateway.dispatcher.engine.load_balancer.registry.endpoints
+            await wait_until(lambda: endpoint_id("new") in endpoints)
+            assert endpoints[endpoint_id("old")].endpoint.started_at == 0
             start = harness.process.config.settings.initial_capacity_fraction
             fraction = harness.gateway.dispatcher.engine.load_balancer.slow_start.fraction(
-                harness.gateway.clock(), servers[endpoint_id("new")]
+                harness.gateway.clock(), endpoints[endpoint_id("new")]
             )
             assert start <= fraction < 1.0
 
@@ -63,7 +63,7 @@
 
 def test_terminated_entry_needs_no_address() -> None:
     raw: dict[str, Any] = {"seq": 2, "whole": False, "hosts": [{"host": "s-1", "health": "terminated"}]}
-    update = parse_update(raw, ZONES, KINDS)
+    update = parse_update(raw, ZONES, MACHINE_CLASSES)
     assert update.topology.entries[0].health is Health.REMOVED
     assert update.addresses == {}
 
@@ -80,13 +80,13 @@
         endpoint_list(1, endpoint_entry("s", 1) | {"dial": "nowhere"}),
     ],
 )
-def test_unreadable_list_is_an_error_not_a_crash(raw: Any) -> None:
+def test_invalid_list_raises_a_list_error(raw: Any) -> None:
     with pytest.raises(EndpointListError):
-        parse_update(raw, ZONES, KINDS)
+        parse_update(raw, ZONES, MACHINE_CLASSES)
 
 
 @pytest.mark.parametrize("field", ["seq", "block", "born_ms"])
-def test_number_without_bound_is_a_list_that_cannot_be_read(field: str) -> None:
+def test_infinite_number_is_invalid(field: str) -> None:
     """JSON as Python reads it has Infinity; nothing catches the error of its conversion but this."""
     raw = endpoint_list(1, endpoint_entry("s-1", 1))
     (raw if field == "seq" else raw["hosts"][0])[field] = float("inf")
