--- a/tests/server/test_counter.py
+++ b/tests/server/test_counter.py
@@ -1,4 +1,4 @@
-"""The quota counter over loopback sockets: what each answer means, and that the module's calls reach it."""
+"""The client of the quota counter over loopback sockets: responses, lost connections and address changes."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
 
 @pytest.fixture(autouse=True)
 def long_response_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Keep a slow machine from failing a test: connections wait far longer for responses."""
+    """Prevent response timeouts on a slow machine from failing a test."""
     monkeypatch.setattr(counter_connections, "RESPONSE_TIMEOUT_S", 3 * UNREACHED_TIMEOUT_S)
 
 
 TIME_TO_LIVE_NS = 60_000_000_000
-UNREACHED_TIMEOUT_S = 15.0  # s: a time-out that no test reaches
+UNREACHED_TIMEOUT_S = 15.0  # longer than any test runs
 
 
 class CounterCaller:
-    """A counter client and the replies it reported."""
+    """A counter client and the replies that it has reported."""
 
     def __init__(self, port: int, timeout: float) -> None:
         self.replies: list[CounterReplied] = []
--- a/tests/server/test_discovery.py
+++ b/tests/server/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery's watch, over loopback sockets."""
+"""The discovery client's watch over loopback sockets: updates, reconnects and invalid data."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
             await follower.next()
             follower.watch.change_agent((LOOPBACK, new.port))
             assert b"index=41" in await with_timeout(new.requests.get())
-            follower.watch.change_agent((LOOPBACK, new.port))  # where it already is
+            follower.watch.change_agent((LOOPBACK, new.port))  # the current agent: no effect
             new.send_update(endpoint_list(42, whole=False))
             assert (await follower.next()).topology.version == 42
             assert new.requests.empty()
@@ -130,7 +130,7 @@
 def test_backoff_is_reset_after_a_watch_that_was_up_to_date(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An idle watch brings empty lines only; the propagation deadline counts from the last of them."""
+    """An idle watch receives only heartbeats; the propagation deadline counts from the last of them."""
     waits = record_waits(monkeypatch)
 
     async def test() -> None:
@@ -144,7 +144,7 @@
             assert max(waits[-2:]) >= MAX_BACKOFF_S / 2
             agent.send_bytes(b"\n")
             waits_before_close = len(waits)
-            agent.writers[-1].close()  # after the line, so that it is read
+            agent.writers[-1].close()  # close() sends the heartbeat first; abort() might discard it
             await with_timeout(agent.requests.get())
             assert waits[waits_before_close] <= INITIAL_BACKOFF_S
             await follower.watch.close()
@@ -174,7 +174,7 @@
 
 
 def test_connection_to_the_agent_that_comes_up_too_late_is_closed() -> None:
-    """Cancelled at the moment in which it came up, it would stay open and be read."""
+    """A connection established at the moment its watch is cancelled must not stay open and be read."""
 
     async def test() -> None:
         agent = FakeDiscovery()
--- a/tests/server/test_discovery_deadlines.py
+++ b/tests/server/test_discovery_deadlines.py
@@ -1,4 +1,4 @@
-"""Whatever came of a call to discovery, the next that succeeds is in time for the propagation deadline."""
+"""After any outcome of a call to discovery, the next call is in time for the propagation deadline."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 from tests.support.event_loop import LOOPBACK, run_on_loop, with_timeout
 from tests.support.fake_discovery import FakeDiscovery, endpoint_entry, endpoint_list
 
-LATEST = PROPAGATION_DEADLINE_S - UPDATE_TIME_S  # s by which the next call begins
+LATEST = PROPAGATION_DEADLINE_S - UPDATE_TIME_S  # s: latest start of the next call
 OVERLOADED_RESPONSE = b"HTTP/1.1 %d Busy\r\nRetry-After: 30\r\nContent-Length: 0\r\n\r\n"
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 FULL_LIST = json.dumps(endpoint_list(41, endpoint_entry("s-1", 1))).encode() + b"\n"
 
 
 class ScriptedDiscovery(FakeDiscovery):
-    """Discovery whose next calls end as the test says; later ones get a list and stay open."""
+    """Ends its first calls with the given outcomes; later calls receive a list and stay open."""
 
     def __init__(self, outcomes: list[str]) -> None:
         super().__init__()
@@ -71,7 +71,7 @@
 
 
 def waits_after(outcomes: list[str], monkeypatch: pytest.MonkeyPatch) -> list[float]:
-    """Return what the watch waits after each of these calls, up to the list that comes after them."""
+    """Return the delays after calls with these outcomes, until a following call receives a list."""
     waits = record_waits(monkeypatch)
     monkeypatch.setattr(discovery_watch, "IDLE_TIMEOUT_S", 0.05)
 
@@ -106,7 +106,7 @@
 def test_next_call_begins_in_time_after_any_outcome(
     before: list[str], outcome: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Retry-After asks for 30 s, but the propagation deadline comes first."""
+    """The propagation deadline takes precedence over a Retry-After of 30 s."""
     waits = waits_after([*before, outcome, outcome, outcome], monkeypatch)
     assert len(waits) >= len(before) + 3
     latest = LATEST if before else FIRST_LIST_DEADLINE_S - UPDATE_TIME_S
@@ -197,9 +197,10 @@
 
 
 def simulate_calls(gateways: int, per_s: int, wait: Callable[[int, random.Random], float]) -> list[float]:
-    """Return when a fleet that lost its watches together calls a discovery with room for `per_s` a second.
+    """Return the call times of a fleet that lost its watches together.
 
-    The calls go on until each gateway was served, `wait` after its n-th rejected one.
+    Discovery serves `per_s` calls a second and rejects the rest. Each gateway retries until it is served;
+    `wait` returns the delay after its n-th rejected call.
     """
     rng, served, calls = random.Random(5), dict[int, int](), list[float]()
     due = [(rng.uniform(0.025, 0.05), gateway, 0) for gateway in range(gateways)]
@@ -216,7 +217,7 @@
 
 
 def exponential_backoff(rejected: int, rng: random.Random) -> float:
-    """Return the wait of exponential back-off, up to 16 s, with jitter."""
+    """Return the delay of exponential backoff up to 16 s, with jitter."""
     return min(16.0, 2.0**rejected) * rng.uniform(0.5, 1.5)
 
 
--- a/tests/server/test_discovery_silence.py
+++ b/tests/server/test_discovery_silence.py
@@ -1,4 +1,4 @@
-"""Watches on discovery that bring nothing."""
+"""Watches on discovery that receive no data."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 def test_silent_watch_after_an_agent_change_is_closed_before_the_shorter_propagation_deadline(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What the new agent has binds 4 s after the move, so 5 s of silence are too many there."""
+    """The new agent's list must be in effect 4 s after the change; the idle timeout of 5 s is too late."""
 
     async def test() -> None:
         monkeypatch.setattr(watch_schedule, "PROPAGATION_DEADLINE_AFTER_AGENT_CHANGE_S", UPDATE_TIME_S + 0.2)
@@ -52,7 +52,7 @@
 def test_watch_that_becomes_silent_after_an_agent_change_is_closed_before_the_shorter_propagation_deadline(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It brought a list and nothing since, not even the heartbeat that was due."""
+    """The watch received a list but not the following heartbeat."""
 
     async def test() -> None:
         monkeypatch.setattr(watch_schedule, "PROPAGATION_DEADLINE_AFTER_AGENT_CHANGE_S", UPDATE_TIME_S + 0.3)
--- a/tests/server/test_discovery_versions.py
+++ b/tests/server/test_discovery_versions.py
@@ -1,4 +1,4 @@
-"""Older versions of the endpoint list, from an agent that lags behind the one before."""
+"""Older versions of the endpoint list, from an agent that lags behind the previous one."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class AgentChange:
-    """A follower of one agent that is given another one, which lags behind."""
+    """A follower of one agent that is switched to another, which lags behind."""
 
     old: FakeDiscovery
     new: FakeDiscovery
@@ -33,7 +33,7 @@
 async def agent_change(
     version: int | None, known: dict[str, Any] | None = None
 ) -> AsyncIterator[AgentChange]:
-    """Yield a follower that has called the old agent; `version` and `known` are what it starts with."""
+    """Yield a follower that has called the old agent; it starts with version `version` and list `known`."""
     old, new = FakeDiscovery(), FakeDiscovery()
     async with listening(old), listening(new):
         follower = Follower(old, version, known)
@@ -52,7 +52,7 @@
             )
             await change.follower.next()
             await change.change_agent()
-            # The second has restarted, so the drain of its previous process no longer holds.
+            # s-2 has restarted, so the drain of its previous process no longer applies.
             change.new.send_update(
                 endpoint_list(
                     40,
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("known_by", ["full list", "configuration", "previous process"])
 def test_older_full_list_restores_no_removed_or_draining_endpoint(known_by: str) -> None:
-    """An endpoint that a full list omits is removed; an agent that lags behind may still list it."""
+    """A full list removes the endpoints it omits, but a lagging agent may still list them."""
 
     async def test() -> None:
         newest = endpoint_list(41, endpoint_entry("s-1", 1), endpoint_entry("s-2", 2, "terminating"))
@@ -90,7 +90,7 @@
             listed = [endpoint_entry(f"s-{n}", n) for n in (1, 2, 3)]
             change.new.send_update(endpoint_list(39, *listed, endpoint_entry("s-4", 4, born_ms=9)))
             topology = (await change.follower.next()).topology
-            # Where s-3 was never listed its removal is unknown; s-4 has started again since.
+            # If s-3 was never listed, its removal is unknown. s-4 has restarted since.
             seen = known_by == "full list"
             removed = Health.DRAINING if seen else Health.READY
             assert [e.health for e in topology.entries] == [
@@ -99,7 +99,7 @@
                 removed,
                 Health.READY,
             ]
-            # Changes from before the newest list restore no endpoint either.
+            # A delta older than the newest list restores no endpoint either.
             change.new.send_update(
                 endpoint_list(40, *(endpoint_entry(f"s-{n}", n) for n in (2, 3)), whole=False)
             )
@@ -118,7 +118,7 @@
 
 
 def test_older_list_does_not_revert_a_restart_in_a_newer_one() -> None:
-    """An endpoint that an older list reports as warm stays in slow start; a draining one stays draining."""
+    """An endpoint listed as warm by an older list stays in slow start; a draining one stays draining."""
 
     async def test() -> None:
         async with agent_change(None) as change:
--- a/tests/server/test_endpoint_directory.py
+++ b/tests/server/test_endpoint_directory.py
@@ -1,4 +1,4 @@
-"""Which endpoints are listed and disabled, and what address the connection pools go to."""
+"""The endpoint directory: listed and disabled endpoints, and the addresses of the connection pools."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FakePools:
-    """Remembers the address that each endpoint's pool was given last."""
+    """Records the latest address set for each endpoint's pool."""
 
     def __init__(self) -> None:
         self.addresses: dict[int, Address | None] = {}
--- a/tests/server/test_endpoint_feed.py
+++ b/tests/server/test_endpoint_feed.py
@@ -1,4 +1,4 @@
-"""Endpoint lists in a gateway: at the start, while discovery is down, and drains."""
+"""Endpoint lists in a gateway: at startup, while discovery is down, and during drains."""
 
 from __future__ import annotations
 
@@ -19,11 +19,9 @@
 from tests.support.fake_endpoint import FakeEndpoint, success_reply
 from tests.support.gateway_harness import gateway_harness
 
-ZONES, KINDS = ("a", "b"), ("m1", "m2")
-
 
 class DelayingAgent(asyncio.Protocol):
-    """An agent that answers at once, within a turn of the loop that then lasts too long."""
+    """An agent that responds immediately, then blocks the event loop past the startup timeout."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.descriptor = transport.get_extra_info("socket").fileno()
@@ -40,7 +38,7 @@
         monkeypatch.setattr("qos_gateway.server.discovery.endpoint_feed.CACHED_LIST_TIMEOUT_S", 0.01)
         monkeypatch.setattr(
             "qos_gateway.server.discovery.endpoint_feed.FIRST_LIST_TIMEOUT_S", 600.0
-        )  # only without a list
+        )  # must not apply with a cached list
         gateway = GatewayProcess(make_config(1, endpoint_list(5, endpoint_entry("s-1", 1))))
         assert gateway.is_ready()
         await with_timeout(gateway.start())
@@ -54,7 +52,7 @@
 def test_discovery_list_is_applied_at_startup_despite_a_delayed_event_loop(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What the agent has binds from the first moment: the list last known must not serve beside it."""
+    """The agent's list applies from startup: clients must not be served from the older cached list."""
     monkeypatch.setattr("qos_gateway.server.discovery.endpoint_feed.CACHED_LIST_TIMEOUT_S", 0.5)
     ready: list[bool] = []
 
@@ -135,7 +133,7 @@
 
 
 def test_clients_are_accepted_only_after_data_from_discovery_is_read(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A read may fail for a moment, or the list come in the last one before the start."""
+    """A read may fail temporarily, or the list may arrive just before clients are accepted."""
 
     async def test() -> None:
         discovery, endpoint = FakeDiscovery(), FakeEndpoint()
--- a/tests/server/test_endpoint_list.py
+++ b/tests/server/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Entries of discovery's lists as endpoints."""
+"""Parsing of discovery's endpoint lists."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def test_endpoint_id_depends_on_the_name_alone() -> None:
-    # Written down, so that a changed mapping shows: gateways of two versions may run side by side.
+    # A fixed value detects a change of the hash: gateways of two versions may run at the same time.
     assert endpoint_id("s-5be2a07c") == 54393183237098
     assert endpoint_id("s-5be2a07d") != endpoint_id("s-5be2a07c")
 
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize("field", ["seq", "block", "born_ms"])
 def test_infinite_number_is_invalid(field: str) -> None:
-    """JSON as Python reads it has Infinity; nothing catches the error of its conversion but this."""
+    """Python's JSON parser accepts Infinity, and converting it to int raises OverflowError."""
     raw = endpoint_list(1, endpoint_entry("s-1", 1))
     (raw if field == "seq" else raw["hosts"][0])[field] = float("inf")
     with pytest.raises(EndpointListError):
