--- a/qos_gateway/server/counter/connection.py
+++ b/qos_gateway/server/counter/connection.py
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, eq=False)
 class PendingIncrement:
-    """An increment without a response yet; `completed` is set once its outcome is known to the caller."""
+    """An increment without a response yet; `completed` is set once its outcome is reported."""
 
     key: int
     time_to_live_ns: int
--- a/qos_gateway/server/discovery/watch_connection.py
+++ b/qos_gateway/server/discovery/watch_connection.py
@@ -174,7 +174,7 @@
             self.ended.set_result(None)
 
     def close(self) -> None:
-        """Close the connection, or abort it as soon as it is established."""
+        """Close the connection, immediately or as soon as it is established."""
         if self._timer is not None:
             self._timer.cancel()
         if self._transport is not None:
--- a/qos_gateway/server/discovery/watch_schedule.py
+++ b/qos_gateway/server/discovery/watch_schedule.py
@@ -29,9 +29,8 @@
     def __init__(self, drain_grace_s: float, rng: random.Random) -> None:
         self._backoff_s = INITIAL_BACKOFF_S
         self._max_backoff_s = min(MAX_BACKOFF_S, MAX_BACKOFF_GRACE_FRACTION * drain_grace_s)
-        self._call_due_at_s: float | None = (
-            None  # latest start of the first call after the last up-to-date list
-        )
+        # The latest start of the first call after the list was up to date; None once used.
+        self._call_due_at_s: float | None = None
         self._rng = rng
 
     def on_up_to_date(self, at_s: float, deadline_s: float = PROPAGATION_DEADLINE_S) -> None:
--- a/qos_gateway/server/discovery/watched_list.py
+++ b/qos_gateway/server/discovery/watched_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list received from the watch, protected against changes by older versions."""
+"""The endpoint list received from the watch; older versions do not undo newer changes."""
 
 from __future__ import annotations
 
--- a/tests/server/test_endpoint_feed.py
+++ b/tests/server/test_endpoint_feed.py
@@ -36,9 +36,8 @@
 def test_cached_list_is_used_while_discovery_is_down(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         monkeypatch.setattr("qos_gateway.server.discovery.endpoint_feed.CACHED_LIST_TIMEOUT_S", 0.01)
-        monkeypatch.setattr(
-            "qos_gateway.server.discovery.endpoint_feed.FIRST_LIST_TIMEOUT_S", 600.0
-        )  # must not apply with a cached list
+        # The timeout for a start without a list must not apply to a start with a cached list.
+        monkeypatch.setattr("qos_gateway.server.discovery.endpoint_feed.FIRST_LIST_TIMEOUT_S", 600.0)
         gateway = GatewayProcess(make_config(1, endpoint_list(5, endpoint_entry("s-1", 1))))
         assert gateway.is_ready()
         await with_timeout(gateway.start())
