--- a/qos_gateway/server/endpoints/attempt.py
+++ b/qos_gateway/server/endpoints/attempt.py
@@ -25,7 +25,7 @@
     def close(self) -> None:
         """Close at once."""
 
-    def limit_overtime(self) -> None:
+    def start_deadline_grace(self) -> None:
         """Bound the time that a response which has begun may still take."""
 
 
--- a/qos_gateway/server/endpoints/connection.py
+++ b/qos_gateway/server/endpoints/connection.py
@@ -174,10 +174,10 @@
         if transport.is_closing():
             return
         descriptor = transport.get_extra_info("socket").fileno()
-        borrowed = socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0, descriptor)
+        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0, descriptor)
         with suppress(OSError):  # the endpoint has closed it already
-            borrowed.shutdown(socket.SHUT_RDWR)
-        borrowed.detach()
+            sock.shutdown(socket.SHUT_RDWR)
+        sock.detach()
 
     def cancel_timer(self) -> None:
         """Cancel the time-out of the connect, or of the response that has begun."""
@@ -235,15 +235,15 @@
         try:
             result = self.responses.receive(attempt, data, self)
         except (ValueError, hiredis.ProtocolError) as error:  # of the framing, the parser or the content
-            self._fail_malformed(str(error))
+            self._fail_response(str(error))
             return
         if result is None:
-            self._await_more()
+            self._await_more_data()
             return
         if self.timer is not None:
             self.cancel_timer()
         self.attempt = None
-        if self.responses.ended_with_data:
+        if self.responses.consumed_all_data:
             if self.deadline.is_paused:
                 self.resume()
             self.idle_since = self.context.time()
@@ -260,25 +260,25 @@
         self.listener.on_closed(self)
         if attempt is None:
             return
-        if self.idle_before_request_s is not None and self._was_reset_at_once():
+        if self.idle_before_request_s is not None and self._is_stale_reset():
             self.context.keep_alive.record_reset(self.idle_before_request_s)
         outcome = Outcome.CONNECT_FAILED if self.has_unsent else Outcome.RESET
         self.context.reporter.finish(attempt, AttemptResult.without_response(outcome))
 
-    def _was_reset_at_once(self) -> bool:
+    def _is_stale_reset(self) -> bool:
         """Return whether the connection ended right after the request, without a byte of a response."""
         since_written_s = self.context.time() - self.written_at
-        return not self.responses.is_midway() and since_written_s <= STALE_RESET_WINDOW_S
+        return not self.responses.has_partial_response() and since_written_s <= STALE_RESET_WINDOW_S
 
     # Deadline of a response that has begun.
 
-    def limit_overtime(self) -> None:
+    def start_deadline_grace(self) -> None:
         """Bound the time that the response may still take, as its client's deadline has passed."""
-        self.deadline.start_overtime(self.context.time())
+        self.deadline.start_grace(self.context.time())
         self.cancel_timer()
         self._check_deadline()
 
-    def _await_more(self) -> None:
+    def _await_more_data(self) -> None:
         self.deadline.last_data_at = self.context.time()
         if self.timer is None:
             stall_timeout_s = self.responses.stall_timeout_s()
@@ -291,10 +291,10 @@
             self.timer = self.context.loop.call_later(time_left_s, self._check_deadline)
         else:
             self.timer = None
-            is_overtime = self.deadline.overtime_since > 0.0
-            self._fail_malformed("response over time" if is_overtime else "response stalled")
+            in_grace = self.deadline.grace_started_at > 0.0
+            self._fail_response("response over time" if in_grace else "response stalled")
 
-    def _fail_malformed(self, reason: str) -> None:
+    def _fail_response(self, reason: str) -> None:
         """End the attempt as possibly executed, and close: what follows cannot be read."""
         log.warning("response_malformed endpoint=%s:%d error=%s", *self.address, reason)
         self.fail(Outcome.RESET)
--- a/qos_gateway/server/endpoints/connection_limit.py
+++ b/qos_gateway/server/endpoints/connection_limit.py
@@ -15,7 +15,7 @@
         self._configured_maximum = configured_maximum
         self._close_idle_connection = close_idle_connection
 
-    def restrict(self, maximum: int | None) -> None:
+    def set_temporary_maximum(self, maximum: int | None) -> None:
         """Lower the maximum while two processes share the limit; None restores the configured one."""
         configured = self._configured_maximum
         self.maximum = configured if maximum is None else min(configured, max(1, maximum))
--- a/qos_gateway/server/endpoints/connection_pool.py
+++ b/qos_gateway/server/endpoints/connection_pool.py
@@ -102,7 +102,7 @@
         """Send the attempt that the connection was opened for, if that is still allowed and wanted."""
         attempt = cast(Attempt, connection.attempt)
         now_ns = self._context.clock()
-        if self._is_too_late(attempt, now_ns):
+        if self._is_past_send_deadline(attempt, now_ns):
             connection.fail(Outcome.CONNECT_FAILED)
         elif not self._attempt_listener.is_wanted(attempt):
             connection.fail(Outcome.NOT_SENT)
@@ -125,7 +125,7 @@
         if connection in self.idle:
             self.idle.remove(connection)
 
-    def _is_too_late(self, attempt: Attempt, now_ns: int) -> bool:
+    def _is_past_send_deadline(self, attempt: Attempt, now_ns: int) -> bool:
         """Return whether the drain's grace, the idempotency window or the attempt's time is over.
 
         The attempt's time-out may be due in this turn of the event loop without having run yet.
--- a/qos_gateway/server/endpoints/connections.py
+++ b/qos_gateway/server/endpoints/connections.py
@@ -76,9 +76,9 @@
         """Return the present limit on open connections."""
         return self._connection_limit.maximum
 
-    def limit(self, max_connections: int | None) -> None:
+    def restrict_connections(self, max_connections: int | None) -> None:
         """Lower the limit while two processes share it; None restores the configured limit."""
-        self._connection_limit.restrict(max_connections)
+        self._connection_limit.set_temporary_maximum(max_connections)
 
     def set_address(self, endpoint: int, address: Address | None) -> None:
         """Set the address of an endpoint; None if it drains or was removed, and takes no new attempts."""
@@ -118,9 +118,9 @@
 
     def _close_idle_connection(self) -> None:
         """Close the longest idle connection of the endpoint that has the most idle ones."""
-        fullest = max(self._pools.values(), key=lambda pool: len(pool.idle), default=None)
-        if fullest is not None and fullest.idle:
-            fullest.idle[0].close()
+        pool_to_trim = max(self._pools.values(), key=lambda pool: len(pool.idle), default=None)
+        if pool_to_trim is not None and pool_to_trim.idle:
+            pool_to_trim.idle[0].close()
 
     def _sweep(self) -> None:
         """Close expired connections and forget drained pools, once a second."""
@@ -146,26 +146,28 @@
 
     def expire_attempt(self, attempt: Attempt) -> None:
         """End an attempt whose time is over: not executed if any of it is unsent, else possibly executed."""
-        self._abandon(attempt, Outcome.CONNECT_FAILED if self._is_unsent(attempt) else Outcome.TIMEOUT)
+        self._close_and_finish(
+            attempt, Outcome.CONNECT_FAILED if self._is_unsent(attempt) else Outcome.TIMEOUT
+        )
 
-    def limit_overtime(self, attempt: Attempt) -> None:
+    def start_deadline_grace(self, attempt: Attempt) -> None:
         """Bound the time that a large value may still take after its client's deadline."""
         if attempt.connection is not None:
-            attempt.connection.limit_overtime()
+            attempt.connection.start_deadline_grace()
 
     def cancel_attempt(self, attempt: Attempt) -> None:
         """End an attempt whose response is no longer needed."""
-        self._abandon(attempt, Outcome.CANCELLED)
+        self._close_and_finish(attempt, Outcome.CANCELLED)
 
     def cancel_unsent(self, attempt: Attempt) -> None:
         """End an attempt whose response is no longer needed, unless its last byte is sent."""
         if self._is_unsent(attempt):
-            self._abandon(attempt, Outcome.NOT_SENT)
+            self._close_and_finish(attempt, Outcome.NOT_SENT)
 
     def _is_unsent(self, attempt: Attempt) -> bool:
         return attempt.connection is None or attempt.connection.has_unsent
 
-    def _abandon(self, attempt: Attempt, outcome: Outcome) -> None:
+    def _close_and_finish(self, attempt: Attempt, outcome: Outcome) -> None:
         if attempt.connection is not None:
             # Its response may still arrive, and would be taken for that of the next attempt.
             attempt.connection.close()
--- a/qos_gateway/server/endpoints/keep_alive.py
+++ b/qos_gateway/server/endpoints/keep_alive.py
@@ -4,7 +4,7 @@
 
 from bisect import bisect
 
-IDLE_AGE_BOUNDS_S = tuple(0.05 * 2**exponent for exponent in range(9))  # upper bounds of the buckets
+IDLE_TIME_BOUNDS_S = tuple(0.05 * 2**exponent for exponent in range(9))  # upper bounds of the buckets
 MIN_STALE_RESETS = 3.0  # in a bucket, below which it never counts as stale: fewer can be chance
 STALE_RESET_RATIO = 0.15  # resets per reuse, from which a bucket counts as stale
 DECAY_PER_S = 0.97  # factor on each count, so that a stale bucket is used again after minutes
@@ -21,17 +21,17 @@
         """Start with the limit at `max_idle_s`, its maximum."""
         self.max_idle_s = max_idle_s
         self.idle_limit_s = max_idle_s
-        bucket_count = len(IDLE_AGE_BOUNDS_S) + 1
+        bucket_count = len(IDLE_TIME_BOUNDS_S) + 1
         self._reuses = [0.0] * bucket_count
         self._resets = [0.0] * bucket_count
 
     def record_reuse(self, idle_s: float) -> None:
         """Count a request on a connection that had been idle for `idle_s`."""
-        self._reuses[bisect(IDLE_AGE_BOUNDS_S, idle_s)] += 1.0
+        self._reuses[bisect(IDLE_TIME_BOUNDS_S, idle_s)] += 1.0
 
     def record_reset(self, idle_s: float) -> None:
         """Count a reset in reply to a request on a connection that had been idle for `idle_s`."""
-        self._resets[bisect(IDLE_AGE_BOUNDS_S, idle_s)] += 1.0
+        self._resets[bisect(IDLE_TIME_BOUNDS_S, idle_s)] += 1.0
         self._update_limit()
 
     def decay(self) -> None:
@@ -45,7 +45,7 @@
         # The first bucket never counts: an endpoint that resets fresh connections resets them at any age.
         for bucket in range(1, len(self._reuses)):
             if self._is_stale(bucket):
-                self.idle_limit_s = min(self.max_idle_s, IDLE_AGE_BOUNDS_S[bucket - 1])
+                self.idle_limit_s = min(self.max_idle_s, IDLE_TIME_BOUNDS_S[bucket - 1])
                 return
 
     def _is_stale(self, bucket: int) -> bool:
--- a/qos_gateway/server/endpoints/response_receiver.py
+++ b/qos_gateway/server/endpoints/response_receiver.py
@@ -21,7 +21,7 @@
 class ResponseReceiver:
     """Reads the responses on one connection, one after the other."""
 
-    __slots__ = ("_attempt_listener", "_clock", "_frames", "_value_stream", "ended_with_data", "parser")
+    __slots__ = ("_attempt_listener", "_clock", "_frames", "_value_stream", "consumed_all_data", "parser")
 
     def __init__(self, clock: Callable[[], int], attempt_listener: AttemptListener) -> None:
         """Take `clock` in ns; `attempt_listener` provides the sink of each large value."""
@@ -30,7 +30,7 @@
         self._frames = ResponseFrames()
         self._value_stream: ValueStream | None = None  # of the large value that is being received
         self.parser = hiredis.Reader()
-        self.ended_with_data = True  # no data followed the last response
+        self.consumed_all_data = True  # no data followed the last response
 
     def receive(self, attempt: Attempt, data: bytes, flow: FlowControl) -> AttemptResult | None:
         """Return the attempt's result once its response is complete or no longer wanted, None before.
@@ -43,17 +43,17 @@
         if not frames.large_value_bytes:
             self.parser.feed(received)
         elif not self._stream_value(attempt, received, flow):
-            self.ended_with_data = False
+            self.consumed_all_data = False
             return AttemptResult.without_response(Outcome.CANCELLED)
         if response_end < 0:
             return None
         result = attempt.read_response(self.parser.gets())
         self._value_stream = None
         frames.large_value_bytes = 0
-        self.ended_with_data = response_end == len(data)
+        self.consumed_all_data = response_end == len(data)
         return result
 
-    def is_midway(self) -> bool:
+    def has_partial_response(self) -> bool:
         """Return whether a response has begun and is incomplete."""
         return self._frames.is_midway
 
--- a/qos_gateway/server/handover/handover.py
+++ b/qos_gateway/server/handover/handover.py
@@ -66,7 +66,7 @@
         client_connections = self._clients.connection_count() + EXTRA_CLIENT_CONNECTIONS
         max_endpoint_connections = self._endpoint_connections.open_connections + EXTRA_ENDPOINT_CONNECTIONS
         self._clients.limit(client_connections, FRACTIONS.outgoing)
-        self._endpoint_connections.limit(max_endpoint_connections)
+        self._endpoint_connections.restrict_connections(max_endpoint_connections)
         return HandoverState(
             endpoint_list=self._discovery.current_list(),
             client_connections=client_connections,
@@ -90,7 +90,7 @@
             log.error("handover_state_invalid error=%s", error)  # noqa: TRY400  # the other side's fault
             return
         self._clients.limit(self._clients.max_connections - state.client_connections, FRACTIONS.incoming)
-        self._endpoint_connections.limit(
+        self._endpoint_connections.restrict_connections(
             self._endpoint_connections.max_connections - state.max_endpoint_connections
         )
         self._endpoint_directory.disable_all(engine.load_balancer.registry.admin_disabled)
@@ -104,5 +104,5 @@
     def on_other_process_ended(self) -> None:
         """Use all of what the two processes shared."""
         self._clients.limit(None, WHOLE_MEMORY)
-        self._endpoint_connections.limit(None)
+        self._endpoint_connections.restrict_connections(None)
         complete(self._dispatcher.engine)
--- a/qos_gateway/server/requests/request_deadlines.py
+++ b/qos_gateway/server/requests/request_deadlines.py
@@ -24,7 +24,7 @@
     def expire_attempt(self, attempt: Attempt) -> None:
         """End an attempt that is past its deadline."""
 
-    def limit_overtime(self, attempt: Attempt) -> None:
+    def start_deadline_grace(self, attempt: Attempt) -> None:
         """Bound the time for which a value is streamed past the request's deadline."""
 
 
@@ -80,7 +80,7 @@
             return False
         if now >= self.latest_deadline:
             return False
-        self._attempts.limit_overtime(attempt)
+        self._attempts.start_deadline_grace(attempt)
         if self.latest_deadline != NO_DEADLINE_NS and number in self._requests:
             delay_s = (self.latest_deadline - now) / SECOND
             request.deadline_timer = self._loop.call_later(delay_s, self.on_deadline, number)
--- a/soak/mutants/responses.py
+++ b/soak/mutants/responses.py
@@ -51,4 +51,4 @@
 
 def wait_for_slow_values() -> None:
     """Wait without a limit for the rest of a large value after the client's deadline."""
-    patch(EndpointConnection, "limit_overtime", do_nothing)
+    patch(EndpointConnection, "start_deadline_grace", do_nothing)
--- a/tests/server/test_connection_pool.py
+++ b/tests/server/test_connection_pool.py
@@ -160,7 +160,7 @@
 def test_limit_on_connections_is_no_failure_of_the_endpoint() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            harness.gateway.endpoint_connections.limit(1)
+            harness.gateway.endpoint_connections.restrict_connections(1)
             client, other = await harness.connect_client(), await harness.connect_client()
             client.send(call_command(number=1))
             connection, _ = await harness.endpoint.next_command()
--- a/tests/server/test_incomplete_values.py
+++ b/tests/server/test_incomplete_values.py
@@ -64,7 +64,7 @@
 
 
 def test_streamed_value_ends_before_a_draining_process_is_killed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(response_deadline, "MAX_OVERTIME_S", 10.0)
+    monkeypatch.setattr(response_deadline, "DEADLINE_GRACE_S", 10.0)
 
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -76,7 +76,7 @@
             connection.send(success_reply(value(100_000))[:50_000])
             await trickle_until_closed(connection, client)
             overtime_ns = deadlines.clock() - deadlines.latest_deadline
-            assert 0 < overtime_ns < response_deadline.MAX_OVERTIME_S * SECOND // 2
+            assert 0 < overtime_ns < response_deadline.DEADLINE_GRACE_S * SECOND // 2
 
     run_on_loop(test)
 
