--- a/qos_gateway/server/discovery/endpoint_feed.py
+++ b/qos_gateway/server/discovery/endpoint_feed.py
@@ -30,7 +30,7 @@
 class UsableEndpoints(Protocol):
     """Knows whether any endpoint can be used."""
 
-    def has_usable(self) -> bool:
+    def has_usable_endpoint(self) -> bool:
         """Return whether any endpoint accepts requests."""
 
 
@@ -82,7 +82,9 @@
 
     async def wait_for_first(self, endpoint_connections: UsableEndpoints) -> None:
         """Wait for the first list from discovery, for less time where a cached list can serve requests."""
-        timeout_s = CACHED_LIST_TIMEOUT_S if endpoint_connections.has_usable() else FIRST_LIST_TIMEOUT_S
+        timeout_s = (
+            CACHED_LIST_TIMEOUT_S if endpoint_connections.has_usable_endpoint() else FIRST_LIST_TIMEOUT_S
+        )
         try:
             async with asyncio.timeout(timeout_s):
                 await self._received.wait()
--- a/qos_gateway/server/endpoints/attempt_reporter.py
+++ b/qos_gateway/server/endpoints/attempt_reporter.py
@@ -21,7 +21,7 @@
     def on_response_started(self, attempt: Attempt, length: int, flow: FlowControl, /) -> ResponseSink | None:
         """Return the sink of a large value of `length` bytes, or None to cancel the attempt."""
 
-    def is_wanted(self, attempt: Attempt, /) -> bool:
+    def is_client_waiting(self, attempt: Attempt, /) -> bool:
         """Return whether the client of an attempt still waits for its response."""
 
     def allows_send(self, attempt: Attempt, is_drained: bool, now_ns: int, /) -> bool:
--- a/qos_gateway/server/endpoints/connection_pool.py
+++ b/qos_gateway/server/endpoints/connection_pool.py
@@ -104,7 +104,7 @@
         now_ns = self._context.clock()
         if self._is_past_send_deadline(attempt, now_ns):
             connection.fail(Outcome.CONNECT_FAILED)
-        elif not self._attempt_listener.is_wanted(attempt):
+        elif not self._attempt_listener.is_client_waiting(attempt):
             connection.fail(Outcome.NOT_SENT)
         else:
             self._send(connection, attempt, self._is_grace_over(), now_ns)
--- a/qos_gateway/server/endpoints/connections.py
+++ b/qos_gateway/server/endpoints/connections.py
@@ -96,7 +96,7 @@
         """Return the ids of all endpoints that have a pool."""
         return list(self._pools)
 
-    def has_usable(self) -> bool:
+    def has_usable_endpoint(self) -> bool:
         """Return whether any endpoint takes requests."""
         return any(not pool.is_draining() for pool in self._pools.values())
 
--- a/qos_gateway/server/gateway.py
+++ b/qos_gateway/server/gateway.py
@@ -32,7 +32,7 @@
 
     def is_ready(self) -> bool:
         """Return whether any endpoint takes requests."""
-        return self.parts.endpoint_connections.has_usable()
+        return self.parts.endpoint_connections.has_usable_endpoint()
 
     async def start(self) -> None:
         """Open all sockets, the clients' last, when requests can be served.
--- a/qos_gateway/server/requests/attempt_results.py
+++ b/qos_gateway/server/requests/attempt_results.py
@@ -31,7 +31,7 @@
         self._send_guard = send_guard
         self._activity = activity
 
-    def is_wanted(self, attempt: Attempt) -> bool:
+    def is_client_waiting(self, attempt: Attempt) -> bool:
         """Return whether the client of an attempt that is about to be written is still connected."""
         request = self._requests.get(attempt.request)
         return request is None or not self._requests.client_has_left(request)
--- a/qos_gateway/server/requests/client_requests.py
+++ b/qos_gateway/server/requests/client_requests.py
@@ -18,7 +18,7 @@
 class CancellableAttempts(Protocol):
     """What the clients' requests need of the connections to endpoints."""
 
-    def has_usable(self) -> bool:
+    def has_usable_endpoint(self) -> bool:
         """Return whether any endpoint takes requests."""
 
     def cancel_attempt(self, attempt: Attempt) -> None:
@@ -42,7 +42,7 @@
 
     def is_ready(self) -> bool:
         """Return whether a request could be forwarded."""
-        return self._attempts.has_usable()
+        return self._attempts.has_usable_endpoint()
 
     def submit(self, client_request: ClientRequest, pending_reply: PendingReply, waited_s: float) -> None:
         """Open a request that was received `waited_s` ago, and pass it to the engine.
--- a/tests/server/test_attempts.py
+++ b/tests/server/test_attempts.py
@@ -52,7 +52,7 @@
                     harness.discovery.send_update(
                         endpoint_list(2, endpoint_entry("s-1", harness.endpoint.port, "terminating"))
                     )
-                    await wait_until(lambda: not endpoints.has_usable())
+                    await wait_until(lambda: not endpoints.has_usable_endpoint())
                 if ending is None:
                     client.abort()
                     await wait_until(lambda: not engine.request_table.open)
--- a/tests/support/endpoint_harness.py
+++ b/tests/support/endpoint_harness.py
@@ -79,7 +79,7 @@
     def on_response_started(self, _attempt: Attempt, _length: int, _flow: FlowControl) -> ResponseSink | None:
         return self.sink
 
-    def is_wanted(self, _attempt: Attempt) -> bool:
+    def is_client_waiting(self, _attempt: Attempt) -> bool:
         return True
 
     def allows_send(self, _attempt: Attempt, _is_drained: bool, _now_ns: int) -> bool:
