--- a/qos_gateway/server/endpoints/__init__.py
+++ b/qos_gateway/server/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to the endpoints: pools, the attempts that run on them, and the responses."""
+"""Connection pools to the endpoints, the attempts sent over them, and response parsing."""
--- a/qos_gateway/server/endpoints/attempt.py
+++ b/qos_gateway/server/endpoints/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one endpoint, and the command that it sends."""
+"""An attempt to send a request to an endpoint, and the command it writes."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 
 
 class AttemptConnection(Protocol):
-    """The connection that carries an attempt, as far as the end of the attempt needs it."""
+    """The operations on an attempt's connection that are needed to end the attempt."""
 
     has_unsent: bool
 
     def close(self) -> None:
-        """Close at once."""
+        """Close immediately."""
 
     def start_deadline_grace(self) -> None:
-        """Bound the time that a response which has begun may still take."""
+        """Limit the remaining time of a partially received response."""
 
 
 @dataclass(slots=True, kw_only=True, eq=False, repr=False)
 class Attempt:
-    """One attempt of one request at one endpoint; times are read from the gateway's clock."""
+    """One attempt to send a request to an endpoint; times are in ns on the gateway's clock."""
 
     request: int
     number: int
@@ -39,12 +39,12 @@
     started_at_ns: int
     expires_at_ns: int
     command: RequestCommand
-    send_deadline_ns: int = 0  # the command must not be written at this time or later; 0 for no such limit
-    response_started_at_ns: int = field(default=0, init=False)  # when the first bytes of a large value came
-    ended: bool = field(default=False, init=False)  # its result is reported
+    send_deadline_ns: int = 0  # the command must be written before this time; 0 means no limit
+    response_started_at_ns: int = field(default=0, init=False)  # first bytes of a large value received
+    ended: bool = field(default=False, init=False)  # its result has been reported
     outcome: Outcome | None = field(default=None, init=False)  # None until it has ended
     connection: AttemptConnection | None = field(default=None, init=False)
-    timer: asyncio.TimerHandle | None = field(default=None, init=False)  # its own time-out
+    timer: asyncio.TimerHandle | None = field(default=None, init=False)  # the attempt's timeout
 
     read_response = staticmethod(read_response)
 
@@ -54,7 +54,7 @@
         time_left_ms = max(1, -(-(self.expires_at_ns - now_ns) // MILLISECOND))
         pairs = _PAIRS_FORMAT % (command.pairs_before_deadline, time_left_ms, command.pairs_after_deadline)
         words: tuple[bytes, ...] = (*command.start, pairs, *command.body)
-        packed: bytes = hiredis.pack_command(words)  # type: ignore[arg-type]  # its stub lacks bytes
+        packed: bytes = hiredis.pack_command(words)  # type: ignore[arg-type]  # stub lacks bytes
         return packed
 
 
@@ -67,7 +67,7 @@
 
 
 class ProbeAttempt(Attempt):
-    """A request for an endpoint's load report, which belongs to no client's request."""
+    """A request for an endpoint's load report, sent by the gateway itself."""
 
     __slots__ = ()
 
--- a/qos_gateway/server/endpoints/attempt_reporter.py
+++ b/qos_gateway/server/endpoints/attempt_reporter.py
@@ -1,4 +1,4 @@
-"""Reports on attempts to the requests that they belong to: the one place where an attempt ends."""
+"""Reports the results of attempts to their requests; every attempt ends here."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
 
 class AttemptListener(Protocol):
-    """The requests' side of attempts."""
+    """Receives attempt events and decides whether an attempt may be written."""
 
     def on_attempt_ended(self, attempt: Attempt, result: AttemptResult, /) -> None:
-        """Handle the end of an attempt; called exactly once for each, never before its start returns."""
+        """Handle the end of an attempt; called exactly once each, after `start_attempt` has returned."""
 
     def on_response_started(self, attempt: Attempt, length: int, flow: FlowControl, /) -> ResponseSink | None:
         """Return the sink of a large value of `length` bytes, or None to cancel the attempt."""
 
     def is_client_waiting(self, attempt: Attempt, /) -> bool:
-        """Return whether the client of an attempt still waits for its response."""
+        """Return whether the attempt's client is still waiting for a response."""
 
     def allows_send(self, attempt: Attempt, is_drained: bool, now_ns: int, /) -> bool:
         """Return whether an attempt may be written now; called right before the write."""
 
 
 class AttemptReporter:
-    """Ends each attempt exactly once, and counts the attempts that are written."""
+    """Ends each attempt exactly once and counts fully written attempts."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, listener: AttemptListener, metrics: Metrics) -> None:
         self._loop = loop
@@ -37,12 +37,12 @@
         self._metrics = metrics
 
     def record_written(self, attempt: Attempt) -> None:
-        """Count an attempt whose last byte is sent, unless it is a probe."""
+        """Count an attempt whose last byte has been sent; probes are not counted."""
         if not isinstance(attempt, ProbeAttempt):
             self._metrics.attempts += 1
 
     def finish(self, attempt: Attempt, result: AttemptResult) -> None:
-        """End an attempt and report its result; has no effect on an attempt that has ended."""
+        """End an attempt and report its result; a no-op if it has already ended."""
         if attempt.ended:
             return
         attempt.ended = True
@@ -54,8 +54,8 @@
         self._on_attempt_ended(attempt, result)
 
     def finish_later(self, attempt: Attempt, outcome: Outcome) -> None:
-        """End an attempt without a response in the next turn of the event loop.
+        """End an attempt without a response in the next iteration of the event loop.
 
-        An attempt that fails while it is started ends this way, as its end is never reported before.
+        Used for attempts that fail during `start_attempt`, which must return before the listener is called.
         """
         self._loop.call_soon(self.finish, attempt, AttemptResult.without_response(outcome))
--- a/qos_gateway/server/endpoints/connection.py
+++ b/qos_gateway/server/endpoints/connection.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint: connecting, active with one attempt, idle, or closed."""
+"""A connection to an endpoint, which is connecting, active with one attempt, idle or closed."""
 
 from __future__ import annotations
 
@@ -24,27 +24,28 @@
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
 
-RECEIVE_BUFFER_BYTES = 64 << 10  # in the system; bounds what one read returns
-STALE_RESET_WINDOW_S = 0.02  # after a request's last byte, above a round trip: a reset in it is the answer
+RECEIVE_BUFFER_BYTES = 64 << 10  # kernel receive buffer; limits the size of one read
+# Time after the last byte of a request in which a reset is the reply to it; longer than a round trip.
+STALE_RESET_WINDOW_S = 0.02
 
 
 class ConnectionListener(Protocol):
-    """What a connection reports its changes of state to."""
+    """Receives the state changes of a connection."""
 
     def on_connected(self, connection: EndpointConnection, /) -> None:
         """Send the attempt that the connection was opened for, or close the connection."""
 
     def on_released(self, connection: EndpointConnection, /) -> None:
-        """Take back a connection that has become idle, to be reused or closed."""
+        """Return an idle connection to the pool for reuse, or close it."""
 
     def on_closed(self, connection: EndpointConnection, /) -> None:
-        """Forget a closed connection; may be called more than once for one connection."""
+        """Remove a closed connection; may be called more than once per connection."""
 
 
 class EndpointConnection(asyncio.Protocol):
     """A connection that carries one attempt at a time.
 
-    All bytes of an attempt are sent once the write buffer is empty.
+    An attempt is fully sent once the write buffer is empty.
     """
 
     __slots__ = (
@@ -71,52 +72,52 @@
         self.address = address
         self.listener = listener
         self.context = context
-        self.attempt: Attempt | None = attempt  # None while it is idle or closed
-        self.transport: asyncio.Transport | None = None  # None until it is connected
+        self.attempt: Attempt | None = attempt  # None while idle or closed
+        self.transport: asyncio.Transport | None = None  # None until connected
         self.connect_task: asyncio.Task[None] | None = None
-        self.timer: asyncio.TimerHandle | None = None  # of the connect, then of a response that has begun
+        self.timer: asyncio.TimerHandle | None = None  # connect timeout, then response timeout
         self.responses = ResponseReceiver(context.clock, context.attempt_listener)
         self.deadline = ResponseDeadline()
-        self.unread_poll = select.poll()  # kept, as it is used before each request
+        self.unread_poll = select.poll()  # created once, as it is used before each request
         self.has_unsent = True
         self.written_at = 0.0
-        self.idle_since = 0.0  # 0 until its first response is complete
-        self.idle_before_request_s: float | None = None  # None on its first request
+        self.idle_since = 0.0  # 0 until the first response is complete
+        self.idle_before_request_s: float | None = None  # None for the first request
 
     # States.
 
     def is_connecting(self) -> bool:
-        """Return whether it is being opened for its first attempt."""
+        """Return whether the connection is being established for its first attempt."""
         return self.transport is None and self.attempt is not None
 
     def is_active(self) -> bool:
-        """Return whether it is connected and carries an attempt."""
+        """Return whether the connection is established and has an attempt in flight."""
         return self.transport is not None and self.attempt is not None
 
     def is_idle(self) -> bool:
-        """Return whether it is connected and carries no attempt."""
+        """Return whether the connection is established and has no attempt in flight."""
         return self.attempt is None and self.transport is not None and not self.transport.is_closing()
 
     def is_closed(self) -> bool:
-        """Return whether it is closed or closing."""
+        """Return whether the connection is closed or closing."""
         return self.attempt is None if self.transport is None else self.transport.is_closing()
 
     def is_expired(self, now: float) -> bool:
-        """Return whether its idle time exceeds the limit at which its endpoint may have dropped it."""
+        """Return whether it was idle for so long that the endpoint may have dropped the connection."""
         return now - self.idle_since >= self.context.keep_alive.idle_limit_s
 
     def is_reusable(self) -> bool:
-        """Return whether it is idle, with neither data nor an end of stream unread in its socket.
+        """Return whether it is idle and its socket has no unread data and no pending end of stream.
 
-        A repeated response would be taken for the next one. A request that is written after the end of the
-        stream would count as possibly executed.
+        A duplicate response would be read as the response to the next request. A request written after the
+        end of the stream would count as possibly executed.
         """
         return self.is_idle() and not self.unread_poll.poll(0)
 
     # Transitions.
 
     def connect(self, timeout_s: float) -> None:
-        """Open it; on failure its attempt ends as certainly not executed."""
+        """Open the connection; if that fails, its attempt ends as not executed."""
         loop = self.context.loop
         self.timer = loop.call_later(timeout_s, self.fail, Outcome.CONNECT_FAILED)
         self.connect_task = loop.create_task(self._connect())
@@ -128,9 +129,9 @@
             self.fail(Outcome.NOT_SENT if is_shortage(error) else Outcome.CONNECT_FAILED)
 
     def send(self, attempt: Attempt, now_ns: int) -> None:
-        """Write an attempt's request, at `now_ns` on the gateway's clock."""
+        """Write the command of `attempt`; `now_ns` is the current time on the gateway's clock."""
         transport = self.transport
-        assert transport is not None  # only an established connection sends
+        assert transport is not None  # callers send only on established connections
         context = self.context
         attempt.connection = self
         self.attempt = attempt
@@ -141,20 +142,20 @@
             self.idle_before_request_s = self.written_at - self.idle_since
             context.keep_alive.record_reuse(self.idle_before_request_s)
         transport.write(attempt.payload(now_ns))
-        # A write on a broken connection leaves the transport closing, with nothing sent.
+        # A write to a broken connection sends nothing and leaves the transport closing.
         self.has_unsent = transport.is_closing() or transport.get_write_buffer_size() > 0
         if not self.has_unsent:
             context.reporter.record_written(attempt)
 
     def fail(self, outcome: Outcome) -> None:
-        """Close it and end its attempt, if it has one, without a response."""
+        """Close the connection and end its attempt, if any, without a response."""
         attempt = self.attempt
         self.close()
         if attempt is not None:
             self.context.reporter.finish(attempt, AttemptResult.without_response(outcome))
 
     def close(self) -> None:
-        """Close at once: nothing more is sent, and received data is discarded. Its attempt does not end."""
+        """Close immediately, discarding unsent and received data; the attempt is not ended."""
         if self.is_connecting() and self.connect_task is not None:
             self.connect_task.cancel()
         elif self.is_active():
@@ -166,21 +167,21 @@
         self.listener.on_closed(self)
 
     def _shut_down(self) -> None:
-        """Shut the socket down now, as the transport does so only in a later turn of the event loop.
+        """Shut the socket down now; the transport does so only in a later iteration of the event loop.
 
-        The request's next attempt could be written before that turn, and unsent bytes could still be sent.
+        Until then the request's next attempt could be written, and unsent bytes could still be sent.
         """
         transport = cast(asyncio.Transport, self.transport)
         if transport.is_closing():
             return
         descriptor = transport.get_extra_info("socket").fileno()
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0, descriptor)
-        with suppress(OSError):  # the endpoint has closed it already
+        with suppress(OSError):  # the endpoint has already closed the connection
             sock.shutdown(socket.SHUT_RDWR)
         sock.detach()
 
     def cancel_timer(self) -> None:
-        """Cancel the time-out of the connect, or of the response that has begun."""
+        """Cancel the connect timeout or the response timeout."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -188,27 +189,27 @@
     # Flow control of a large value.
 
     def pause(self) -> None:
-        """Stop reading until `resume`, as the client takes the value more slowly than it is received."""
+        """Stop reading until `resume`, because the client reads the value more slowly than it arrives."""
         if not self.deadline.is_paused and not self.is_closed():
             self.deadline.is_paused = True
             cast(asyncio.Transport, self.transport).pause_reading()
 
     def resume(self) -> None:
-        """Continue to read."""
+        """Resume reading after `pause`."""
         if self.deadline.is_paused and not self.is_closed():
             self.deadline.resume(self.context.time())
             cast(asyncio.Transport, self.transport).resume_reading()
 
-    # Calls of the event loop.
+    # Callbacks from the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Configure the socket and report the connection as established."""
-        was_closed = self.is_closed()  # while it was connecting
+        was_closed = self.is_closed()  # closed while connecting
         self.transport = cast(asyncio.Transport, transport)
         if was_closed:
             self.transport.abort()
             return
-        # With a limit of 0 each write is sent at once, and `pause_writing` reports that bytes remain unsent.
+        # A limit of 0 makes each write immediate, and `pause_writing` reports that bytes remain unsent.
         self.transport.set_write_buffer_limits(high=0)
         sock = self.transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
@@ -217,24 +218,24 @@
         self.listener.on_connected(self)
 
     def pause_writing(self) -> None:
-        """Record that a part of the request is still in the write buffer."""
+        """Record that part of the request is still in the write buffer."""
         self.has_unsent = True
 
     def resume_writing(self) -> None:
-        """Record that the last byte of the request is sent."""
+        """Record that the last byte of the request has been sent."""
         if self.has_unsent and self.attempt is not None:
             self.context.reporter.record_written(self.attempt)
         self.has_unsent = False
 
     def data_received(self, data: bytes) -> None:
-        """Read the next bytes of the attempt's response; the last of them end the attempt."""
+        """Parse received bytes, and end the attempt when its response is complete."""
         attempt = self.attempt
         if attempt is None or self.has_unsent:
-            self.fail(Outcome.CONNECT_FAILED)  # a response before its request cannot be matched to one
+            self.fail(Outcome.CONNECT_FAILED)  # data before the request is sent belongs to no request
             return
         try:
             result = self.responses.receive(attempt, data, self)
-        except (ValueError, hiredis.ProtocolError) as error:  # of the framing, the parser or the content
+        except (ValueError, hiredis.ProtocolError) as error:  # from framing, parsing or content
             self._fail_response(str(error))
             return
         if result is None:
@@ -249,11 +250,11 @@
             self.idle_since = self.context.time()
             self.listener.on_released(self)
         else:
-            self.close()  # more unexpected data may follow
+            self.close()  # more data may follow that belongs to no request
         self.context.reporter.finish(attempt, result)
 
-    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # any end means the same
-        """End the attempt, and count a reset in reply to a request on a reused connection."""
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # the cause does not matter
+        """End the attempt, and record a reset that follows a request on a reused connection."""
         attempt = self.attempt
         self.attempt = None
         self.cancel_timer()
@@ -266,14 +267,14 @@
         self.context.reporter.finish(attempt, AttemptResult.without_response(outcome))
 
     def _is_stale_reset(self) -> bool:
-        """Return whether the connection ended right after the request, without a byte of a response."""
+        """Return whether the connection ended right after the request, before any byte of a response."""
         since_written_s = self.context.time() - self.written_at
         return not self.responses.has_partial_response() and since_written_s <= STALE_RESET_WINDOW_S
 
-    # Deadline of a response that has begun.
+    # Deadline of a partially received response.
 
     def start_deadline_grace(self) -> None:
-        """Bound the time that the response may still take, as its client's deadline has passed."""
+        """Limit the remaining time of the response, because its client's deadline has passed."""
         self.deadline.start_grace(self.context.time())
         self.cancel_timer()
         self._check_deadline()
@@ -285,7 +286,7 @@
             self.timer = self.context.loop.call_later(stall_timeout_s, self._check_deadline)
 
     def _check_deadline(self) -> None:
-        """Fail a response whose deadline has passed; check again later otherwise."""
+        """Fail the response if its deadline has passed, otherwise schedule the next check."""
         time_left_s = self.deadline.time_left_s(self.context.time(), self.responses.stall_timeout_s())
         if time_left_s > 0.0:
             self.timer = self.context.loop.call_later(time_left_s, self._check_deadline)
@@ -295,6 +296,6 @@
             self._fail_response("response over time" if in_grace else "response stalled")
 
     def _fail_response(self, reason: str) -> None:
-        """End the attempt as possibly executed, and close: what follows cannot be read."""
+        """Close, and end the attempt as possibly executed: what follows on the connection is unreadable."""
         log.warning("response_malformed endpoint=%s:%d error=%s", *self.address, reason)
         self.fail(Outcome.RESET)
--- a/qos_gateway/server/endpoints/connection_context.py
+++ b/qos_gateway/server/endpoints/connection_context.py
@@ -1,4 +1,4 @@
-"""What all connections to endpoints share."""
+"""Dependencies shared by all connections to endpoints."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class ConnectionContext:
-    """The clocks and the shared parts that connections and their pools use."""
+    """Clocks and shared objects of the connections and their pools."""
 
     loop: asyncio.AbstractEventLoop
     time: Callable[[], float]  # the event loop's clock, in s
--- a/qos_gateway/server/endpoints/connection_limit.py
+++ b/qos_gateway/server/endpoints/connection_limit.py
@@ -1,4 +1,4 @@
-"""The limit on open connections to all endpoints together, which keeps descriptors available."""
+"""The limit on open connections to all endpoints, which keeps file descriptors available."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class ConnectionLimit:
-    """Counts open connections against a maximum, which is lower while two processes share the descriptors."""
+    """Counts open connections against a maximum, which is lowered while two processes share it."""
 
     def __init__(self, configured_maximum: int, close_idle_connection: Callable[[], None]) -> None:
-        """Call `close_idle_connection` at the maximum, to make a new connection possible if any is idle."""
+        """Take `close_idle_connection`, which is called at the maximum to make room for a new connection."""
         self.open_count = 0
         self.maximum = configured_maximum
         self._configured_maximum = configured_maximum
@@ -21,15 +21,15 @@
         self.maximum = configured if maximum is None else min(configured, max(1, maximum))
 
     def ensure_capacity(self) -> bool:
-        """Return whether one more connection may be opened, if need be after an idle one is closed."""
+        """Return whether another connection may be opened; closes an idle one at the maximum."""
         if self.open_count >= self.maximum:
             self._close_idle_connection()
         return self.open_count < self.maximum
 
     def record_opened(self) -> None:
-        """Count a connection from the start of its connect."""
+        """Count a new connection; to be called when it starts to connect."""
         self.open_count += 1
 
     def record_closed(self) -> None:
-        """Count a connection as closed; to be called once for each."""
+        """Subtract a closed connection; to be called once per connection."""
         self.open_count -= 1
--- a/qos_gateway/server/endpoints/connection_pool.py
+++ b/qos_gateway/server/endpoints/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections to one endpoint: acquired by attempts, released to be reused, closed when they expire."""
+"""The connection pool of an endpoint: reuse, expiry and drain of its connections."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from .connection_context import ConnectionContext
 from .connection_limit import ConnectionLimit
 
-REUSE_DELAY_S = 0.005  # idle time before reuse: a repeated response may follow the first
+REUSE_DELAY_S = 0.005  # minimum idle time before reuse, as a duplicate response may follow the first
 
 
 class ConnectionPool:
-    """The connections to one endpoint at one address."""
+    """The connections to an endpoint at one address."""
 
     def __init__(
         self,
@@ -26,9 +26,9 @@
     ) -> None:
         """Create an empty pool whose connections count against `connection_limit`."""
         self.address = address
-        self.idle: list[EndpointConnection] = []  # the one that has been idle longest comes first
+        self.idle: list[EndpointConnection] = []  # longest idle first
         self.connections: set[EndpointConnection] = set()
-        self.drain_ends_at: float | None = None  # in s on the loop's clock; None while it is in service
+        self.drain_ends_at: float | None = None  # in s on the event loop's clock; None while in service
         self._connect_timeout_s = connect_timeout_s
         self._connection_limit = connection_limit
         self._context = context
@@ -42,11 +42,11 @@
         return self.drain_ends_at is not None
 
     def is_drained(self, now: float) -> bool:
-        """Return whether the drain is over and the last connection closed."""
+        """Return whether the drain grace has passed and all connections are closed."""
         return self.drain_ends_at is not None and not self.connections and now > self.drain_ends_at
 
     def drain(self, ends_at: float) -> None:
-        """Take the endpoint out of service; attempts that still connect may be written until `ends_at`."""
+        """Start to drain; attempts that are still connecting may be written until `ends_at`."""
         if self.drain_ends_at is None:
             self.drain_ends_at = ends_at
             self.close_idle()
@@ -54,7 +54,7 @@
     # Attempts.
 
     def start(self, attempt: Attempt, now_ns: int) -> None:
-        """Send an attempt on an idle connection, or open one for it."""
+        """Send an attempt on an idle connection, or open a connection for it."""
         if self.is_draining() and not self._attempt_listener.allows_send(attempt, True, now_ns):
             self._reporter.finish_later(attempt, Outcome.CONNECT_FAILED)
             return
@@ -64,11 +64,14 @@
         elif self._connection_limit.ensure_capacity():
             self._open(attempt)
         else:
-            # This gateway lacks the descriptors, which says nothing of the endpoint.
+            # The gateway is at its connection limit, which is not a failure of the endpoint.
             self._reporter.finish_later(attempt, Outcome.NOT_SENT)
 
     def acquire(self) -> EndpointConnection | None:
-        """Remove and return the connection that became idle last; close unusable ones that come before it."""
+        """Take the most recently idle connection that can be reused; close those that cannot.
+
+        Connections within their reuse delay are skipped. Returns None if there is no reusable connection.
+        """
         now = self._context.time()
         idle = self.idle
         for index in range(len(idle) - 1, -1, -1):
@@ -89,17 +92,17 @@
         connection.connect(self._connect_timeout_s)
 
     def _send(self, connection: EndpointConnection, attempt: Attempt, is_drained: bool, now_ns: int) -> None:
-        """Write an attempt, or close the connection where the listener does not allow it."""
+        """Write an attempt, or close the connection if the listener does not allow the send."""
         if self._attempt_listener.allows_send(attempt, is_drained, now_ns):
             connection.send(attempt, now_ns)
         else:
             connection.close()
             self._reporter.finish_later(attempt, Outcome.CONNECT_FAILED)
 
-    # Calls of the connections.
+    # Callbacks from connections.
 
     def on_connected(self, connection: EndpointConnection, /) -> None:
-        """Send the attempt that the connection was opened for, if that is still allowed and wanted."""
+        """Send the attempt the connection was opened for, unless it is too late or its client has left."""
         attempt = cast(Attempt, connection.attempt)
         now_ns = self._context.clock()
         if self._is_past_send_deadline(attempt, now_ns):
@@ -110,14 +113,14 @@
             self._send(connection, attempt, self._is_grace_over(), now_ns)
 
     def on_released(self, connection: EndpointConnection, /) -> None:
-        """Keep an idle connection as the next to be reused, so that the others expire."""
+        """Make the connection the next to be reused, so that surplus connections expire."""
         if self.drain_ends_at is None:
             self.idle.append(connection)
         else:
             connection.close()
 
     def on_closed(self, connection: EndpointConnection, /) -> None:
-        """Forget a closed connection."""
+        """Remove a closed connection from the pool."""
         if connection not in self.connections:
             return
         self.connections.remove(connection)
@@ -126,9 +129,9 @@
             self.idle.remove(connection)
 
     def _is_past_send_deadline(self, attempt: Attempt, now_ns: int) -> bool:
-        """Return whether the drain's grace, the idempotency window or the attempt's time is over.
+        """Return whether the drain grace, the idempotency window or the attempt's time has passed.
 
-        The attempt's time-out may be due in this turn of the event loop without having run yet.
+        The attempt's timeout may be due in this iteration of the event loop without having run yet.
         """
         is_over = attempt.expires_at_ns <= now_ns or 0 < attempt.send_deadline_ns <= now_ns
         return is_over or self._is_grace_over()
@@ -139,7 +142,7 @@
     # Closing.
 
     def close_expired(self, now: float) -> None:
-        """Close the connections that have been idle for too long."""
+        """Close connections whose idle time exceeds the limit."""
         while self.idle and self.idle[0].is_expired(now):
             self.idle[0].close()
 
--- a/qos_gateway/server/endpoints/connections.py
+++ b/qos_gateway/server/endpoints/connections.py
@@ -1,4 +1,4 @@
-"""The connection pools of all endpoints, bounded together, and the attempts that run on them."""
+"""The connection pools of all endpoints, under one connection limit, and the attempts on them."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 from .keep_alive import KeepAliveEstimator
 from .responses import AttemptResult
 
-KEEP_ALIVE_FRACTION = 0.5  # of the configured idle time: closed well before the endpoint does so
-MAX_PROCESS_PAUSE_S = 0.15  # between reading the clock and writing; deducted from the grace of a drain
-LOOP_DELAY_MARGIN_S = 0.02  # of the event loop; deducted from the grace of a drain
-SWEEP_INTERVAL_S = 1.0  # the period by which the keep-alive estimate decays
+KEEP_ALIVE_FRACTION = 0.5  # of the configured idle time, to close connections well before the endpoint does
+MAX_PROCESS_PAUSE_S = 0.15  # between reading the clock and writing; deducted from the drain grace
+LOOP_DELAY_MARGIN_S = 0.02  # event loop delay; deducted from the drain grace
+SWEEP_INTERVAL_S = 1.0  # also the interval at which the keep-alive counts decay
 
 
 @dataclass(frozen=True, slots=True, kw_only=True, eq=False, repr=False)
 class EndpointLimits:
-    """Limits on the connections to endpoints, from the configuration."""
+    """Configured limits on connections to endpoints."""
 
-    max_connections: int  # to all endpoints together
+    max_connections: int  # total for all endpoints
     connect_timeout_s: float
     max_idle_s: float
     drain_grace_s: float  # after which nothing may be written to a draining endpoint
 
 
 class EndpointConnections:
-    """All connection pools, bounded together so that descriptors never run out."""
+    """All connection pools, with a total limit so that file descriptors do not run out."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         attempt_listener: AttemptListener,
         metrics: Metrics,
     ) -> None:
-        """Start to sweep idle connections; a running event loop is needed.
+        """Start the periodic sweep of idle connections; requires a running event loop.
 
         `clock` is the gateway's clock, in ns.
         """
@@ -68,12 +68,12 @@
 
     @property
     def open_connections(self) -> int:
-        """Return the number of connections that are open or being opened."""
+        """Return the number of open and connecting connections."""
         return self._connection_limit.open_count
 
     @property
     def max_connections(self) -> int:
-        """Return the present limit on open connections."""
+        """Return the current limit on open connections."""
         return self._connection_limit.maximum
 
     def restrict_connections(self, max_connections: int | None) -> None:
@@ -81,7 +81,7 @@
         self._connection_limit.set_temporary_maximum(max_connections)
 
     def set_address(self, endpoint: int, address: Address | None) -> None:
-        """Set the address of an endpoint; None if it drains or was removed, and takes no new attempts."""
+        """Set the address of an endpoint; None drains its pool, which then takes no new attempts."""
         pool = self._pools.get(endpoint)
         if pool is not None:
             if pool.address == address and not pool.is_draining():
@@ -97,7 +97,7 @@
         return list(self._pools)
 
     def has_usable_endpoint(self) -> bool:
-        """Return whether any endpoint takes requests."""
+        """Return whether any endpoint accepts requests."""
         return any(not pool.is_draining() for pool in self._pools.values())
 
     def idle_count(self) -> int:
@@ -117,13 +117,13 @@
             pool.close()
 
     def _close_idle_connection(self) -> None:
-        """Close the longest idle connection of the endpoint that has the most idle ones."""
+        """Close the longest idle connection of the endpoint with the most idle connections."""
         pool_to_trim = max(self._pools.values(), key=lambda pool: len(pool.idle), default=None)
         if pool_to_trim is not None and pool_to_trim.idle:
             pool_to_trim.idle[0].close()
 
     def _sweep(self) -> None:
-        """Close expired connections and forget drained pools, once a second."""
+        """Close expired connections and remove drained pools; runs once a second."""
         self._sweep_timer = self.context.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         self.keep_alive.decay()
         now = self.context.time()
@@ -135,7 +135,7 @@
     # Attempts.
 
     def start_attempt(self, attempt: Attempt, timeout_s: float | None) -> None:
-        """Start an attempt; its end is reported exactly once, never before this returns."""
+        """Start an attempt; its end is reported exactly once, after this method has returned."""
         if timeout_s is not None:
             attempt.timer = self.context.loop.call_later(timeout_s, self.expire_attempt, attempt)
         pool = self._pools.get(attempt.endpoint)
@@ -145,13 +145,13 @@
             pool.start(attempt, attempt.started_at_ns)
 
     def expire_attempt(self, attempt: Attempt) -> None:
-        """End an attempt whose time is over: not executed if any of it is unsent, else possibly executed."""
+        """End a timed-out attempt: as not executed if any byte is unsent, else as possibly executed."""
         self._close_and_finish(
             attempt, Outcome.CONNECT_FAILED if self._is_unsent(attempt) else Outcome.TIMEOUT
         )
 
     def start_deadline_grace(self, attempt: Attempt) -> None:
-        """Bound the time that a large value may still take after its client's deadline."""
+        """Limit the time that a large value may still take after its client's deadline."""
         if attempt.connection is not None:
             attempt.connection.start_deadline_grace()
 
@@ -160,7 +160,7 @@
         self._close_and_finish(attempt, Outcome.CANCELLED)
 
     def cancel_unsent(self, attempt: Attempt) -> None:
-        """End an attempt whose response is no longer needed, unless its last byte is sent."""
+        """End an attempt whose response is no longer needed, unless it has been sent in full."""
         if self._is_unsent(attempt):
             self._close_and_finish(attempt, Outcome.NOT_SENT)
 
@@ -169,6 +169,6 @@
 
     def _close_and_finish(self, attempt: Attempt, outcome: Outcome) -> None:
         if attempt.connection is not None:
-            # Its response may still arrive, and would be taken for that of the next attempt.
+            # A late response would be read as the response to the connection's next attempt.
             attempt.connection.close()
         self._reporter.finish(attempt, AttemptResult.without_response(outcome))
--- a/qos_gateway/server/endpoints/keep_alive.py
+++ b/qos_gateway/server/endpoints/keep_alive.py
@@ -1,24 +1,24 @@
-"""How long an idle connection may be kept, estimated from the resets of reused connections."""
+"""Estimates how long idle connections may be kept, from resets of reused connections."""
 
 from __future__ import annotations
 
 from bisect import bisect
 
 IDLE_TIME_BOUNDS_S = tuple(0.05 * 2**exponent for exponent in range(9))  # upper bounds of the buckets
-MIN_STALE_RESETS = 3.0  # in a bucket, below which it never counts as stale: fewer can be chance
-STALE_RESET_RATIO = 0.15  # resets per reuse, from which a bucket counts as stale
-DECAY_PER_S = 0.97  # factor on each count, so that a stale bucket is used again after minutes
+MIN_STALE_RESETS = 3.0  # per bucket before it can count as stale; fewer may be coincidence
+STALE_RESET_RATIO = 0.15  # resets per reuse at which a bucket counts as stale
+DECAY_PER_S = 0.97  # factor on each count, so that a stale bucket is tried again after minutes
 
 
 class KeepAliveEstimator:
     """Estimates the idle time after which a connection is unlikely to serve a request.
 
-    A middlebox or the endpoint may drop an idle connection before the configured time without a notice. The
-    next request on it is answered by a reset, and may have been executed.
+    A middlebox or the endpoint may silently drop an idle connection before the configured time. The next
+    request on it is answered by a reset and counts as possibly executed.
     """
 
     def __init__(self, max_idle_s: float) -> None:
-        """Start with the limit at `max_idle_s`, its maximum."""
+        """Start with the limit at its maximum, `max_idle_s`."""
         self.max_idle_s = max_idle_s
         self.idle_limit_s = max_idle_s
         bucket_count = len(IDLE_TIME_BOUNDS_S) + 1
@@ -26,7 +26,7 @@
         self._resets = [0.0] * bucket_count
 
     def record_reuse(self, idle_s: float) -> None:
-        """Count a request on a connection that had been idle for `idle_s`."""
+        """Count a request sent on a connection that had been idle for `idle_s`."""
         self._reuses[bisect(IDLE_TIME_BOUNDS_S, idle_s)] += 1.0
 
     def record_reset(self, idle_s: float) -> None:
@@ -42,7 +42,7 @@
 
     def _update_limit(self) -> None:
         self.idle_limit_s = self.max_idle_s
-        # The first bucket never counts: an endpoint that resets fresh connections resets them at any age.
+        # The first bucket is ignored: an endpoint that resets fresh connections resets them at any idle time.
         for bucket in range(1, len(self._reuses)):
             if self._is_stale(bucket):
                 self.idle_limit_s = min(self.max_idle_s, IDLE_TIME_BOUNDS_S[bucket - 1])
--- a/qos_gateway/server/endpoints/response_receiver.py
+++ b/qos_gateway/server/endpoints/response_receiver.py
@@ -1,4 +1,4 @@
-"""Responses on one connection: from bytes to results, without any I/O of its own."""
+"""Parses the responses on a connection into results; does no I/O itself."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 from .attempt_reporter import AttemptListener
 from .responses import AttemptResult
 
-RESPONSE_STALL_TIMEOUT_S = 0.25  # without a further byte; far above the gaps of a slow sender
-LARGE_RESPONSE_STALL_TIMEOUT_S = 5.0  # longer, as no retry is possible once the client has the first bytes
-EMPTY_VALUE_START = b"*3\r\n$0\r\n\r\n"  # replaces a streamed value in the parser's input
+RESPONSE_STALL_TIMEOUT_S = 0.25  # since the last byte; far longer than the pauses of a slow sender
+LARGE_RESPONSE_STALL_TIMEOUT_S = 5.0  # longer, as no retry is possible once the client has received bytes
+EMPTY_VALUE_START = b"*3\r\n$0\r\n\r\n"  # fed to the parser in place of a streamed value
 
 
 class ResponseReceiver:
-    """Reads the responses on one connection, one after the other."""
+    """Parses the responses on one connection, one at a time."""
 
     __slots__ = ("_attempt_listener", "_clock", "_frames", "_value_stream", "consumed_all_data", "parser")
 
     def __init__(self, clock: Callable[[], int], attempt_listener: AttemptListener) -> None:
-        """Take `clock` in ns; `attempt_listener` provides the sink of each large value."""
+        """Take the gateway's clock, in ns, and the listener that provides the sink of each large value."""
         self._clock = clock
         self._attempt_listener = attempt_listener
         self._frames = ResponseFrames()
-        self._value_stream: ValueStream | None = None  # of the large value that is being received
+        self._value_stream: ValueStream | None = None  # of the large value being received
         self.parser = hiredis.Reader()
-        self.consumed_all_data = True  # no data followed the last response
+        self.consumed_all_data = True  # False if more data followed the last response or it was cancelled
 
     def receive(self, attempt: Attempt, data: bytes, flow: FlowControl) -> AttemptResult | None:
-        """Return the attempt's result once its response is complete or no longer wanted, None before.
+        """Return the attempt's result once its response is complete or no longer needed, None before that.
 
         Raises ValueError or hiredis.ProtocolError if the response is malformed.
         """
@@ -54,17 +54,17 @@
         return result
 
     def has_partial_response(self) -> bool:
-        """Return whether a response has begun and is incomplete."""
+        """Return whether part of a response has been received."""
         return self._frames.is_midway
 
     def stall_timeout_s(self) -> float:
-        """Return the longest time without a further byte of a response that has begun."""
+        """Return how long a partial response may receive no data."""
         return RESPONSE_STALL_TIMEOUT_S if self._value_stream is None else LARGE_RESPONSE_STALL_TIMEOUT_S
 
     def _stream_value(self, attempt: Attempt, data: bytes, flow: FlowControl) -> bool:
-        """Write a large value's part of `data` to its sink and parse what follows it.
+        """Write the part of `data` that belongs to the large value to its sink, and parse the rest.
 
-        Return whether the value is still wanted.
+        Returns whether the value is still needed.
         """
         value_start = 0
         if self._value_stream is None:
@@ -73,7 +73,7 @@
             if self._value_stream is None:
                 return False
         self.parser.feed(self._value_stream.feed(data[value_start:]))
-        return not attempt.ended  # the write may have found the client disconnected
+        return not attempt.ended  # the write may have detected that the client is gone
 
     def _start_stream(self, attempt: Attempt, flow: FlowControl) -> ValueStream | None:
         self.parser = hiredis.Reader()
--- a/qos_gateway/server/endpoints/responses.py
+++ b/qos_gateway/server/endpoints/responses.py
@@ -1,4 +1,4 @@
-"""What an endpoint's response means: its outcome, value and load report."""
+"""Interprets an endpoint's response: outcome, value and load report."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from ...edge_names import EndpointError
 from ...types import Outcome
 
-# The protocol's numbers have no sign and no infinity, which float() would accept.
+# Numbers in the protocol are unsigned and finite; float() would accept others.
 _match_number = re.compile(rb"[0-9]{1,20}(?:\.[0-9]{1,20})?(?:[eE][+-]?[0-9]{1,2})?").fullmatch
 _OUTCOMES_OF_ERRORS = (
     (EndpointError.FAILED, Outcome.ERROR),
@@ -22,7 +22,7 @@
 
 
 class AttemptResult(NamedTuple):
-    """How an attempt ended, with the value if it was served and the numbers that the endpoint reported."""
+    """The outcome of an attempt, the value if it succeeded, and the numbers the endpoint reported."""
 
     outcome: Outcome
     value: bytes | None
@@ -35,11 +35,11 @@
 
 
 class MalformedResponseError(ValueError):
-    """A response that the protocol does not allow; its request may have been executed."""
+    """A response that violates the protocol; its request may have been executed."""
 
 
 def read_load_report(text: bytes) -> LoadReport:
-    """Return the numbers in `name=number,...`; none if any part of the text has another form."""
+    """Parse `name=number,...`; return an empty report if any pair is malformed."""
     report: LoadReport = {}
     for pair in text.split(b","):
         name, _, number = pair.partition(b"=")
@@ -50,7 +50,7 @@
 
 
 def read_response(response: object) -> AttemptResult:
-    """Return the meaning of a complete response, which is a value from the RESP parser.
+    """Convert a complete response, as returned by the RESP parser, to a result.
 
     Malformed reports are ignored. Raises MalformedResponseError if the value or the error is malformed.
     """
@@ -68,14 +68,14 @@
 
 
 def read_probe_response(response: object) -> AttemptResult:
-    """Return the meaning of a response to a probe: a load report, or the same errors as of a request."""
+    """Convert the response to a probe: a load report, or an error as for a request."""
     if isinstance(response, bytes):
         return AttemptResult(Outcome.OK, None, read_load_report(response))
     return read_response(response)
 
 
 def _merge_reports(texts: Iterable[object]) -> LoadReport:
-    """Return quota usage and load report in one; items that are not texts are ignored."""
+    """Merge quota usage and load report; elements other than byte strings are ignored."""
     merged: LoadReport = {}
     for text in texts:
         if isinstance(text, bytes):
