--- a/tests/server/test_attempt_execution.py
+++ b/tests/server/test_attempt_execution.py
@@ -18,7 +18,7 @@
 CLOCK = monotonic_unix_ns()
 
 
-def test_refused_connect_is_not_executed() -> None:
+def test_refused_connect_counts_as_not_executed() -> None:
     async def test() -> None:
         with closing(socket.create_server((LOOPBACK, 0))) as unused:
             port = unused.getsockname()[1]
@@ -30,48 +30,50 @@
     run_on_loop(test)
 
 
-@pytest.mark.parametrize("given_up_by", ["connect time-out", "attempt time-out"])
-def test_unfinished_connect_is_not_executed(given_up_by: str) -> None:
+@pytest.mark.parametrize("timed_out_by", ["connect timeout", "attempt timeout"])
+def test_timed_out_connect_counts_as_not_executed(timed_out_by: str) -> None:
     async def test() -> None:
         # A full accept queue leaves a connect unanswered, as a vanished machine does.
         with closing(socket.socket()) as full:
             full.bind((LOOPBACK, 0))
             full.listen(0)
             address = full.getsockname()
-            fill = [socket.socket() for _ in range(4)]
-            for one in fill:
-                one.setblocking(False)
-                one.connect_ex(address)
-            late = given_up_by == "connect time-out"
-            async with endpoint_harness(port=address[1], connect_timeout_s=0.05 if late else 20.0) as harness:
-                harness.start(1, timeout_s=None if late else 0.05)
+            pending = [socket.socket() for _ in range(4)]
+            for sock in pending:
+                sock.setblocking(False)
+                sock.connect_ex(address)
+            by_connect_timeout = timed_out_by == "connect timeout"
+            async with endpoint_harness(
+                port=address[1], connect_timeout_s=0.05 if by_connect_timeout else 20.0
+            ) as harness:
+                harness.start(1, timeout_s=None if by_connect_timeout else 0.05)
                 assert (await harness.end())[:2] == (1, Outcome.CONNECT_FAILED)
                 assert harness.pools.open_connections == 0
-            for one in fill:
-                one.close()
+            for sock in pending:
+                sock.close()
 
     run_on_loop(test)
 
 
-@pytest.mark.parametrize("how", ["reset", "end", "time-out", "cancel"])
-def test_attempt_that_ends_after_its_last_byte_may_have_been_executed(how: str) -> None:
+@pytest.mark.parametrize("how", ["reset", "end", "timeout", "cancel"])
+def test_attempt_that_ends_after_its_last_byte_counts_as_possibly_executed(how: str) -> None:
     async def test() -> None:
         endpoint = FakeEndpoint()
         async with endpoint_harness(endpoint) as harness:
             attempt = harness.start(1)
             connection, _ = await endpoint.next_command()
-            wanted = Outcome.RESET
+            expected = Outcome.RESET
             if how == "reset":
                 connection.abort()
             elif how == "end":
                 connection.writer.close()
-            elif how == "time-out":
+            elif how == "timeout":
                 harness.pools.expire_attempt(attempt)
-                wanted = Outcome.TIMEOUT
+                expected = Outcome.TIMEOUT
             else:
                 harness.pools.cancel_attempt(attempt)
-                wanted = Outcome.CANCELLED
-            assert await harness.end() == (1, wanted, None, {})
+                expected = Outcome.CANCELLED
+            assert await harness.end() == (1, expected, None, {})
             # The connection is closed too: a response that still comes belongs to no attempt.
             await wait_until(lambda: endpoint.closed_connections == 1)
             assert harness.pools.open_connections == 0
@@ -80,8 +82,8 @@
     run_on_loop(test)
 
 
-@pytest.mark.parametrize("how", ["reset", "time-out"])
-def test_attempt_that_ends_before_its_last_byte_is_not_executed(how: str) -> None:
+@pytest.mark.parametrize("how", ["reset", "timeout"])
+def test_attempt_that_ends_before_its_last_byte_counts_as_not_executed(how: str) -> None:
     async def test() -> None:
         with closing(RawEndpoint()) as endpoint:
             async with endpoint_harness(port=endpoint.port) as harness:
@@ -105,9 +107,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 8 << 20])
-def test_reset_right_after_the_last_byte_may_have_been_executed_however_late_that_was_written(
-    size: int,
-) -> None:
+def test_reset_after_the_last_byte_counts_as_possibly_executed_even_if_it_was_written_late(size: int) -> None:
     """The loop writes later what one write did not accept; the attempt may be executed from then on."""
 
     async def test() -> None:
@@ -141,7 +141,7 @@
     run_on_loop(test)
 
 
-def test_attempt_ends_once_though_it_is_cancelled_while_its_failure_is_scheduled() -> None:
+def test_attempt_cancelled_while_its_failure_is_scheduled_ends_once() -> None:
     async def test() -> None:
         async with endpoint_harness(port=1) as harness:
             attempt = harness.start(1, endpoint=99)
@@ -154,7 +154,7 @@
     run_on_loop(test)
 
 
-def test_attempt_at_an_unknown_endpoint_is_not_executed() -> None:
+def test_attempt_at_an_unknown_endpoint_counts_as_not_executed() -> None:
     async def test() -> None:
         async with endpoint_harness(port=1) as harness:
             harness.start(1, endpoint=99)
--- a/tests/server/test_attempts_given_up.py
+++ b/tests/server/test_attempts_given_up.py
@@ -15,8 +15,8 @@
 from tests.support.fake_endpoint import success_reply
 
 
-@pytest.mark.parametrize("how", ["cancelled", "out of time"])
-def test_connection_of_an_attempt_given_up_ends_before_the_next_attempt_is_written(how: str) -> None:
+@pytest.mark.parametrize("how", ["cancelled", "timed out"])
+def test_connection_of_an_ended_attempt_closes_before_the_next_attempt_is_written(how: str) -> None:
     """Where hedging is not allowed two at once break a rule, and the process may be held up in between."""
 
     async def test() -> None:
@@ -28,11 +28,11 @@
                 accepted, _ = await with_timeout(loop.sock_accept(listener))
                 with closing(accepted):
                     assert await with_timeout(loop.sock_recv(accepted, 1 << 16))
-                    give_up = {
+                    end_attempt = {
                         "cancelled": harness.pools.cancel_attempt,
-                        "out of time": harness.pools.expire_attempt,
+                        "timed out": harness.pools.expire_attempt,
                     }
-                    give_up[how](attempt)
+                    end_attempt[how](attempt)
                     # The loop does not turn here, as if the process were held up.
                     accepted.settimeout(1.0)
                     assert accepted.recv(1) == b""
@@ -40,7 +40,7 @@
     run_on_loop(test)
 
 
-def test_nothing_more_is_written_of_an_attempt_that_counts_as_never_sent() -> None:
+def test_unsent_bytes_of_an_attempt_that_counts_as_not_sent_are_discarded() -> None:
     """It may go elsewhere then: its last bytes must not leave once there is room for them."""
 
     async def test() -> None:
--- a/tests/server/test_connection_pool.py
+++ b/tests/server/test_connection_pool.py
@@ -16,7 +16,7 @@
 from tests.support.gateway_harness import gateway_harness
 
 
-def test_connection_is_not_reused_at_once_where_another_may_be_opened() -> None:
+def test_connection_is_not_reused_within_its_reuse_delay_below_the_limit() -> None:
     async def test() -> None:
         endpoint = FakeEndpoint()
         async with endpoint_harness(endpoint) as harness:
@@ -66,7 +66,7 @@
     run_on_loop(test)
 
 
-def test_connections_that_are_reset_after_an_idle_time_are_kept_for_less_time() -> None:
+def test_resets_after_an_idle_time_shorten_the_keep_alive() -> None:
     async def test() -> None:
         endpoint = FakeEndpoint()
         async with endpoint_harness(endpoint) as harness:
@@ -95,7 +95,7 @@
     run_on_loop(test)
 
 
-def test_resets_at_any_age_or_rare_ones_do_not_shorten_the_keep_alive() -> None:
+def test_rare_resets_and_resets_at_any_idle_time_do_not_shorten_the_keep_alive() -> None:
     estimator = KeepAliveEstimator(15.0)
     for age in (0.01, 0.02) * 10:
         estimator.record_reuse(age)
@@ -107,7 +107,7 @@
     assert estimator.idle_limit_s == 15.0
 
 
-def test_connections_are_bounded_and_idle_ones_are_closed_for_new_ones() -> None:
+def test_connections_are_limited_and_idle_ones_are_closed_for_new_ones() -> None:
     async def test() -> None:
         one, two = FakeEndpoint(), FakeEndpoint()
         async with listening(two), endpoint_harness(one, max_connections=1) as harness:
@@ -138,7 +138,7 @@
     run_on_loop(test)
 
 
-def test_lack_of_descriptors_is_no_failure_of_the_endpoint() -> None:
+def test_descriptor_shortage_does_not_count_as_endpoint_failure() -> None:
     """It fails attempts at all endpoints, and all of them would be ejected."""
 
     async def test() -> None:
@@ -157,7 +157,7 @@
     run_on_loop(test)
 
 
-def test_limit_on_connections_is_no_failure_of_the_endpoint() -> None:
+def test_connection_limit_does_not_count_as_endpoint_failure() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             harness.gateway.endpoint_connections.restrict_connections(1)
--- a/tests/server/test_endpoint_drain.py
+++ b/tests/server/test_endpoint_drain.py
@@ -10,7 +10,7 @@
 from tests.support.fake_endpoint import FakeEndpoint, success_reply
 
 
-def test_draining_endpoint_loses_idle_connections_and_finishes_attempts_in_flight() -> None:
+def test_drain_closes_idle_connections_and_lets_attempts_in_flight_finish() -> None:
     async def test() -> None:
         endpoint = FakeEndpoint()
         async with endpoint_harness(endpoint) as harness:
--- a/tests/server/test_endpoint_responses.py
+++ b/tests/server/test_endpoint_responses.py
@@ -46,8 +46,8 @@
             connection, words = await endpoint.next_command()
             assert words[:3] == [b"CALL.POST", b"c", b"i"]
             assert words[4] == b"B"
-            left = words[3].removeprefix(b"c=x,d=").removesuffix(b",k=y")
-            assert 0 < int(left) <= 3000
+            time_left_ms = words[3].removeprefix(b"c=x,d=").removesuffix(b",k=y")
+            assert 0 < int(time_left_ms) <= 3000
             connection.send(answer)
             assert await harness.end() == (1, outcome, value, report)
 
@@ -93,7 +93,7 @@
     ],
 )
 @pytest.mark.parametrize("pieces", [False, True])
-def test_malformed_response_may_have_been_executed_and_closes_the_connection(
+def test_malformed_response_counts_as_possibly_executed_and_closes_the_connection(
     answer: bytes, pieces: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # An incomplete response is malformed once the stall time-out has passed.
@@ -177,11 +177,11 @@
 
 
 @pytest.mark.parametrize("number", [b"much", b"nan", b"inf", b"-1", b"+1", b"1_0", b" 1", b"1e999", b""])
-def test_load_report_must_be_finite_numbers_from_0_up(number: bytes) -> None:
+def test_load_report_numbers_must_be_finite_and_not_negative(number: bytes) -> None:
     assert read_response([b"v", None, b"util=" + number]) == AttemptResult(Outcome.OK, b"v", {})
 
 
-def test_load_report_is_read_as_the_protocol_writes_it() -> None:
+def test_load_report_accepts_each_number_format_of_the_protocol() -> None:
     assert read_load_report(b"inflight=7,util=0.61,tiny=1e-05") == {
         "inflight": 7.0,
         "util": 0.61,
--- a/tests/server/test_incomplete_values.py
+++ b/tests/server/test_incomplete_values.py
@@ -40,7 +40,7 @@
     run_on_loop(test)
 
 
-async def trickle_until_closed(connection: Connection, client: Connection) -> bytes:
+async def send_slowly_until_closed(connection: Connection, client: Connection) -> bytes:
     """Send single bytes until the client's connection ends; return what the client has read."""
     reading = asyncio.ensure_future(client.reader.read())
     for _ in range(1000):
@@ -51,14 +51,14 @@
     return await with_timeout(reading)
 
 
-def test_value_that_trickles_past_the_clients_deadline_is_ended() -> None:
+def test_slow_value_is_aborted_after_the_clients_deadline() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             client = await harness.connect_client()
             client.send(call_command(wait_ms=300))
             reply = success_reply(value(100_000))
             connection = await harness.endpoint.start_reply_to_next_command(reply[:50_000])
-            assert len(await trickle_until_closed(connection, client)) < 60_000
+            assert len(await send_slowly_until_closed(connection, client)) < 60_000
 
     run_on_loop(test)
 
@@ -74,7 +74,7 @@
             connection, _ = await harness.endpoint.next_command()
             deadlines.latest_deadline = deadlines.clock() + SECOND * 4 // 10
             connection.send(success_reply(value(100_000))[:50_000])
-            await trickle_until_closed(connection, client)
+            await send_slowly_until_closed(connection, client)
             overtime_ns = deadlines.clock() - deadlines.latest_deadline
             assert 0 < overtime_ns < response_deadline.DEADLINE_GRACE_S * SECOND // 2
 
--- a/tests/server/test_large_values.py
+++ b/tests/server/test_large_values.py
@@ -53,7 +53,7 @@
     run_on_loop(test)
 
 
-def test_large_value_is_streamed_before_it_is_complete_and_may_outlast_the_clients_deadline() -> None:
+def test_large_value_is_streamed_before_it_is_complete_and_past_the_clients_deadline() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             endpoint = only_endpoint(harness)
@@ -82,7 +82,7 @@
     run_on_loop(test)
 
 
-def test_endpoint_is_read_no_faster_than_the_client_reads_and_no_byte_is_lost() -> None:
+def test_slow_client_applies_backpressure_to_the_endpoint_and_no_byte_is_lost() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             sock = socket.socket()
--- a/tests/server/test_stale_responses.py
+++ b/tests/server/test_stale_responses.py
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.usefixtures("_reuse_without_delay")
-def test_pooled_connection_that_ended_unnoticed_is_not_written_to() -> None:
+def test_pooled_connection_that_closed_unnoticed_is_not_reused() -> None:
     async def test() -> None:
         with closing(RawEndpoint()) as endpoint:
             async with endpoint_harness(port=endpoint.port) as harness:
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.usefixtures("_reuse_without_delay")
-def test_repeated_response_in_a_later_packet_is_never_taken_for_the_next_one() -> None:
+def test_duplicate_response_in_a_later_packet_is_not_read_as_the_next_response() -> None:
     async def test() -> None:
         with closing(RawEndpoint()) as endpoint:
             async with endpoint_harness(port=endpoint.port) as harness:
@@ -58,7 +58,7 @@
     run_on_loop(test)
 
 
-def test_late_response_is_never_taken_for_the_next_attempt() -> None:
+def test_late_response_is_not_read_as_the_response_to_the_next_attempt() -> None:
     async def test() -> None:
         endpoint = FakeEndpoint()
         async with endpoint_harness(endpoint) as harness:
