--- a/tests/server/test_attempt_execution.py
+++ b/tests/server/test_attempt_execution.py
@@ -1,4 +1,4 @@
-"""Attempts that end without a response: which of them may have been executed."""
+"""Attempts that end without a response: not executed, or possibly executed."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 @pytest.mark.parametrize("timed_out_by", ["connect timeout", "attempt timeout"])
 def test_timed_out_connect_counts_as_not_executed(timed_out_by: str) -> None:
     async def test() -> None:
-        # A full accept queue leaves a connect unanswered, as a vanished machine does.
+        # A full accept queue leaves a connect unanswered, like an unreachable host.
         with closing(socket.socket()) as full:
             full.bind((LOOPBACK, 0))
             full.listen(0)
@@ -74,7 +74,7 @@
                 harness.pools.cancel_attempt(attempt)
                 expected = Outcome.CANCELLED
             assert await harness.end() == (1, expected, None, {})
-            # The connection is closed too: a response that still comes belongs to no attempt.
+            # The connection is closed, as a late response would belong to no attempt.
             await wait_until(lambda: endpoint.closed_connections == 1)
             assert harness.pools.open_connections == 0
             assert harness.ends.empty()
@@ -87,7 +87,7 @@
     async def test() -> None:
         with closing(RawEndpoint()) as endpoint:
             async with endpoint_harness(port=endpoint.port) as harness:
-                # More than both socket buffers hold, so that some of it stays behind.
+                # Larger than both socket buffers, so that part of it stays unsent.
                 attempt = harness.start(1, body=b"x" * (32 << 20))
                 connection = await endpoint.accept()
                 await wait_until(
@@ -108,7 +108,7 @@
 
 @pytest.mark.parametrize("size", [1, 8 << 20])
 def test_reset_after_the_last_byte_counts_as_possibly_executed_even_if_it_was_written_late(size: int) -> None:
-    """The loop writes later what one write did not accept; the attempt may be executed from then on."""
+    """The event loop sends the rest of a partial write later; from then on the attempt counts as sent."""
 
     async def test() -> None:
         with closing(RawEndpoint()) as endpoint:
@@ -126,7 +126,7 @@
 
 
 def test_attempt_still_connecting_is_not_written_past_its_idempotency_window() -> None:
-    """A retry decided within the window may find its connection established only after the window."""
+    """The connection for a retry decided within the window may be established after the window."""
 
     async def test() -> None:
         endpoint = FakeEndpoint()
@@ -158,7 +158,7 @@
     async def test() -> None:
         async with endpoint_harness(port=1) as harness:
             harness.start(1, endpoint=99)
-            assert harness.ends.empty()  # reported in a later turn of the loop
+            assert harness.ends.empty()  # reported in a later iteration of the event loop
             assert (await harness.end())[:2] == (1, Outcome.CONNECT_FAILED)
 
     run_on_loop(test)
--- a/tests/server/test_attempts.py
+++ b/tests/server/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts and connections as the engine directs them: forwarded, timed out, cancelled, counted."""
+"""Attempts and connections under the control of the engine: forwarding, timeout, cancellation, counts."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def test_in_flight_count_of_the_engine_matches_the_sockets_and_returns_to_zero() -> None:
-    """After replies, errors, rejections, malformed replies, resets, disconnects of clients, and a drain."""
+    """Covers replies, errors, rejections, malformed replies, resets, client disconnects and a drain."""
 
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -58,7 +58,7 @@
                     await wait_until(lambda: not engine.request_table.open)
                     ending = success_reply(b"without a client")
                 if ending == b"-BUSY\r\n":
-                    # It was never executed, so it is retried at the only endpoint.
+                    # The attempt was not executed, so the request is retried at the only endpoint.
                     connection.send(ending)
                     connection, _ = await harness.endpoint.next_command()
                     assert engine.request_table.in_flight == 1
@@ -71,7 +71,7 @@
                 assert not harness.gateway.requests._open_ids
                 assert all(each.in_flight == 0 for each in engine.load_balancer.registry.endpoints.values())
                 for endpoint in engine.load_balancer.registry.endpoints.values():
-                    endpoint.ejected_until = 0  # its failures would eject it
+                    endpoint.ejected_until = 0  # otherwise its failures would eject it
             await wait_until(lambda: endpoints.open_connections == 0)
             assert all(each.in_flight == 0 for each in engine.quota.accounts.values())
 
@@ -110,7 +110,7 @@
             assert str(await client.next_message()) == "ERR failed"
             client.send(call_command(number=2))
             _, words = await harness.endpoint.next_command()
-            assert words[2] == b"%016x" % 2  # the first was never written
+            assert words[2] == b"%016x" % 2  # the first request was never written
             assert not engine.events_of(ClientDisconnected)
 
     run_on_loop(test)
--- a/tests/server/test_attempts_given_up.py
+++ b/tests/server/test_attempts_given_up.py
@@ -1,4 +1,4 @@
-"""Attempts that are given up: their connections end at once."""
+"""Cancelled and timed-out attempts: their connections are closed immediately."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("how", ["cancelled", "timed out"])
 def test_connection_of_an_ended_attempt_closes_before_the_next_attempt_is_written(how: str) -> None:
-    """Where hedging is not allowed two at once break a rule, and the process may be held up in between."""
+    """Without hedging, two concurrent attempts break a rule; the process may be suspended in between."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -33,7 +33,7 @@
                         "timed out": harness.pools.expire_attempt,
                     }
                     end_attempt[how](attempt)
-                    # The loop does not turn here, as if the process were held up.
+                    # The event loop does not run here, as if the process were suspended.
                     accepted.settimeout(1.0)
                     assert accepted.recv(1) == b""
 
@@ -41,7 +41,7 @@
 
 
 def test_unsent_bytes_of_an_attempt_that_counts_as_not_sent_are_discarded() -> None:
-    """It may go elsewhere then: its last bytes must not leave once there is room for them."""
+    """The request may be retried elsewhere, so buffered bytes must not be sent when the socket drains."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
--- a/tests/server/test_connection_pool.py
+++ b/tests/server/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Connection pools: which connection an attempt uses, how many are open, and how long they are kept."""
+"""Connection pools: selection, limits and expiry of connections."""
 
 from __future__ import annotations
 
@@ -60,7 +60,8 @@
         endpoint = FakeEndpoint()
         async with endpoint_harness(endpoint, max_idle_s=0.0) as harness:
             connection = await harness.serve(1)
-            assert await harness.serve(2) is not connection  # the first one is expired, swept or not
+            # The first connection has expired, whether or not the sweep has run.
+            assert await harness.serve(2) is not connection
             await wait_until(lambda: endpoint.closed_connections == 2)  # the sweep closes the second
 
     run_on_loop(test)
@@ -81,7 +82,7 @@
                 second, _ = await endpoint.next_command()
                 second.abort() if reset else second.send(success_reply(b"v"))
                 assert (await harness.end()).outcome is (Outcome.RESET if reset else Outcome.OK)
-                clock[0] += 1000.0  # nothing of this round is used again
+                clock[0] += 1000.0  # connections of this round have expired
                 return second is first
 
             for _ in range(3):
@@ -90,7 +91,7 @@
             assert await reused_after(0.15, False)
             for _ in range(120):
                 harness.pools.keep_alive.decay()
-            assert await reused_after(0.3, False)  # the idle limit has risen again
+            assert await reused_after(0.3, False)  # the idle limit has recovered
 
     run_on_loop(test)
 
@@ -125,7 +126,7 @@
 
 
 def test_connection_within_its_reuse_delay_is_closed_rather_than_reused_at_the_limit() -> None:
-    """At the limit no other may be opened, and a repeated response would be taken for the next one."""
+    """Reuse could read a duplicate response as the next one, and at the limit no other may be opened."""
 
     async def test() -> None:
         endpoint = FakeEndpoint()
@@ -139,7 +140,7 @@
 
 
 def test_descriptor_shortage_does_not_count_as_endpoint_failure() -> None:
-    """It fails attempts at all endpoints, and all of them would be ejected."""
+    """The shortage fails attempts at all endpoints; counted, it would eject all of them."""
 
     async def test() -> None:
         async with gateway_harness() as harness:
--- a/tests/server/test_endpoint_drain.py
+++ b/tests/server/test_endpoint_drain.py
@@ -1,4 +1,4 @@
-"""Connections of an endpoint that drains."""
+"""Connections of a draining endpoint."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 def test_drain_ends_in_time_for_a_process_suspended_between_its_clock_and_its_write(
     grace_s: float,
 ) -> None:
-    """A process may be suspended for 0.15 s there, and the drain grace includes that time."""
+    """A process may be suspended for 0.15 s between the two; the drain grace includes that time."""
 
     async def test() -> None:
         endpoint = FakeEndpoint()
--- a/tests/server/test_endpoint_responses.py
+++ b/tests/server/test_endpoint_responses.py
@@ -1,4 +1,4 @@
-"""Responses of endpoints: the outcome, value and load report of each."""
+"""Parsing of endpoint responses: outcome, value and load report."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         (b"-BUSY used=0\r\n", Outcome.OVERLOADED, None, {"used": 0.0}),
         (b"-BUSY\r\n", Outcome.OVERLOADED, None, {}),
         (b"-BUSY util=1\r\n", Outcome.OVERLOADED, None, {"util": 1.0}),
-        # Served, though a report can't be read.
+        # A malformed report is ignored and does not fail the request.
         (success_reply(b"v", b"load_share=much"), Outcome.OK, b"v", {}),
         (success_reply(b"v", b"\xff\x00,="), Outcome.OK, b"v", {}),
         (b"*3\r\n$1\r\nv\r\n*2\r\n:1\r\n$1\r\nx\r\n$-1\r\n", Outcome.OK, b"v", {}),
@@ -96,7 +96,7 @@
 def test_malformed_response_counts_as_possibly_executed_and_closes_the_connection(
     answer: bytes, pieces: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # An incomplete response is malformed once the stall time-out has passed.
+    # An incomplete response counts as malformed after the stall timeout.
     monkeypatch.setattr(response_receiver, "RESPONSE_STALL_TIMEOUT_S", 0.05)
 
     async def test() -> None:
@@ -133,7 +133,8 @@
             connection.abort()
             assert (await harness.end())[:2] == (1, Outcome.RESET)
             assert pooled.timer is None
-            await asyncio.sleep(2 * response_receiver.RESPONSE_STALL_TIMEOUT_S)  # no timer is left
+            # A timer that was not cancelled would fire in this time.
+            await asyncio.sleep(2 * response_receiver.RESPONSE_STALL_TIMEOUT_S)
             assert faults == []
             assert harness.ends.empty()
 
@@ -155,7 +156,7 @@
 def test_no_array_is_allocated_before_its_elements_have_arrived(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What hiredis is given is bounded: an array of a hundred million places stalls every collection."""
+    """hiredis allocates an array at its header; 100 million elements stall each garbage collection."""
     fed: list[bytes] = []
 
     class FeedRecorder:
--- a/tests/server/test_incomplete_values.py
+++ b/tests/server/test_incomplete_values.py
@@ -1,4 +1,4 @@
-"""Large values that end early: stalls, resets, disconnects and deadlines."""
+"""Incomplete large values: stalls, resets, disconnects and deadlines."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def test_value_that_stalls_past_the_clients_deadline_ends_within_half_a_second_of_it() -> None:
-    """An endpoint that hangs may send nothing more; after that time the request counts as lost."""
+    """A hung endpoint sends nothing more; half a second after its deadline a request counts as lost."""
 
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -41,7 +41,7 @@
 
 
 async def send_slowly_until_closed(connection: Connection, client: Connection) -> bytes:
-    """Send single bytes until the client's connection ends; return what the client has read."""
+    """Send single bytes until the client's connection ends; return the data the client received."""
     reading = asyncio.ensure_future(client.reader.read())
     for _ in range(1000):
         connection.send(b"x")
@@ -99,7 +99,7 @@
                 connection.abort()
             elif how == "malformed":
                 connection.send(b"x" * 40_000)
-            # The end of the connection notifies the client.
+            # The client detects the failure by the end of its connection.
             assert len(await with_timeout(client.reader.read())) < 100_011 - 1000
             assert harness.endpoint.commands.empty()
             assert harness.request_results() == [0, 0, 1]
@@ -143,7 +143,7 @@
                 deadline = pooled.deadline
                 await wait_until(lambda deadline=deadline: deadline.last_data_at > 0.0)  # type: ignore[misc]
                 last_data_at = deadline.last_data_at
-                deadline.last_data_at = last_data_at - 59.0  # as if a piece arrived about once a minute
+                deadline.last_data_at = last_data_at - 59.0  # as if a chunk arrived about once a minute
                 pooled._check_deadline()
                 assert pooled.timer is not None
                 assert pooled.attempt is not None
--- a/tests/server/test_large_values.py
+++ b/tests/server/test_large_values.py
@@ -1,4 +1,4 @@
-"""Large values are streamed: unchanged, in order, and no faster than the client reads."""
+"""Streaming of large values: content, order and backpressure."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
             assert started.endpoint == endpoint
             assert started.attempt == 0
             pass_deadline(harness, engine)
-            await asyncio.sleep(0.05)  # longer than the timeout of the attempt
+            await asyncio.sleep(0.05)  # longer than the attempt's timeout
             connection.send(reply[100_000:])
             rest = await with_timeout(client.reader.readexactly(200_011 - 9_000))
             assert rest == (b"$200000\r\n" + value(200_000) + b"\r\n")[9_000:]
--- a/tests/server/test_stale_responses.py
+++ b/tests/server/test_stale_responses.py
@@ -1,4 +1,4 @@
-"""Reuse of connections: an attempt never gets the response of an earlier one."""
+"""Connection reuse: an attempt never receives the response to an earlier one."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
                     assert await endpoint.receive(connection)
                     await endpoint.send(connection, success_reply(b"v"))
                     assert (await harness.end())[:2] == (number, Outcome.OK)
-                    # Reset or ended between two turns of the loop: the gateway has not been notified.
+                    # The event loop has not yet reported the reset or the end of the stream to the gateway.
                     reset(connection) if number == 1 else connection.close()
                     if number < 3:
                         harness.start(number + 1)
@@ -47,7 +47,7 @@
                 assert await endpoint.receive(connection)
                 await endpoint.send(connection, success_reply(b"v"))
                 assert (await harness.end()).outcome is Outcome.OK
-                # Between two turns of the loop: in the socket, and not yet read, when the next one starts.
+                # The duplicate is in the socket but not yet read when the next attempt starts.
                 connection.send(success_reply(b"v"))
                 harness.start(2)
                 other = await endpoint.accept()
