--- a/tests/server/test_attempts_given_up.py
+++ b/tests/server/test_attempts_given_up.py
@@ -1,4 +1,4 @@
-"""Attempts that are given up: their connections end at once."""
+"""Cancelled and timed-out attempts: their connections are closed immediately."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from tests.support.fake_endpoint import success_reply
 
 
-@pytest.mark.parametrize("how", ["cancelled", "out of time"])
-def test_connection_of_an_attempt_given_up_ends_before_the_next_attempt_is_written(how: str) -> None:
-    """Where hedging is not allowed two at once break a rule, and the process may be held up in between."""
+@pytest.mark.parametrize("how", ["cancelled", "timed out"])
+def test_connection_of_an_ended_attempt_closes_before_the_next_attempt_is_written(how: str) -> None:
+    """Without hedging, two concurrent attempts break a rule; the process may be suspended in between."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -28,20 +28,20 @@
                 accepted, _ = await with_timeout(loop.sock_accept(listener))
                 with closing(accepted):
                     assert await with_timeout(loop.sock_recv(accepted, 1 << 16))
-                    give_up = {
+                    end_attempt = {
                         "cancelled": harness.pools.cancel_attempt,
-                        "out of time": harness.pools.expire_attempt,
+                        "timed out": harness.pools.expire_attempt,
                     }
-                    give_up[how](attempt)
-                    # The loop does not turn here, as if the process were held up.
+                    end_attempt[how](attempt)
+                    # The event loop does not run here, as if the process were suspended.
                     accepted.settimeout(1.0)
                     assert accepted.recv(1) == b""
 
     run_on_loop(test)
 
 
-def test_nothing_more_is_written_of_an_attempt_that_counts_as_never_sent() -> None:
-    """It may go elsewhere then: its last bytes must not leave once there is room for them."""
+def test_unsent_bytes_of_an_attempt_that_counts_as_not_sent_are_discarded() -> None:
+    """The request may be retried elsewhere, so buffered bytes must not be sent when the socket drains."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
--- a/tests/server/test_connection_pool.py
+++ b/tests/server/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Connection pools: which connection an attempt uses, how many are open, and how long they are kept."""
+"""Connection pools: selection, limits and expiry of connections."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.support.gateway_harness import gateway_harness
 
 
-def test_connection_is_not_reused_at_once_where_another_may_be_opened() -> None:
+def test_connection_is_not_reused_within_its_reuse_delay_below_the_limit() -> None:
     async def test() -> None:
         endpoint = FakeEndpoint()
         async with endpoint_harness(endpoint) as harness:
@@ -60,13 +60,14 @@
         endpoint = FakeEndpoint()
         async with endpoint_harness(endpoint, max_idle_s=0.0) as harness:
             connection = await harness.serve(1)
-            assert await harness.serve(2) is not connection  # the first one is expired, swept or not
+            # The first connection has expired, whether or not the sweep has run.
+            assert await harness.serve(2) is not connection
             await wait_until(lambda: endpoint.closed_connections == 2)  # the sweep closes the second
 
     run_on_loop(test)
 
 
-def test_connections_that_are_reset_after_an_idle_time_are_kept_for_less_time() -> None:
+def test_resets_after_an_idle_time_shorten_the_keep_alive() -> None:
     async def test() -> None:
         endpoint = FakeEndpoint()
         async with endpoint_harness(endpoint) as harness:
@@ -81,7 +82,7 @@
                 second, _ = await endpoint.next_command()
                 second.abort() if reset else second.send(success_reply(b"v"))
                 assert (await harness.end()).outcome is (Outcome.RESET if reset else Outcome.OK)
-                clock[0] += 1000.0  # nothing of this round is used again
+                clock[0] += 1000.0  # connections of this round have expired
                 return second is first
 
             for _ in range(3):
@@ -90,12 +91,12 @@
             assert await reused_after(0.15, False)
             for _ in range(120):
                 harness.pools.keep_alive.decay()
-            assert await reused_after(0.3, False)  # the idle limit has risen again
+            assert await reused_after(0.3, False)  # the idle limit has recovered
 
     run_on_loop(test)
 
 
-def test_resets_at_any_age_or_rare_ones_do_not_shorten_the_keep_alive() -> None:
+def test_rare_resets_and_resets_at_any_idle_time_do_not_shorten_the_keep_alive() -> None:
     estimator = KeepAliveEstimator(15.0)
     for age in (0.01, 0.02) * 10:
         estimator.record_reuse(age)
@@ -107,7 +108,7 @@
     assert estimator.idle_limit_s == 15.0
 
 
-def test_connections_are_bounded_and_idle_ones_are_closed_for_new_ones() -> None:
+def test_connections_are_limited_and_idle_ones_are_closed_for_new_ones() -> None:
     async def test() -> None:
         one, two = FakeEndpoint(), FakeEndpoint()
         async with listening(two), endpoint_harness(one, max_connections=1) as harness:
@@ -125,7 +126,7 @@
 
 
 def test_connection_within_its_reuse_delay_is_closed_rather_than_reused_at_the_limit() -> None:
-    """At the limit no other may be opened, and a repeated response would be taken for the next one."""
+    """Reuse could read a duplicate response as the next one, and at the limit no other may be opened."""
 
     async def test() -> None:
         endpoint = FakeEndpoint()
@@ -138,8 +139,8 @@
     run_on_loop(test)
 
 
-def test_lack_of_descriptors_is_no_failure_of_the_endpoint() -> None:
-    """It fails attempts at all endpoints, and all of them would be ejected."""
+def test_descriptor_shortage_does_not_count_as_endpoint_failure() -> None:
+    """The shortage fails attempts at all endpoints; counted, it would eject all of them."""
 
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -157,10 +158,10 @@
     run_on_loop(test)
 
 
-def test_limit_on_connections_is_no_failure_of_the_endpoint() -> None:
+def test_connection_limit_does_not_count_as_endpoint_failure() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
-            harness.gateway.endpoint_connections.limit(1)
+            harness.gateway.endpoint_connections.restrict_connections(1)
             client, other = await harness.connect_client(), await harness.connect_client()
             client.send(call_command(number=1))
             connection, _ = await harness.endpoint.next_command()
--- a/tests/server/test_endpoint_drain.py
+++ b/tests/server/test_endpoint_drain.py
@@ -1,4 +1,4 @@
-"""Connections of an endpoint that drains."""
+"""Connections of a draining endpoint."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.support.fake_endpoint import FakeEndpoint, success_reply
 
 
-def test_draining_endpoint_loses_idle_connections_and_finishes_attempts_in_flight() -> None:
+def test_drain_closes_idle_connections_and_lets_attempts_in_flight_finish() -> None:
     async def test() -> None:
         endpoint = FakeEndpoint()
         async with endpoint_harness(endpoint) as harness:
@@ -45,7 +45,7 @@
 def test_drain_ends_in_time_for_a_process_suspended_between_its_clock_and_its_write(
     grace_s: float,
 ) -> None:
-    """A process may be suspended for 0.15 s there, and the drain grace includes that time."""
+    """A process may be suspended for 0.15 s between the two; the drain grace includes that time."""
 
     async def test() -> None:
         endpoint = FakeEndpoint()
--- a/tests/server/test_large_values.py
+++ b/tests/server/test_large_values.py
@@ -1,4 +1,4 @@
-"""Large values are streamed: unchanged, in order, and no faster than the client reads."""
+"""Streaming of large values: content, order and backpressure."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
     run_on_loop(test)
 
 
-def test_large_value_is_streamed_before_it_is_complete_and_may_outlast_the_clients_deadline() -> None:
+def test_large_value_is_streamed_before_it_is_complete_and_past_the_clients_deadline() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             endpoint = only_endpoint(harness)
@@ -67,7 +67,7 @@
             assert started.endpoint == endpoint
             assert started.attempt == 0
             pass_deadline(harness, engine)
-            await asyncio.sleep(0.05)  # longer than the timeout of the attempt
+            await asyncio.sleep(0.05)  # longer than the attempt's timeout
             connection.send(reply[100_000:])
             rest = await with_timeout(client.reader.readexactly(200_011 - 9_000))
             assert rest == (b"$200000\r\n" + value(200_000) + b"\r\n")[9_000:]
@@ -82,7 +82,7 @@
     run_on_loop(test)
 
 
-def test_endpoint_is_read_no_faster_than_the_client_reads_and_no_byte_is_lost() -> None:
+def test_slow_client_applies_backpressure_to_the_endpoint_and_no_byte_is_lost() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             sock = socket.socket()
--- a/tests/server/test_stale_responses.py
+++ b/tests/server/test_stale_responses.py
@@ -1,4 +1,4 @@
-"""Reuse of connections: an attempt never gets the response of an earlier one."""
+"""Connection reuse: an attempt never receives the response to an earlier one."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.usefixtures("_reuse_without_delay")
-def test_pooled_connection_that_ended_unnoticed_is_not_written_to() -> None:
+def test_pooled_connection_that_closed_unnoticed_is_not_reused() -> None:
     async def test() -> None:
         with closing(RawEndpoint()) as endpoint:
             async with endpoint_harness(port=endpoint.port) as harness:
@@ -29,7 +29,7 @@
                     assert await endpoint.receive(connection)
                     await endpoint.send(connection, success_reply(b"v"))
                     assert (await harness.end())[:2] == (number, Outcome.OK)
-                    # Reset or ended between two turns of the loop: the gateway has not been notified.
+                    # The event loop has not yet reported the reset or the end of the stream to the gateway.
                     reset(connection) if number == 1 else connection.close()
                     if number < 3:
                         harness.start(number + 1)
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.usefixtures("_reuse_without_delay")
-def test_repeated_response_in_a_later_packet_is_never_taken_for_the_next_one() -> None:
+def test_duplicate_response_in_a_later_packet_is_not_read_as_the_next_response() -> None:
     async def test() -> None:
         with closing(RawEndpoint()) as endpoint:
             async with endpoint_harness(port=endpoint.port) as harness:
@@ -47,7 +47,7 @@
                 assert await endpoint.receive(connection)
                 await endpoint.send(connection, success_reply(b"v"))
                 assert (await harness.end()).outcome is Outcome.OK
-                # Between two turns of the loop: in the socket, and not yet read, when the next one starts.
+                # The duplicate is in the socket but not yet read when the next attempt starts.
                 connection.send(success_reply(b"v"))
                 harness.start(2)
                 other = await endpoint.accept()
@@ -58,7 +58,7 @@
     run_on_loop(test)
 
 
-def test_late_response_is_never_taken_for_the_next_attempt() -> None:
+def test_late_response_is_not_read_as_the_response_to_the_next_attempt() -> None:
     async def test() -> None:
         endpoint = FakeEndpoint()
         async with endpoint_harness(endpoint) as harness:
