--- a/qos_gateway/server/clients/buffer_budgets.py
+++ b/qos_gateway/server/clients/buffer_budgets.py
@@ -31,11 +31,11 @@
         self.deferred_bytes = 0  # of commands that were read and not parsed
         self.buffered_bytes = 0  # of large values that are not written, or not accepted by the client
 
-    def limit(self, fraction: float) -> None:
+    def limit_to_fraction(self, fraction: float) -> None:
         """Limit deferred input and buffered values to a fraction of the configured limit."""
         self.limit_bytes = int(self._configured_limit_bytes * fraction)
 
-    def defer(self, added_bytes: int) -> None:
+    def add_deferred(self, added_bytes: int) -> None:
         """Count deferred input; a negative number counts it as deferred no longer."""
         self.deferred_bytes += added_bytes
 
@@ -44,7 +44,7 @@
         connection_limit_bytes = self.limit_bytes * CONNECTION_DEFERRED_FRACTION
         return self.deferred_bytes > self.limit_bytes or connection_bytes > connection_limit_bytes
 
-    def buffer(self, size_bytes: int) -> bool:
+    def reserve_buffered(self, size_bytes: int) -> bool:
         """Count bytes of a large value, unless that exceeds the limit; return whether they are counted."""
         if self.buffered_bytes + size_bytes > self.limit_bytes:
             return False
--- a/qos_gateway/server/clients/command_reader.py
+++ b/qos_gateway/server/clients/command_reader.py
@@ -16,17 +16,17 @@
 class CommandReader:
     """Splits a client's bytes into commands, whole or in pieces."""
 
-    __slots__ = ("_frames", "_reader", "_time", "end", "partial_since_s")
+    __slots__ = ("_frames", "_reader", "_time", "command_end", "partial_since_s")
 
     def __init__(self, time: Callable[[], float]) -> None:
         self._time = time
         self._frames = CommandFrames()
         self._reader = hiredis.Reader()
-        self.end = 0  # position behind the last command in the data that it was read from
+        self.command_end = 0  # position behind the last command in the data that it was read from
         self.partial_since_s = 0.0  # when the first byte of an incomplete command was received; 0 without one
 
     @property
-    def is_midway(self) -> bool:
+    def has_partial_command(self) -> bool:
         """Whether a command has begun and not ended."""
         return self._frames.is_midway
 
@@ -42,7 +42,7 @@
     def next_command(self, data: bytes, start: int) -> list[bytes] | None:
         """Read `data` from `start` on, and return the arguments of the first command that ends in it.
 
-        Sets `end` to the position behind that command. Returns None where the command is incomplete, and
+        Sets `command_end` to the position after that command. Returns None if the command is incomplete, and
         keeps its bytes for the next call. Raises `CommandSyntaxError` where the data is no command.
         """
         try:
@@ -55,6 +55,6 @@
             arguments: list[bytes] = self._reader.gets()
         except (FrameError, hiredis.ProtocolError) as error:
             raise CommandSyntaxError(str(error)) from error
-        self.end = end
+        self.command_end = end
         self.partial_since_s = 0.0
         return arguments
--- a/qos_gateway/server/clients/connection.py
+++ b/qos_gateway/server/clients/connection.py
@@ -113,7 +113,7 @@
         busy = (
             self.is_awaiting_replies()
             or client_input.is_parsing
-            or client_input.reader.is_midway
+            or client_input.reader.has_partial_command
             or client_input.is_closed
         )
         return not (busy or self._transport.is_closing() or has_unread_bytes(self._transport))
@@ -147,7 +147,7 @@
 
     def is_writing_large_value(self) -> bool:
         """Return whether a large value is being written."""
-        return self._replies.is_value_in_flow()
+        return self._replies.is_streaming_value()
 
     def unread_bytes(self) -> int:
         """Return how many bytes the open socket holds that were not read."""
@@ -175,13 +175,13 @@
         pending = self._replies.pending
         if pending:
             self.start_next_stream()
-            if self.input.is_held_back(self) and len(pending) < MAX_PIPELINED:
+            if self.input.has_unprocessed_input(self) and len(pending) < MAX_PIPELINED:
                 self._context.call_soon(self._resume_input)
             return
         self.idle_since_s = self._context.time()
         if self.input.is_closed:
             self.half_close(self.idle_since_s)
-        elif self.input.is_held_back(self):
+        elif self.input.has_unprocessed_input(self):
             self._context.call_soon(self._resume_input)
         elif self._context.drain.closes_idle and self.is_idle():
             # The periodic check of a drain would hardly ever find a busy client idle.
@@ -197,7 +197,7 @@
         """Start to write the first large value where that is due, considering the commands behind it."""
         client_input = self.input
         has_commands_behind = (
-            len(self._replies.pending) > 1 or client_input.deferred or client_input.reader.is_midway
+            len(self._replies.pending) > 1 or client_input.deferred or client_input.reader.has_partial_command
         )
         if self._replies.start_first_stream(bool(has_commands_behind)):
             client_input.update_reading(self)
--- a/qos_gateway/server/clients/connection_input.py
+++ b/qos_gateway/server/clients/connection_input.py
@@ -13,12 +13,12 @@
 from .close_guard import CloseGuard
 from .command_reader import CommandReader, CommandSyntaxError
 from .commands import CommandExecutor, RequestHandler
-from .deferred_input import DeferredInput, InputPiece
+from .deferred_input import DeferredInput, InputChunk
 from .hangup_monitor import HangupMonitor
-from .input_backlog import MIN_HELD_BACK_BYTES, InputBacklog
+from .input_backlog import FULL_BUFFER_THRESHOLD_BYTES, InputBacklog
 from .loop_stalls import LoopStalls
 from .pending_replies import PendingReply, ReplyConnection, ReplyQueue
-from .receive_times import ReceiveTimes, late_receive_times
+from .receive_times import ReceiveTimes, estimate_receive_times
 from .socket_protocol import SocketAges
 
 MAX_PIPELINED = 32  # commands of one connection without a reply; the commands behind them are deferred
@@ -120,11 +120,11 @@
             if self._discarded_bytes > MAX_DISCARDED_BYTES:
                 self.update_reading(connection)
             return
-        piece = InputPiece(data, self._receive_times(connection, len(data)))
+        chunk = InputChunk(data, self._receive_times(connection, len(data)))
         if self.deferred:
-            self.deferred.append(piece)
+            self.deferred.append(chunk)
         else:
-            self._execute_commands(connection, piece)
+            self._execute_commands(connection, chunk)
         if self.deferred:
             self._reject_excess(connection)
             self.update_reading(connection)
@@ -137,9 +137,9 @@
             return ReceiveTimes(received_at_s, received_at_s)
         unread_since_s = self._unread_since_s(now_s)
         if unread_since_s is not None:
-            return self._late_receive_times(connection, now_s, unread_since_s, size)
-        if size >= MIN_HELD_BACK_BYTES and connection.unread_bytes():
-            self._backlog.leave_unread(now_s)
+            return self._delayed_receive_times(connection, now_s, unread_since_s, size)
+        if size >= FULL_BUFFER_THRESHOLD_BYTES and connection.unread_bytes():
+            self._backlog.note_partial_read(now_s)
         return ReceiveTimes(now_s, now_s)
 
     def _unread_since_s(self, now_s: float) -> float | None:
@@ -150,37 +150,37 @@
         self._queued_since_s = None
         return queued_since_s
 
-    def _late_receive_times(
+    def _delayed_receive_times(
         self, connection: InputConnection, now_s: float, unread_since_s: float, size: int
     ) -> ReceiveTimes:
         """Return when bytes came that may have waited; bytes beyond the socket buffer come later."""
-        times = late_receive_times(now_s, unread_since_s, connection.socket_ages())
-        if size >= MIN_HELD_BACK_BYTES:
+        times = estimate_receive_times(now_s, unread_since_s, connection.socket_ages())
+        if size >= FULL_BUFFER_THRESHOLD_BYTES:
             self._backlog.pause(times.first_s)
             self._backlog.resume(now_s, size)
         return times
 
-    def _execute_commands(self, connection: InputConnection, piece: InputPiece) -> None:
-        """Execute the commands in a piece as far as that is allowed now, and defer the remainder."""
+    def _execute_commands(self, connection: InputConnection, chunk: InputChunk) -> None:
+        """Execute the commands in a chunk as far as that is allowed now, and defer the remainder."""
         context = self._context
-        data = piece.data
-        position = piece.position
+        data = chunk.data
+        position = chunk.position
         self.is_parsing = True
         try:
             while position < len(data) and not self.is_closed:
                 if not self._may_execute(connection):
-                    piece.position = position
-                    self.deferred.put_back(piece)
+                    chunk.position = position
+                    self.deferred.prepend(chunk)
                     break
                 arguments = self.reader.next_command(data, position)
                 if arguments is None:
                     break
-                position = self.reader.end
+                position = self.reader.command_end
                 pending_reply = PendingReply(connection)
                 self._replies.pending.append(pending_reply)
                 self.has_sent_command = True
                 connection.command_received()
-                waited_s = context.time() - piece.received_at_s(position)
+                waited_s = context.time() - chunk.received_at_s(position)
                 context.commands.execute(pending_reply, arguments, waited_s)
         except CommandSyntaxError as error:
             self.deferred.clear()  # where a command begins in them is unknown
@@ -200,28 +200,28 @@
         None may behind a large value that is written in part: if the value fails, the connection closes.
         """
         is_full = len(self._replies.pending) >= MAX_PENDING_REPLIES
-        return not (is_full or connection.blocked or self._replies.is_value_in_flow())
+        return not (is_full or connection.blocked or self._replies.is_streaming_value())
 
     def _reject_excess(self, connection: InputConnection) -> None:
         """Reject the oldest deferred commands while they take too much memory."""
         while self.deferred.is_over_limit():
-            piece = self.deferred.take_first()
+            chunk = self.deferred.pop_first()
             try:
-                self._reject_commands(connection, piece)
+                self._reject_commands(connection, chunk)
             except CommandSyntaxError as error:
                 self.deferred.clear()
                 connection.fail(str(error))
 
-    def _reject_commands(self, connection: InputConnection, piece: InputPiece) -> None:
-        """Reply to each command in a piece, as the requests that were read must get a reply."""
-        position = piece.position
-        while (arguments := self.reader.next_command(piece.data, position)) is not None:
-            position = self.reader.end
+    def _reject_commands(self, connection: InputConnection, chunk: InputChunk) -> None:
+        """Reply to each command in a chunk, as the requests that were read must get a reply."""
+        position = chunk.position
+        while (arguments := self.reader.next_command(chunk.data, position)) is not None:
+            position = self.reader.command_end
             pending_reply = PendingReply(connection)
             self._replies.pending.append(pending_reply)
             self._context.commands.shed(pending_reply, arguments)
 
-    def is_held_back(self, connection: InputConnection) -> bool:
+    def has_unprocessed_input(self, connection: InputConnection) -> bool:
         """Return whether input waits, deferred or unread in the socket."""
         return bool(self.deferred) or not connection.is_reading
 
@@ -229,7 +229,7 @@
         """Execute deferred commands as far as that is allowed now, and read on."""
         if self.deferred and not connection.is_closing():
             while self.deferred and not self.is_closed and self._may_execute(connection):
-                self._execute_commands(connection, self.deferred.take_first())
+                self._execute_commands(connection, self.deferred.pop_first())
             if not self.deferred:
                 self.reader.restart_timeout()
         self.update_reading(connection)
--- a/qos_gateway/server/clients/connections.py
+++ b/qos_gateway/server/clients/connections.py
@@ -87,7 +87,7 @@
         self.max_connections = self._configured_max_connections
         if max_connections is not None:
             self.max_connections = min(self._configured_max_connections, max(1, max_connections))
-        self.context.buffers.limit(memory_fraction)
+        self.context.buffers.limit_to_fraction(memory_fraction)
 
     def are_scarce(self) -> bool:
         """Return whether most of the connections that may be open are open."""
--- a/qos_gateway/server/clients/deferred_input.py
+++ b/qos_gateway/server/clients/deferred_input.py
@@ -1,4 +1,4 @@
-"""Input of one client that was read and not parsed: its pieces in order, with the times of their reads."""
+"""Input of one client that was read and not parsed: its chunks in order, with the times of their reads."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from .buffer_budgets import BufferBudget
 from .receive_times import ReceiveTimes
 
-PIECE_OVERHEAD_BYTES = 192  # of the objects that hold one piece
+CHUNK_OVERHEAD_BYTES = 192  # of the objects that hold one chunk
 
 
-class InputPiece:
+class InputChunk:
     """Bytes of one read, and how far they are parsed."""
 
     __slots__ = ("data", "position", "times")
@@ -26,48 +26,48 @@
 
     @property
     def size_bytes(self) -> int:
-        """The memory that the piece takes, its parsed bytes included."""
-        return len(self.data) + PIECE_OVERHEAD_BYTES
+        """The memory that the chunk takes, its parsed bytes included."""
+        return len(self.data) + CHUNK_OVERHEAD_BYTES
 
 
 class DeferredInput:
     """Pieces of input that wait to be parsed, the oldest first, counted in the buffer budget."""
 
-    __slots__ = ("_buffers", "_pieces", "_size_bytes")
+    __slots__ = ("_buffers", "_chunks", "_size_bytes")
 
     def __init__(self, buffers: BufferBudget) -> None:
         self._buffers = buffers
-        self._pieces: deque[InputPiece] = deque()
+        self._chunks: deque[InputChunk] = deque()
         self._size_bytes = 0
 
     def __bool__(self) -> bool:
-        return bool(self._pieces)
+        return bool(self._chunks)
 
-    def append(self, piece: InputPiece) -> None:
-        """Add the newest piece."""
-        self._pieces.append(piece)
-        self._count(piece.size_bytes)
+    def append(self, chunk: InputChunk) -> None:
+        """Add the newest chunk."""
+        self._chunks.append(chunk)
+        self._add_size(chunk.size_bytes)
 
-    def put_back(self, piece: InputPiece) -> None:
-        """Add a piece before all others."""
-        self._pieces.appendleft(piece)
-        self._count(piece.size_bytes)
+    def prepend(self, chunk: InputChunk) -> None:
+        """Add a chunk before all others."""
+        self._chunks.appendleft(chunk)
+        self._add_size(chunk.size_bytes)
 
-    def take_first(self) -> InputPiece:
-        """Remove the oldest piece and return it."""
-        piece = self._pieces.popleft()
-        self._count(-piece.size_bytes)
-        return piece
+    def pop_first(self) -> InputChunk:
+        """Remove the oldest chunk and return it."""
+        chunk = self._chunks.popleft()
+        self._add_size(-chunk.size_bytes)
+        return chunk
 
     def clear(self) -> None:
-        """Drop all pieces."""
-        self._pieces.clear()
-        self._count(-self._size_bytes)
+        """Drop all chunks."""
+        self._chunks.clear()
+        self._add_size(-self._size_bytes)
 
     def is_over_limit(self) -> bool:
-        """Return whether this connection's pieces, or those of all connections, take too much memory."""
-        return bool(self._pieces) and self._buffers.is_deferred_over_limit(self._size_bytes)
+        """Return whether this connection's chunks, or those of all connections, take too much memory."""
+        return bool(self._chunks) and self._buffers.is_deferred_over_limit(self._size_bytes)
 
-    def _count(self, added_bytes: int) -> None:
+    def _add_size(self, added_bytes: int) -> None:
         self._size_bytes += added_bytes
-        self._buffers.defer(added_bytes)
+        self._buffers.add_deferred(added_bytes)
--- a/qos_gateway/server/clients/input_backlog.py
+++ b/qos_gateway/server/clients/input_backlog.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-MIN_HELD_BACK_BYTES = 4 << 10  # unread at the end of a pause; below it the socket buffer was not full
-HELD_BACK_GRACE_S = 0.25  # until a client's system has sent what it held back while the socket was full
-MAX_WAITING_BYTES = 12 << 20  # in the largest receive and send buffers that Linux uses by default
+FULL_BUFFER_THRESHOLD_BYTES = 4 << 10  # unread at the end of a pause; below it the socket buffer was not full
+SEND_BUFFER_FLUSH_S = 0.25  # until a client's system has sent what it held back while the socket was full
+MAX_SOCKET_BUFFER_BYTES = 12 << 20  # in the largest receive and send buffers that Linux uses by default
 
 
 class InputBacklog:
@@ -15,65 +15,71 @@
     bytes count from the beginning of the backlog, so that no deadline exceeds the client's remaining time.
     """
 
-    __slots__ = ("_began_at_s", "_emptied_at_s", "_halfway_at_s", "_may_be_held_back", "_read_bytes")
+    __slots__ = (
+        "_emptied_at_s",
+        "_may_have_been_full",
+        "_read_bytes",
+        "_started_at_s",
+        "_window_started_at_s",
+    )
 
     def __init__(self) -> None:
-        self._began_at_s = 0.0  # 0 without a backlog
+        self._started_at_s = 0.0  # 0 without a backlog
         self._emptied_at_s = 0.0  # when the socket was found empty after a pause; 0 before that
-        self._may_be_held_back = False  # the socket may have been full
-        self._read_bytes = 0  # since the backlog began, or since `_halfway_at_s`
-        self._halfway_at_s = 0.0  # when half of what can wait was read; 0 before that
+        self._may_have_been_full = False  # the socket may have been full
+        self._read_bytes = 0  # since the backlog began, or since `_window_started_at_s`
+        self._window_started_at_s = 0.0  # when half of what can wait was read; 0 before that
 
     def exists(self) -> bool:
         """Return whether a read may return bytes that have waited."""
-        return self._began_at_s > 0.0
+        return self._started_at_s > 0.0
 
     def pause(self, now_s: float) -> None:
         """Note that reading is paused."""
-        self._began_at_s = self._began_at_s or now_s
+        self._started_at_s = self._started_at_s or now_s
         self._emptied_at_s = 0.0
 
     def resume(self, now_s: float, unread_bytes: int) -> None:
         """Note that reading resumes, with this number of bytes in the socket."""
-        if unread_bytes >= MIN_HELD_BACK_BYTES:
-            self._may_be_held_back = True
+        if unread_bytes >= FULL_BUFFER_THRESHOLD_BYTES:
+            self._may_have_been_full = True
         elif unread_bytes == 0:
             self._emptied_at_s = now_s
-            if not self._may_be_held_back:
+            if not self._may_have_been_full:
                 self._end()
 
-    def leave_unread(self, received_at_s: float) -> None:
+    def note_partial_read(self, received_at_s: float) -> None:
         """Note that a read of bytes received then left others in the socket."""
-        self._began_at_s = self._began_at_s or received_at_s
+        self._started_at_s = self._started_at_s or received_at_s
 
     def received_at_s(self, now_s: float, read_bytes: int, socket_is_empty: bool) -> float:
         """Return the earliest time at which the bytes read now may have been sent."""
-        began_at_s = self._began_at_s
-        self._count(now_s, read_bytes)
+        started_at_s = self._started_at_s
+        self._advance_start(now_s, read_bytes)
         if not socket_is_empty:
             self._emptied_at_s = 0.0
-            return began_at_s
-        if not self._may_be_held_back:
+            return started_at_s
+        if not self._may_have_been_full:
             self._end()
-            return began_at_s
+            return started_at_s
         if not self._emptied_at_s:
             self._emptied_at_s = now_s
-        elif now_s - self._emptied_at_s >= HELD_BACK_GRACE_S:
+        elif now_s - self._emptied_at_s >= SEND_BUFFER_FLUSH_S:
             self._end()
             return now_s
-        return began_at_s
+        return started_at_s
 
-    def _count(self, now_s: float, read_bytes: int) -> None:
+    def _advance_start(self, now_s: float, read_bytes: int) -> None:
         """Let the backlog begin later once more was read than can have waited since its beginning."""
         self._read_bytes += read_bytes
-        if self._read_bytes < MAX_WAITING_BYTES:
+        if self._read_bytes < MAX_SOCKET_BUFFER_BYTES:
             return
-        self._began_at_s = self._halfway_at_s or self._began_at_s
-        self._halfway_at_s = now_s
+        self._started_at_s = self._window_started_at_s or self._started_at_s
+        self._window_started_at_s = now_s
         self._read_bytes = 0
 
     def _end(self) -> None:
-        self._began_at_s = 0.0
-        self._halfway_at_s = 0.0
+        self._started_at_s = 0.0
+        self._window_started_at_s = 0.0
         self._read_bytes = 0
-        self._may_be_held_back = False
+        self._may_have_been_full = False
--- a/qos_gateway/server/clients/pending_replies.py
+++ b/qos_gateway/server/clients/pending_replies.py
@@ -66,9 +66,9 @@
     __slots__ = (
         "_buffered",
         "_client",
-        "_count_buffered",
         "_flow_control",
         "_header",
+        "_reserve_buffered",
         "is_out_of_budget",
         "started",
     )
@@ -78,12 +78,12 @@
         client: ReplyConnection,
         length: int,
         flow_control: FlowControl,
-        count_buffered: Callable[[int], bool],
+        reserve_buffered: Callable[[int], bool],
     ) -> None:
-        """Take `count_buffered` to count bytes as buffered; it returns False where that exceeds the limit."""
+        """Take `reserve_buffered` to count bytes as buffered; it returns False if that exceeds the limit."""
         self._client = client
         self._flow_control = flow_control
-        self._count_buffered = count_buffered
+        self._reserve_buffered = reserve_buffered
         self._header = b"$%d\r\n" % length
         self._buffered: list[bytes] = []  # received before the start
         self.is_out_of_budget = False  # the endpoint is paused until the start
@@ -95,7 +95,7 @@
             self._client.write(data)
             return
         self._buffered.append(data)
-        if not self._count_buffered(len(data)):
+        if not self._reserve_buffered(len(data)):
             self.is_out_of_budget = True
             self._flow_control.pause()
             self._client.start_next_stream()
@@ -148,26 +148,26 @@
         if pending[0] is not pending_reply:
             return False
         if len(pending) == 1:
-            self._count_written(pending.popleft())
+            self._mark_written(pending.popleft())
             self._transport.write(reply)
             return True
         replies = []
         while pending and (ready := pending[0].reply) is not None:
-            self._count_written(pending.popleft())
+            self._mark_written(pending.popleft())
             replies.append(ready)
         self._transport.write(b"".join(replies))
         return True
 
     # The memory of large values.
 
-    def _count_buffered(self, pending_reply: PendingReply, size: int) -> bool:
+    def _reserve_buffered(self, pending_reply: PendingReply, size: int) -> bool:
         """Count bytes of a large value as buffered; return False where that exceeds the limit."""
-        if not self._buffers.buffer(size):
+        if not self._buffers.reserve_buffered(size):
             return False
         pending_reply.buffered_bytes += size
         return True
 
-    def _count_written(self, pending_reply: PendingReply) -> None:
+    def _mark_written(self, pending_reply: PendingReply) -> None:
         self._written_buffered_bytes += pending_reply.buffered_bytes
         pending_reply.buffered_bytes = 0
 
@@ -190,7 +190,7 @@
     ) -> StreamedReply:
         """Begin a reply that is a large value, which is buffered until it is started."""
         stream = StreamedReply(
-            pending_reply.client, length, flow_control, partial(self._count_buffered, pending_reply)
+            pending_reply.client, length, flow_control, partial(self._reserve_buffered, pending_reply)
         )
         pending_reply.stream = stream
         return stream
@@ -199,7 +199,7 @@
         """End a large value that stays incomplete; return whether a part of it was written."""
         stream = pending_reply.stream
         pending_reply.stream = None
-        self._count_written(pending_reply)
+        self._mark_written(pending_reply)
         self.release_written()
         if stream is None or not stream.started:
             return False
@@ -216,11 +216,11 @@
         if stream is None or stream.started or (has_commands_behind and not stream.is_out_of_budget):
             return False
         self._transport.set_write_buffer_limits(high=self._streams.start())
-        self._count_written(self.pending[0])
+        self._mark_written(self.pending[0])
         stream.start()
         return True
 
-    def is_value_in_flow(self) -> bool:
+    def is_streaming_value(self) -> bool:
         """Return whether the first pending reply is a large value that is written in part."""
         stream = self.first_stream()
         return stream is not None and stream.started
@@ -248,7 +248,7 @@
             if pending_reply.stream is not None and pending_reply.stream.started:
                 self._streams.end()
             pending_reply.stream = None
-            self._count_written(pending_reply)
+            self._mark_written(pending_reply)
             if pending_reply.reply is None:
                 unanswered.append(pending_reply.request_number)
         self.release_written()
--- a/qos_gateway/server/clients/receive_times.py
+++ b/qos_gateway/server/clients/receive_times.py
@@ -15,7 +15,7 @@
     last_s: float  # at which the last byte came
 
 
-def late_receive_times(now_s: float, waiting_since_s: float, ages: SocketAges | None) -> ReceiveTimes:
+def estimate_receive_times(now_s: float, waiting_since_s: float, ages: SocketAges | None) -> ReceiveTimes:
     """Return the times of bytes that are read now and may have waited since then, but no longer.
 
     `ages` is None where the system does not report them.
--- a/tests/server/test_client_commands.py
+++ b/tests/server/test_client_commands.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "reason"),
+    ("arguments", "reason"),
     [
         ((b"CALL.GET", CUSTOMER, b"1"), "wrong number of arguments"),
         ((b"CALL.GET", b"zz", b"1", b"c=look up,t=team,d=5"), "bad customer"),
@@ -67,12 +67,12 @@
     ],
 )
 def test_invalid_command_gets_a_reason_and_its_connection_stays_open(
-    words: tuple[bytes, ...], reason: str
+    arguments: tuple[bytes, ...], reason: str
 ) -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             client = await harness.connect_client()
-            client.send(hiredis.pack_command(words))  # type: ignore[arg-type]
+            client.send(hiredis.pack_command(arguments))  # type: ignore[arg-type]
             reply = await client.next_message()
             assert isinstance(reply, hiredis.ReplyError)
             assert reason in str(reply)
@@ -82,7 +82,7 @@
     run_on_loop(test)
 
 
-@pytest.mark.parametrize("behind", [b"", call_command()])
+@pytest.mark.parametrize("preceding", [b"", call_command()])
 @pytest.mark.parametrize(
     "data",
     [
@@ -106,21 +106,21 @@
         b"*2\r\n$4\r\nPING\r\n$60000000\r\n" + b"x" * 300_000,
     ],
 )
-def test_protocol_error_is_answered_and_closes_only_its_connection(data: bytes, behind: bytes) -> None:
+def test_protocol_error_is_answered_and_closes_only_its_connection(data: bytes, preceding: bytes) -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             script_engine(harness, reject)
-            other, client = await harness.connect_client(), await harness.connect_client()
+            other_client, client = await harness.connect_client(), await harness.connect_client()
             # Behind another command, and with its header in two pieces.
-            client.send(behind + data[:2])
+            client.send(preceding + data[:2])
             await asyncio.sleep(0)
             client.send(data[2:])
-            if behind:
+            if preceding:
                 assert str(await client.next_message()) == "BUSY"
             assert str(await client.next_message()).startswith("ERR Protocol error")
             assert await client.next_message() is None
-            other.send(PING)
-            assert await other.next_message() == b"PONG"
+            other_client.send(PING)
+            assert await other_client.next_message() == b"PONG"
 
     run_on_loop(test)
 
--- a/tests/server/test_connection_ends.py
+++ b/tests/server/test_connection_ends.py
@@ -55,7 +55,9 @@
             command = call_command()
             with closing(socket.create_connection(("127.0.0.1", clients.port))) as sock:
                 sock.sendall(command[:30])
-                await wait_until(lambda: any(c.input.reader.is_midway for c in clients.connections()))
+                await wait_until(
+                    lambda: any(c.input.reader.has_partial_command for c in clients.connections())
+                )
                 (client,) = clients.connections()
                 client.input.reader.partial_since_s -= 1.0
                 clients.max_connections = 1
--- a/tests/server/test_held_values.py
+++ b/tests/server/test_held_values.py
@@ -16,7 +16,9 @@
 
 
 @pytest.mark.parametrize("has_capacity", [True, False])
-def test_held_value_that_stalls_fails_in_time_and_its_connection_is_reused(has_capacity: bool) -> None:
+def test_buffered_value_that_stalls_fails_by_its_deadline_and_its_connection_is_reused(
+    has_capacity: bool,
+) -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             if not has_capacity:
@@ -41,23 +43,23 @@
     run_on_loop(test)
 
 
-@pytest.mark.parametrize("order", ["large first", "large last", "half a command behind"])
+@pytest.mark.parametrize("order", ["large first", "large last", "partial command last"])
 def test_incomplete_value_loses_no_reply_to_another_request_of_its_connection(order: str) -> None:
     """No reply can follow an incomplete value, so a value is held while others wait behind it."""
 
     async def test() -> None:
         async with gateway_harness() as harness:
             client = await harness.connect_client()
-            behind = call_command(number=2)
-            first_part = behind[:30] if order == "half a command behind" else behind
+            second_command = call_command(number=2)
+            first_part = second_command[:30] if order == "partial command last" else second_command
             client.send(call_command(number=1) + first_part)
-            connections = await harness.endpoint.next_requests(1 if order == "half a command behind" else 2)
+            connections = await harness.endpoint.next_requests(1 if order == "partial command last" else 2)
             large, small = (2, 1) if order == "large last" else (1, 2)
             connections[large].send(success_reply(value(100_000))[:80_000])
             await wait_until(lambda: any(r.streaming_attempt for r in harness.open_requests.values()))
             await asyncio.sleep(0.02)
-            if order == "half a command behind":
-                client.send(behind[30:])
+            if order == "partial command last":
+                client.send(second_command[30:])
                 connections |= await harness.endpoint.next_requests(1)
             connections[large].abort()
             await wait_until(
@@ -88,14 +90,14 @@
             connection.send(reply[80_000:])
             rest = await with_timeout(client.reader.readexactly(100_011 - 1000))
             assert head + rest == b"$100000\r\n" + value(100_000) + b"\r\n"
-            words = await harness.endpoint.reply_to_next_command(success_reply(b"v"))
-            assert int(words[2], 16) == 2
+            arguments = await harness.endpoint.reply_to_next_command(success_reply(b"v"))
+            assert int(arguments[2], 16) == 2
             assert await client.next_message() == b"v"
 
     run_on_loop(test)
 
 
-def test_held_values_are_bounded_and_streamed_beyond_the_bound() -> None:
+def test_buffered_values_are_limited_and_streamed_beyond_the_limit() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             harness.buffers.limit_bytes = 150_000
--- a/tests/server/test_late_reads.py
+++ b/tests/server/test_late_reads.py
@@ -14,7 +14,7 @@
 from qos_gateway.server.clients.connection import ClientConnection
 from qos_gateway.server.clients.connection_input import MAX_PIPELINED
 from qos_gateway.server.clients.loop_stalls import LoopStalls
-from qos_gateway.server.clients.receive_times import ReceiveTimes, late_receive_times
+from qos_gateway.server.clients.receive_times import ReceiveTimes, estimate_receive_times
 from qos_gateway.server.clients.socket_protocol import SocketAges, socket_ages
 from qos_gateway.units import SECOND
 from tests.support.clients import call_command
@@ -48,7 +48,7 @@
     return await asyncio.to_thread(socket.create_connection, address)
 
 
-def test_deadline_includes_the_wait_of_a_connection_for_room() -> None:
+def test_deadline_includes_the_wait_in_the_accept_queue() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             engine = script_engine(harness, leave_open)
@@ -63,7 +63,7 @@
     run_on_loop(test)
 
 
-def test_deadline_of_a_request_that_was_sent_after_the_accept_is_whole() -> None:
+def test_deadline_of_a_request_sent_after_the_accept_is_not_shortened() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             engine = script_engine(harness, leave_open, leave_open)
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("count", [1, 2])
-def test_deadline_includes_the_time_for_which_the_event_loop_stood_still(count: int) -> None:
+def test_deadline_includes_an_event_loop_stall(count: int) -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             engine = script_engine(harness, *[leave_open] * count)
@@ -98,7 +98,7 @@
     run_on_loop(test)
 
 
-def test_deadline_includes_a_stall_where_the_socket_had_no_room_for_all_commands(
+def test_deadline_includes_a_stall_when_the_commands_exceed_the_socket_buffer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What the client's system held back comes after the first read, and later than the stall is noted."""
@@ -122,7 +122,7 @@
     run_on_loop(test)
 
 
-def test_stall_is_seen_before_and_after_the_late_timer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_stall_is_detected_before_and_after_the_late_timer(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(loop_stalls, "CHECK_INTERVAL_S", 0.05)
 
     async def test() -> None:
@@ -143,14 +143,14 @@
     run_on_loop(test)
 
 
-def test_bytes_that_may_have_waited_count_from_the_earliest_time_but_the_last_of_them() -> None:
+def test_last_byte_of_a_delayed_read_gets_its_own_time_and_the_others_the_earliest() -> None:
     ages = SocketAges(last_received_s=0.1, last_sent_s=5.0)
-    assert late_receive_times(10.0, 9.5, ages) == ReceiveTimes(9.5, 9.9)
-    assert late_receive_times(10.0, 9.95, ages) == ReceiveTimes(9.95, 9.95)
-    assert late_receive_times(10.0, 9.5, None) == ReceiveTimes(9.5, 9.5)
+    assert estimate_receive_times(10.0, 9.5, ages) == ReceiveTimes(9.5, 9.9)
+    assert estimate_receive_times(10.0, 9.95, ages) == ReceiveTimes(9.95, 9.95)
+    assert estimate_receive_times(10.0, 9.5, None) == ReceiveTimes(9.5, 9.5)
 
 
-def test_system_tells_the_ages_of_a_connection_and_of_its_last_bytes() -> None:
+def test_socket_ages_report_the_age_of_a_connection_and_of_its_last_bytes() -> None:
     async def test() -> None:
         connected: asyncio.Future[asyncio.Transport] = asyncio.get_running_loop().create_future()
 
--- a/tests/server/test_pipelined_deadlines.py
+++ b/tests/server/test_pipelined_deadlines.py
@@ -26,20 +26,20 @@
 STEPS = 3
 
 
-class AdvancedClock:
+class AdjustableClock:
     """The loop's clock, which a test can advance."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
-        self.advance_s = 0.0
+        self.offset_s = 0.0
 
     def time(self) -> float:
-        return self._loop.time() + self.advance_s
+        return self._loop.time() + self.offset_s
 
 
-def advance_clock_of(harness: GatewayHarness) -> AdvancedClock:
+def use_adjustable_clock(harness: GatewayHarness) -> AdjustableClock:
     """Replace the clock of the client side; a connection keeps the one that it was opened with."""
-    clock, clients = AdvancedClock(), harness.gateway.clients
+    clock, clients = AdjustableClock(), harness.gateway.clients
     clients.context = replace(clients.context, time=clock.time)
     return clock
 
@@ -55,45 +55,45 @@
         async with gateway_harness() as harness:
             command_count = MAX_PIPELINED + STEPS
             engine = script_engine(harness, *[leave_open] * command_count)
-            clock = advance_clock_of(harness)
+            clock = use_adjustable_clock(harness)
             client = await harness.connect_client()
             client.send(b"".join(call_command(number=n) for n in range(command_count)))
             await wait_until(lambda: len(engine.arrivals) == MAX_PIPELINED)
             for step in range(STEPS):
-                clock.advance_s += STEP_S
+                clock.offset_s += STEP_S
                 reject_open_request(harness, engine.arrivals[step])
-                wanted = MAX_PIPELINED + step + 1
-                await wait_until(lambda wanted=wanted: len(engine.arrivals) == wanted)  # type: ignore[misc]
-                assert time_left_s(harness, engine.arrivals[-1]) <= CLASS_DEADLINE_S - clock.advance_s
+                count = MAX_PIPELINED + step + 1
+                await wait_until(lambda count=count: len(engine.arrivals) == count)  # type: ignore[misc]
+                assert time_left_s(harness, engine.arrivals[-1]) <= CLASS_DEADLINE_S - clock.offset_s
 
     run_on_loop(test)
 
 
-def test_deadline_of_a_command_that_came_behind_deferred_ones_includes_its_waiting_time() -> None:
+def test_deadline_of_a_command_received_after_deferred_ones_includes_its_waiting_time() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             engine = script_engine(harness, *[leave_open] * (MAX_PIPELINED + 3))
-            clock = advance_clock_of(harness)
+            clock = use_adjustable_clock(harness)
             client = await harness.connect_client()
             client.send(b"".join(call_command(number=n) for n in range(MAX_PIPELINED + 1)))
             await wait_until(lambda: len(engine.arrivals) == MAX_PIPELINED)
             deferred_bytes = harness.buffers.deferred_bytes
             client.send(call_command(number=MAX_PIPELINED + 1))  # while a command is deferred
             await wait_until(lambda: harness.buffers.deferred_bytes > deferred_bytes)
-            clock.advance_s += STEP_S
+            clock.offset_s += STEP_S
             for arrival in engine.arrivals[:2]:
                 reject_open_request(harness, arrival)
             await wait_until(lambda: len(engine.arrivals) == MAX_PIPELINED + 2)
-            assert time_left_s(harness, engine.arrivals[-1]) <= CLASS_DEADLINE_S - clock.advance_s
+            assert time_left_s(harness, engine.arrivals[-1]) <= CLASS_DEADLINE_S - clock.offset_s
             reject_open_request(harness, engine.arrivals[2])
             client.send(call_command(number=MAX_PIPELINED + 2))  # read on arrival: it has waited for no time
             await wait_until(lambda: len(engine.arrivals) == MAX_PIPELINED + 3)
-            assert time_left_s(harness, engine.arrivals[-1]) > CLASS_DEADLINE_S - clock.advance_s
+            assert time_left_s(harness, engine.arrivals[-1]) > CLASS_DEADLINE_S - clock.offset_s
 
     run_on_loop(test)
 
 
-def test_commands_beyond_the_pipeline_limit_are_read_so_that_no_system_holds_them_back() -> None:
+def test_commands_beyond_the_pipeline_limit_are_read_without_delay() -> None:
     """What the gateway's socket has no room for is sent late, and its waiting time is not known then."""
 
     async def test() -> None:
@@ -101,7 +101,7 @@
             waiting_count = 2 * MAX_PIPELINED
             harness.buffers.limit_bytes = 64 << 20
             engine = script_engine(harness, *[leave_open] * (MAX_PIPELINED + waiting_count))
-            clock = advance_clock_of(harness)
+            clock = use_adjustable_clock(harness)
             client = await harness.connect_client()
             client.send(b"".join(call_command(number=n) for n in range(MAX_PIPELINED)))
             await wait_until(lambda: len(engine.arrivals) == MAX_PIPELINED)
@@ -111,14 +111,14 @@
             )
             client.send(commands)
             await wait_until(lambda: harness.buffers.deferred_bytes >= len(commands))
-            clock.advance_s += STEP_S
+            clock.offset_s += STEP_S
             rejected_count = 0
             while len(engine.arrivals) < MAX_PIPELINED + waiting_count:
                 reject_open_request(harness, engine.arrivals[rejected_count])
                 rejected_count += 1
                 await wait_until(lambda: len(engine.arrivals) >= MAX_PIPELINED + rejected_count)  # noqa: B023
             for arrival in engine.arrivals[MAX_PIPELINED:]:
-                assert time_left_s(harness, arrival) <= CLASS_DEADLINE_S - clock.advance_s
+                assert time_left_s(harness, arrival) <= CLASS_DEADLINE_S - clock.offset_s
             assert harness.buffers.deferred_bytes == 0
 
     run_on_loop(test)
@@ -131,7 +131,7 @@
         async with gateway_harness() as harness:
             endpoint = only_endpoint(harness)
             engine = script_engine(harness, forward_to(endpoint), leave_open)
-            clock = advance_clock_of(harness)
+            clock = use_adjustable_clock(harness)
             client = await harness.connect_client()
             client.send(call_command(number=1))
             server, _ = await harness.endpoint.next_command()
@@ -141,10 +141,10 @@
             client.send(call_command(number=2))
             (connection,) = harness.gateway.clients.connections()
             await wait_until(connection.has_unread_bytes)
-            clock.advance_s += STEP_S
+            clock.offset_s += STEP_S
             server.send(reply[150_000:])
             assert await client.next_message() == value(300_000)
             await wait_until(lambda: len(engine.arrivals) == 2)
-            assert time_left_s(harness, engine.arrivals[-1]) <= CLASS_DEADLINE_S - clock.advance_s
+            assert time_left_s(harness, engine.arrivals[-1]) <= CLASS_DEADLINE_S - clock.offset_s
 
     run_on_loop(test)
--- a/tests/server/test_pipelining.py
+++ b/tests/server/test_pipelining.py
@@ -83,7 +83,7 @@
     run_on_loop(test)
 
 
-def test_one_client_defers_only_a_part_of_the_budget_and_its_oldest_commands_are_rejected() -> None:
+def test_one_client_defers_only_a_fraction_of_the_budget_and_its_oldest_commands_are_rejected() -> None:
     async def test() -> None:
         async with gateway_harness() as harness:
             harness.buffers.limit_bytes = 1 << 20
