--- a/qos_gateway/server/clients/buffer_budgets.py
+++ b/qos_gateway/server/clients/buffer_budgets.py
@@ -1,17 +1,17 @@
-"""Budgets of memory that all connections of clients share: buffered bytes, and large values being written."""
+"""Memory budgets shared by all client connections: buffered bytes, and large values being streamed."""
 
 from __future__ import annotations
 
-MIN_WRITE_BUFFER_BYTES = 96 << 10  # of a connection; more than a value that is not streamed
-MIN_STREAM_BUFFER_BYTES = 16 << 10  # of a connection that streams a value, however many do
-BUFFER_MEMORY_FRACTION = 0.125  # of the memory: the limit on deferred input, and on buffered values
-CONNECTION_DEFERRED_FRACTION = 0.25  # of that limit: deferred input of one connection
+MIN_WRITE_BUFFER_BYTES = 96 << 10  # per connection; exceeds the largest value that is not streamed
+MIN_STREAM_BUFFER_BYTES = 16 << 10  # per connection that streams a value, regardless of their number
+BUFFER_MEMORY_FRACTION = 0.125  # of memory: limit on deferred input, and on buffered values
+CONNECTION_DEFERRED_FRACTION = 0.25  # of that limit: deferred input per connection
 
 
 class BufferBudget:
-    """Bytes that the gateway buffers for clients, over all connections.
+    """Counts the bytes that the gateway buffers for all client connections.
 
-    Deferred input and buffered values each may use the whole limit.
+    Deferred input and buffered values may each use the whole limit.
     """
 
     __slots__ = (
@@ -25,39 +25,39 @@
     def __init__(self, memory_bytes: int, max_connections: int) -> None:
         self._configured_limit_bytes = int(memory_bytes * BUFFER_MEMORY_FRACTION)
         self.limit_bytes = self._configured_limit_bytes
-        self.write_buffer_bytes = max(  # written to one connection and not accepted by its client
+        self.write_buffer_bytes = max(  # per connection: written, and not accepted by the client
             MIN_WRITE_BUFFER_BYTES, self.limit_bytes // max_connections
         )
-        self.deferred_bytes = 0  # of commands that were read and not parsed
-        self.buffered_bytes = 0  # of large values that are not written, or not accepted by the client
+        self.deferred_bytes = 0  # commands that were read and not parsed
+        self.buffered_bytes = 0  # large values not yet written, or not yet accepted by the client
 
     def limit_to_fraction(self, fraction: float) -> None:
-        """Limit deferred input and buffered values to a fraction of the configured limit."""
+        """Reduce the limit to a fraction of the configured one."""
         self.limit_bytes = int(self._configured_limit_bytes * fraction)
 
     def add_deferred(self, added_bytes: int) -> None:
-        """Count deferred input; a negative number counts it as deferred no longer."""
+        """Add to the count of deferred bytes; a negative number subtracts."""
         self.deferred_bytes += added_bytes
 
     def is_deferred_over_limit(self, connection_bytes: int) -> bool:
-        """Return whether deferred input exceeds a limit, given how much of it one connection has."""
+        """Return whether deferred input exceeds its limit, in total or for one connection."""
         connection_limit_bytes = self.limit_bytes * CONNECTION_DEFERRED_FRACTION
         return self.deferred_bytes > self.limit_bytes or connection_bytes > connection_limit_bytes
 
     def reserve_buffered(self, size_bytes: int) -> bool:
-        """Count bytes of a large value, unless that exceeds the limit; return whether they are counted."""
+        """Count bytes of a large value as buffered; return False, uncounted, if that exceeds the limit."""
         if self.buffered_bytes + size_bytes > self.limit_bytes:
             return False
         self.buffered_bytes += size_bytes
         return True
 
     def release_buffered(self, size_bytes: int) -> None:
-        """Count bytes as buffered no longer."""
+        """Subtract bytes that are no longer buffered."""
         self.buffered_bytes -= size_bytes
 
 
 class StreamBudget:
-    """The large values that are being written: they divide the limit of the buffers evenly."""
+    """Divides the buffer limit evenly among the large values that are being streamed."""
 
     __slots__ = ("_buffers", "active_streams")
 
@@ -66,11 +66,11 @@
         self.active_streams = 0
 
     def start(self) -> int:
-        """Count one more stream; return how many of its bytes its client may leave in the write buffer."""
+        """Count another stream; return the size of its write buffer in bytes."""
         self.active_streams += 1
         fair_share = self._buffers.limit_bytes // self.active_streams
         return max(MIN_STREAM_BUFFER_BYTES, min(self._buffers.write_buffer_bytes, fair_share))
 
     def end(self) -> None:
-        """Count one stream less."""
+        """Count a stream as ended."""
         self.active_streams -= 1
--- a/qos_gateway/server/clients/command_reader.py
+++ b/qos_gateway/server/clients/command_reader.py
@@ -1,4 +1,4 @@
-"""Input of one client: its bytes split into commands."""
+"""Splits the input of one client into commands."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class CommandSyntaxError(ValueError):
-    """Bytes that are no command; where the next command begins is unknown."""
+    """Invalid bytes in the input; the start of the next command cannot be found."""
 
 
 class CommandReader:
-    """Splits a client's bytes into commands, whole or in pieces."""
+    """Splits a client's bytes into commands, which may arrive in several reads."""
 
     __slots__ = ("_frames", "_reader", "_time", "command_end", "partial_since_s")
 
@@ -22,28 +22,28 @@
         self._time = time
         self._frames = CommandFrames()
         self._reader = hiredis.Reader()
-        self.command_end = 0  # position behind the last command in the data that it was read from
+        self.command_end = 0  # position after the last command, in the data that contained its end
         self.partial_since_s = 0.0  # when the first byte of an incomplete command was received; 0 without one
 
     @property
     def has_partial_command(self) -> bool:
-        """Whether a command has begun and not ended."""
+        """Whether the last command is incomplete."""
         return self._frames.is_midway
 
     def restart_timeout(self) -> None:
-        """Restart the time of an incomplete command: the gateway was not reading."""
+        """Restart the time-out of an incomplete command, as the gateway was not reading its input."""
         if self.partial_since_s:
             self.partial_since_s = self._time()
 
     def stop_timeout(self) -> None:
-        """Count no time of an incomplete command any more: the remainder is not parsed."""
+        """Cancel the time-out of an incomplete command, as its remainder will not be parsed."""
         self.partial_since_s = 0.0
 
     def next_command(self, data: bytes, start: int) -> list[bytes] | None:
-        """Read `data` from `start` on, and return the arguments of the first command that ends in it.
+        """Parse `data` from `start`, and return the arguments of the first command that ends in it.
 
         Sets `command_end` to the position after that command. Returns None if the command is incomplete, and
-        keeps its bytes for the next call. Raises `CommandSyntaxError` where the data is no command.
+        keeps its bytes for the next call. Raises `CommandSyntaxError` if the data is not a command.
         """
         try:
             end = self._frames.scan(data, start)
--- a/qos_gateway/server/clients/commands.py
+++ b/qos_gateway/server/clients/commands.py
@@ -14,7 +14,7 @@
 
 
 class RequestHandler(Protocol):
-    """The calls that the client side makes to have requests served."""
+    """Serves the requests that clients send."""
 
     def is_ready(self) -> bool:
         """Return whether any endpoint accepts requests."""
@@ -22,11 +22,11 @@
     def submit(self, request: ClientRequest, pending_reply: PendingReply, waited_s: float, /) -> None:
         """Accept a request that was received `waited_s` seconds ago.
 
-        Raises `InvalidCommandError` where the request may not be accepted.
+        Raises `InvalidCommandError` if the request is not allowed.
         """
 
     def shed(self, request: ClientRequest, pending_reply: PendingReply, /) -> None:
-        """Reject a request without accepting it."""
+        """Reject a request without accepting it, to shed load."""
 
     def client_disconnected(self, number: int) -> None:
         """End a request whose client has disconnected."""
@@ -42,7 +42,7 @@
         self._requests = requests
 
     def execute(self, pending_reply: PendingReply, arguments: list[bytes], waited_s: float) -> None:
-        """Reply to a command, or submit its request, which was received `waited_s` seconds ago."""
+        """Reply to a command that was received `waited_s` seconds ago, or submit its request."""
         name = arguments[0].upper()
         if name in (CommandName.IDEMPOTENT_REQUEST, CommandName.OTHER_REQUEST):
             try:
@@ -51,7 +51,7 @@
             except InvalidCommandError as error:
                 pending_reply.client.reply(pending_reply, error_reply(str(error)))
         elif name == CommandName.PING and len(arguments) == 1:
-            # The load balancer in front routes clients to this gateway once it receives PONG.
+            # The load balancer in front of the gateways routes clients to this one after it receives PONG.
             reply = PONG_REPLY if self._requests.is_ready() else LOADING_REPLY
             pending_reply.client.reply(pending_reply, reply)
         else:
@@ -69,5 +69,5 @@
 
 
 def error_reply(text: str) -> bytes:
-    """Return a RESP error with the text, whose line ends become spaces: a RESP error is one line."""
+    """Return a RESP error; line breaks become spaces, because a RESP error is a single line."""
     return b"-ERR %b\r\n" % text.encode().replace(b"\r", b" ").replace(b"\n", b" ")
--- a/qos_gateway/server/clients/connection_input.py
+++ b/qos_gateway/server/clients/connection_input.py
@@ -1,4 +1,4 @@
-"""Input of one client's connection: reading, deferring and executing commands."""
+"""Reads, defers and executes the commands of one client connection."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 from .receive_times import ReceiveTimes, estimate_receive_times
 from .socket_protocol import SocketAges
 
-MAX_PIPELINED = 32  # commands of one connection without a reply; the commands behind them are deferred
-MAX_PENDING_REPLIES = 1024  # of one connection, those to rejected commands included; more are left unread
-MAX_DISCARDED_BYTES = 1 << 20  # read after the input was closed; more is left unread
+MAX_PIPELINED = 32  # commands per connection without a reply; later commands are deferred
+MAX_PENDING_REPLIES = 1024  # per connection, including rejected commands; reading pauses there
+MAX_DISCARDED_BYTES = 1 << 20  # read after the input was closed; reading stops beyond it
 
 
 @dataclass(frozen=True, slots=True, kw_only=True, eq=False, repr=False)
 class ConnectionContext:
-    """What all connections of clients share."""
+    """The state and services that all client connections share."""
 
-    time: Callable[[], float]  # s, on the event loop's clock
+    time: Callable[[], float]  # in s, on the event loop's clock
     stalls: LoopStalls
     call_soon: Callable[[Callable[[], None]], asyncio.Handle]
     requests: RequestHandler
@@ -43,19 +43,19 @@
 
 
 class InputConnection(ReplyConnection, Protocol):
-    """The connection as its input sees it."""
+    """The operations of a connection that its input uses."""
 
     def is_idle(self) -> bool:
-        """Return whether it may be closed without loss."""
+        """Return whether it can be closed without losing a command or reply."""
 
     def is_closing(self) -> bool:
         """Return whether the transport is closed or being closed."""
 
     def unread_bytes(self) -> int:
-        """Return how many bytes the open socket holds that were not read."""
+        """Return the number of unread bytes in the open socket."""
 
     def socket_ages(self) -> SocketAges | None:
-        """Return the ages of the open socket's data; None where the system does not report them."""
+        """Return the ages of the open socket's data, or None if the system does not report them."""
 
     @property
     def is_reading(self) -> bool:
@@ -65,22 +65,23 @@
         """Resume or pause reading; return whether that changed it on an open transport."""
 
     def command_received(self) -> None:
-        """Note that the client has sent a complete command."""
+        """Record that the client has sent a complete command."""
 
     def fail(self, reason: str) -> None:
         """End the connection after a protocol error."""
 
     def close(self, reason: CloseReason) -> None:
-        """Close once all replies are written."""
+        """Close after all replies are written."""
 
 
 class ConnectionInput:
-    """Executes a client's commands as they are read, while few enough of them have no reply yet.
+    """Executes a client's commands as they are read, up to a limit on commands without a reply.
 
-    Commands that may not be executed yet are read and deferred, so that the time at which they came is known;
-    the oldest are rejected where they take too much memory. Reading is paused only while the client does not
-    accept its replies, and while a large value is written. The connection is passed to each method: a
-    reference to it would be a cycle, so that closed connections waited for the garbage collector.
+    Commands beyond the limit are read and deferred, so that their receive times are known; the oldest are
+    rejected when they use too much memory. Reading is paused only while the client does not accept its
+    replies, while a large value is streamed, or while `MAX_PENDING_REPLIES` replies are pending. The
+    connection is passed to each method: a reference to it would form a cycle, and closed connections would
+    stay in memory until the garbage collector runs.
     """
 
     __slots__ = (
@@ -102,19 +103,19 @@
         self.reader = CommandReader(context.time)
         self.deferred = DeferredInput(context.buffers)
         self._backlog = InputBacklog()
-        # When the bytes of the first read can have come at the earliest, if that was before the accept.
+        # Earliest receive time of the first read, if its bytes arrived before the accept; otherwise None.
         self._queued_since_s: float | None = None
         self._discarded_bytes = 0
-        self.has_sent_command = False  # a complete one
-        self.is_parsing = False  # a command is being executed, and others may follow in the same data
-        self.is_closed = False  # no further command is executed; what is read is discarded
+        self.has_sent_command = False  # at least one complete command
+        self.is_parsing = False  # a command is being executed, and more may follow in the same data
+        self.is_closed = False  # no further command is executed; input is discarded
 
     def note_queued_since(self, queued_since_s: float) -> None:
-        """Note that bytes came before the connection was accepted, but not before this time."""
+        """Record that bytes arrived before the accept, no earlier than this time."""
         self._queued_since_s = queued_since_s
 
     def receive(self, connection: InputConnection, data: bytes) -> None:
-        """Execute the commands in the data as far as that is allowed now."""
+        """Execute the commands in the data up to the limit, and defer the remainder."""
         if self.is_closed:
             self._discarded_bytes += len(data)
             if self._discarded_bytes > MAX_DISCARDED_BYTES:
@@ -130,7 +131,7 @@
             self.update_reading(connection)
 
     def _receive_times(self, connection: InputConnection, size: int) -> ReceiveTimes:
-        """Return when the bytes that are read now came."""
+        """Return the receive times of the bytes that are read now."""
         now_s = self._context.time()
         if self._backlog.exists():
             received_at_s = self._backlog.received_at_s(now_s, size, not connection.unread_bytes())
@@ -143,7 +144,7 @@
         return ReceiveTimes(now_s, now_s)
 
     def _unread_since_s(self, now_s: float) -> float | None:
-        """Return since when the socket may not have been read, None if it was read all along."""
+        """Return the time since which the socket may have been unread, or None if reads were not delayed."""
         queued_since_s = self._queued_since_s
         if queued_since_s is None:
             return self._context.stalls.stalled_since_s(now_s)
@@ -153,7 +154,10 @@
     def _delayed_receive_times(
         self, connection: InputConnection, now_s: float, unread_since_s: float, size: int
     ) -> ReceiveTimes:
-        """Return when bytes came that may have waited; bytes beyond the socket buffer come later."""
+        """Return the receive times of bytes whose read was delayed.
+
+        Starts a backlog if the socket may have been full, as the client's system then sends more bytes later.
+        """
         times = estimate_receive_times(now_s, unread_since_s, connection.socket_ages())
         if size >= FULL_BUFFER_THRESHOLD_BYTES:
             self._backlog.pause(times.first_s)
@@ -161,7 +165,7 @@
         return times
 
     def _execute_commands(self, connection: InputConnection, chunk: InputChunk) -> None:
-        """Execute the commands in a chunk as far as that is allowed now, and defer the remainder."""
+        """Execute the commands in a chunk up to the limit, and defer the remainder."""
         context = self._context
         data = chunk.data
         position = chunk.position
@@ -183,7 +187,7 @@
                 waited_s = context.time() - chunk.received_at_s(position)
                 context.commands.execute(pending_reply, arguments, waited_s)
         except CommandSyntaxError as error:
-            self.deferred.clear()  # where a command begins in them is unknown
+            self.deferred.clear()  # the start of the next command is unknown
             connection.fail(str(error))
         finally:
             self.is_parsing = False
@@ -191,19 +195,20 @@
             connection.close(CloseReason.DRAINED)
 
     def _may_execute(self, connection: InputConnection) -> bool:
-        """Return whether another command may be executed now."""
+        """Return whether the next command may be executed now."""
         return len(self._replies.pending) < MAX_PIPELINED and self._may_read(connection)
 
     def _may_read(self, connection: InputConnection) -> bool:
-        """Return whether further commands may be read.
+        """Return whether more commands may be read.
 
-        None may behind a large value that is written in part: if the value fails, the connection closes.
+        Not while a large value is streamed: the connection closes if the value fails, and the commands after
+        it would get no reply.
         """
         is_full = len(self._replies.pending) >= MAX_PENDING_REPLIES
         return not (is_full or connection.blocked or self._replies.is_streaming_value())
 
     def _reject_excess(self, connection: InputConnection) -> None:
-        """Reject the oldest deferred commands while they take too much memory."""
+        """Reject the oldest deferred commands while deferred input exceeds its limit."""
         while self.deferred.is_over_limit():
             chunk = self.deferred.pop_first()
             try:
@@ -213,7 +218,7 @@
                 connection.fail(str(error))
 
     def _reject_commands(self, connection: InputConnection, chunk: InputChunk) -> None:
-        """Reply to each command in a chunk, as the requests that were read must get a reply."""
+        """Reject the commands in a chunk, as each command that was read must get a reply."""
         position = chunk.position
         while (arguments := self.reader.next_command(chunk.data, position)) is not None:
             position = self.reader.command_end
@@ -222,11 +227,11 @@
             self._context.commands.shed(pending_reply, arguments)
 
     def has_unprocessed_input(self, connection: InputConnection) -> bool:
-        """Return whether input waits, deferred or unread in the socket."""
+        """Return whether input is deferred, or may be unread because reading is paused."""
         return bool(self.deferred) or not connection.is_reading
 
     def resume(self, connection: InputConnection) -> None:
-        """Execute deferred commands as far as that is allowed now, and read on."""
+        """Execute deferred commands up to the limit, and resume reading."""
         if self.deferred and not connection.is_closing():
             while self.deferred and not self.is_closed and self._may_execute(connection):
                 self._execute_commands(connection, self.deferred.pop_first())
@@ -235,11 +240,11 @@
         self.update_reading(connection)
 
     def close(self) -> None:
-        """Execute no further command; what is read from now on is discarded."""
+        """Stop executing commands, and discard further input."""
         self.is_closed = True
 
     def update_reading(self, connection: InputConnection) -> None:
-        """Read while commands may be read; pause otherwise, and watch for the client's end."""
+        """Resume or pause reading; while it is paused, watch for the client to disconnect."""
         if self.is_closed:
             may_read = self._discarded_bytes <= MAX_DISCARDED_BYTES
         else:
--- a/qos_gateway/server/clients/deferred_input.py
+++ b/qos_gateway/server/clients/deferred_input.py
@@ -1,4 +1,4 @@
-"""Input of one client that was read and not parsed: its chunks in order, with the times of their reads."""
+"""Input of one client that was read and not parsed: its chunks in order, with their receive times."""
 
 from __future__ import annotations
 
@@ -7,31 +7,31 @@
 from .buffer_budgets import BufferBudget
 from .receive_times import ReceiveTimes
 
-CHUNK_OVERHEAD_BYTES = 192  # of the objects that hold one chunk
+CHUNK_OVERHEAD_BYTES = 192  # memory of the objects that hold one chunk
 
 
 class InputChunk:
-    """Bytes of one read, and how far they are parsed."""
+    """The bytes of one read, and the position up to which they are parsed."""
 
     __slots__ = ("data", "position", "times")
 
     def __init__(self, data: bytes, times: ReceiveTimes) -> None:
         self.data = data
-        self.position = 0  # of the first byte that is not parsed
+        self.position = 0  # of the first unparsed byte
         self.times = times
 
     def received_at_s(self, end: int) -> float:
-        """Return when the command that ends before this position was received, at the earliest."""
+        """Return the earliest receive time of the command that ends at this position."""
         return self.times.last_s if end == len(self.data) else self.times.first_s
 
     @property
     def size_bytes(self) -> int:
-        """The memory that the chunk takes, its parsed bytes included."""
+        """The memory that the chunk uses, including its parsed bytes."""
         return len(self.data) + CHUNK_OVERHEAD_BYTES
 
 
 class DeferredInput:
-    """Pieces of input that wait to be parsed, the oldest first, counted in the buffer budget."""
+    """Unparsed chunks of input, the oldest first, counted in the buffer budget."""
 
     __slots__ = ("_buffers", "_chunks", "_size_bytes")
 
@@ -44,12 +44,12 @@
         return bool(self._chunks)
 
     def append(self, chunk: InputChunk) -> None:
-        """Add the newest chunk."""
+        """Add a chunk at the end."""
         self._chunks.append(chunk)
         self._add_size(chunk.size_bytes)
 
     def prepend(self, chunk: InputChunk) -> None:
-        """Add a chunk before all others."""
+        """Add a chunk at the front."""
         self._chunks.appendleft(chunk)
         self._add_size(chunk.size_bytes)
 
@@ -65,7 +65,7 @@
         self._add_size(-self._size_bytes)
 
     def is_over_limit(self) -> bool:
-        """Return whether this connection's chunks, or those of all connections, take too much memory."""
+        """Return whether the chunks of this connection, or of all connections, exceed their memory limit."""
         return bool(self._chunks) and self._buffers.is_deferred_over_limit(self._size_bytes)
 
     def _add_size(self, added_bytes: int) -> None:
--- a/qos_gateway/server/clients/pending_replies.py
+++ b/qos_gateway/server/clients/pending_replies.py
@@ -1,4 +1,4 @@
-"""Pending replies of one client's connection, written in the order of its commands."""
+"""Pending replies of one client connection, written in the order of its commands."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ReplyConnection(Protocol):
-    """The connection of a client as seen by those who reply on it."""
+    """The operations of a client connection that writing a reply needs."""
 
     @property
     def blocked(self) -> bool:
@@ -24,43 +24,44 @@
         """Reply to a command."""
 
     def start_stream(self, pending_reply: PendingReply, length: int, flow: FlowControl, /) -> StreamedReply:
-        """Begin a reply that is a large value of `length` bytes."""
+        """Start a reply that is a large value of `length` bytes."""
 
     def abort_stream(self, pending_reply: PendingReply, reply: bytes, /) -> None:
-        """End a large value that stays incomplete; reply with `reply` if nothing of it was written."""
+        """Abort an incomplete large value; send `reply` if no part of the value was written."""
 
     def start_next_stream(self) -> None:
-        """Start to write the first large value where that is due."""
+        """Start to write the first pending reply if it is a large value that is due."""
 
     def write(self, data: bytes) -> None:
-        """Write a part of the first pending reply."""
+        """Write part of the first pending reply."""
 
     def has_hung_up(self) -> bool:
-        """Return whether the client has ended its sending, though the event loop may not have read that."""
+        """Return whether the client has closed its sending side, which the loop may not have read yet."""
 
     def abort(self, reason: CloseReason) -> None:
-        """Close at once."""
+        """Close immediately."""
 
 
 class PendingReply:
-    """The place of one command's reply in the order of its connection."""
+    """One command's entry in the reply order of its connection."""
 
     __slots__ = ("buffered_bytes", "client", "reply", "request_number", "stream")
 
     def __init__(self, client: ReplyConnection, request_number: int = -1) -> None:
         self.client = client
-        self.request_number = request_number  # of the open request; -1 without one
-        self.reply: bytes | None = None  # complete, once it is known
-        self.stream: StreamedReply | None = None  # of a large value that is being received
-        self.buffered_bytes = 0  # of a large value: received, counted in the buffer budget, and not written
+        self.request_number = request_number  # of the open request; -1 if there is none
+        self.reply: bytes | None = None  # the complete reply, when it is known
+        self.stream: StreamedReply | None = None  # a large value that is being received
+        self.buffered_bytes = 0  # of a large value: counted in the buffer budget, and not written
 
 
 class StreamedReply:
     """A large value that is being received from an endpoint.
 
-    It is written as it is received once it is the first pending reply and no command waits behind it: a value
-    that fails after that closes the connection. Until then it is kept within the buffer budget. The endpoint
-    is paused while the budget is exhausted, or while the client does not accept the value.
+    It is streamed to the client when it is the first pending reply and no command follows it, because a value
+    that fails after its start closes the connection. Until then it is buffered within the buffer budget.
+    Reading from the endpoint is paused while the budget is exhausted, or while the client does not accept
+    the value.
     """
 
     __slots__ = (
@@ -85,12 +86,12 @@
         self._flow_control = flow_control
         self._reserve_buffered = reserve_buffered
         self._header = b"$%d\r\n" % length
-        self._buffered: list[bytes] = []  # received before the start
-        self.is_out_of_budget = False  # the endpoint is paused until the start
+        self._buffered: list[bytes] = []  # received before streaming started
+        self.is_out_of_budget = False  # reading from the endpoint is paused until streaming starts
         self.started = False
 
     def write(self, data: bytes) -> None:
-        """Write a part of the value, or buffer it; pause the endpoint where the budget is exhausted."""
+        """Write part of the value, or buffer it; pause the endpoint if the budget is exhausted."""
         if self.started:
             self._client.write(data)
             return
@@ -101,7 +102,7 @@
             self._client.start_next_stream()
 
     def start(self) -> None:
-        """Write what was received; from now on write each part as it is received."""
+        """Write the buffered parts; later parts are written as they are received."""
         self.started = True
         buffered = self._buffered
         self._buffered = []
@@ -109,7 +110,7 @@
         self.set_paused(self._client.blocked)
 
     def may_outlast_deadline(self) -> bool:
-        """Return whether a part may have reached the client, or the endpoint is paused until the start."""
+        """Return whether streaming has started, or the endpoint is paused until it starts."""
         return self.started or self.is_out_of_budget
 
     def set_paused(self, paused: bool) -> None:
@@ -120,7 +121,7 @@
             self._flow_control.resume()
 
     def finish(self) -> bytes:
-        """Return what remains to be written once the whole value was received."""
+        """Return the bytes that remain to be written after the whole value was received."""
         if self.started:
             return b"\r\n"
         return b"".join((self._header, *self._buffered, b"\r\n"))
@@ -135,12 +136,12 @@
         self._transport = transport
         self._buffers = buffers
         self._streams = streams
-        self._written_buffered_bytes = 0  # of buffered values: written, and perhaps not accepted
+        self._written_buffered_bytes = 0  # of buffered values: written, possibly not accepted by the client
         self.pending: deque[PendingReply] = deque()
         transport.set_write_buffer_limits(high=buffers.write_buffer_bytes)
 
     def write(self, pending_reply: PendingReply, reply: bytes) -> bool:
-        """Write a reply and the complete ones behind it, if it is the first; return whether it is."""
+        """Write a reply and the complete ones after it if it is the first; return whether it is."""
         pending_reply.reply = reply
         if pending_reply.stream is not None:
             self._end_stream(pending_reply)
@@ -158,10 +159,10 @@
         self._transport.write(b"".join(replies))
         return True
 
-    # The memory of large values.
+    # Memory of large values.
 
     def _reserve_buffered(self, pending_reply: PendingReply, size: int) -> bool:
-        """Count bytes of a large value as buffered; return False where that exceeds the limit."""
+        """Count bytes of a large value as buffered; return False if that exceeds the limit."""
         if not self._buffers.reserve_buffered(size):
             return False
         pending_reply.buffered_bytes += size
@@ -172,12 +173,12 @@
         pending_reply.buffered_bytes = 0
 
     def release_written(self) -> None:
-        """Count values that were written as buffered no longer: the client accepts them."""
+        """Release the budget of written values, as the client accepts them."""
         if self._written_buffered_bytes:
             self._buffers.release_buffered(self._written_buffered_bytes)
             self._written_buffered_bytes = 0
 
-    # Large values.
+    # Streaming of large values.
 
     def _end_stream(self, pending_reply: PendingReply) -> None:
         if pending_reply.stream is not None and pending_reply.stream.started:
@@ -188,7 +189,7 @@
     def start_stream(
         self, pending_reply: PendingReply, length: int, flow_control: FlowControl
     ) -> StreamedReply:
-        """Begin a reply that is a large value, which is buffered until it is started."""
+        """Start a reply that is a large value; it is buffered until streaming starts."""
         stream = StreamedReply(
             pending_reply.client, length, flow_control, partial(self._reserve_buffered, pending_reply)
         )
@@ -196,7 +197,7 @@
         return stream
 
     def abort_stream(self, pending_reply: PendingReply) -> bool:
-        """End a large value that stays incomplete; return whether a part of it was written."""
+        """Abort an incomplete large value; return whether part of it was written."""
         stream = pending_reply.stream
         pending_reply.stream = None
         self._mark_written(pending_reply)
@@ -210,7 +211,7 @@
     def start_first_stream(self, has_commands_behind: bool) -> bool:
         """Start to write the first pending reply if it is a large value that is due; return whether it was.
 
-        With commands behind it a value is due only when the buffer budget is exhausted.
+        While commands follow it, a value is due only if the buffer budget is exhausted.
         """
         stream = self.first_stream()
         if stream is None or stream.started or (has_commands_behind and not stream.is_out_of_budget):
@@ -221,22 +222,22 @@
         return True
 
     def is_streaming_value(self) -> bool:
-        """Return whether the first pending reply is a large value that is written in part."""
+        """Return whether the first pending reply is a large value that is partly written."""
         stream = self.first_stream()
         return stream is not None and stream.started
 
     def set_stream_paused(self, paused: bool) -> None:
-        """Pause or resume the endpoint of the large value that is being written, if any."""
+        """Pause or resume reading from the endpoint of the large value that is being written, if any."""
         stream = self.first_stream()
         if stream is not None and stream.started:
             stream.set_paused(paused)
 
     def first_stream(self) -> StreamedReply | None:
-        """Return the large value of the first pending reply; None without one."""
+        """Return the large value of the first pending reply, or None if it has none."""
         return self.pending[0].stream if self.pending else None
 
     def unanswered(self) -> list[int]:
-        """Return the numbers of the requests without a reply; -1 for other commands."""
+        """Return the numbers of requests without a reply, and -1 for each other command without one."""
         return [pending.request_number for pending in self.pending if pending.reply is None]
 
     def discard(self) -> list[int]:
--- a/qos_gateway/server/clients/receive_times.py
+++ b/qos_gateway/server/clients/receive_times.py
@@ -1,4 +1,4 @@
-"""When the bytes of one read came, though the process may have read them late."""
+"""Estimates when the bytes of one read were received, as the process may have read them late."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceiveTimes:
-    """Times in s on the event loop's clock; of bytes in between nothing is known."""
+    """Receive times in s on the event loop's clock; the times of the bytes in between are unknown."""
 
-    first_s: float  # the earliest at which any of the bytes can have come
-    last_s: float  # at which the last byte came
+    first_s: float  # earliest possible time of any of the bytes
+    last_s: float  # time of the last byte
 
 
 def estimate_receive_times(now_s: float, waiting_since_s: float, ages: SocketAges | None) -> ReceiveTimes:
-    """Return the times of bytes that are read now and may have waited since then, but no longer.
+    """Return the receive times of bytes that are read now and may have waited since `waiting_since_s`.
 
-    `ages` is None where the system does not report them.
+    `ages` is None if the system does not report them.
     """
     if ages is None:
         return ReceiveTimes(waiting_since_s, waiting_since_s)
--- a/qos_gateway/server/clients/request_parser.py
+++ b/qos_gateway/server/clients/request_parser.py
@@ -1,4 +1,4 @@
-"""Parser of the clients' commands: from the arguments of a command to a typed request."""
+"""Parses the arguments of a client's command into a typed request."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from ..config import Config
 from ..networking.request_command import RequestCommand
 
-MAX_PAIRS_BYTES = 1024  # of a command's names and values
-MAX_WAIT_MS = 86_400_000  # a day
-MAX_NUMBER_DIGITS = 11  # of an integer in a command, so that conversion is bounded
+MAX_PAIRS_BYTES = 1024  # list of name=value in a command
+MAX_WAIT_MS = 86_400_000  # one day
+MAX_NUMBER_DIGITS = 11  # of an integer in a command; bounds the cost of `int`
 CUSTOMER_ID_BITS = 33
 ARGUMENTS_WITHOUT_BODY = 4  # command name, customer, request id, list of name=value
 ARGUMENTS_WITH_BODY = 5
-RETRY_FLAG = 2  # bit of `ClientRequest.options`: the client retries a request
+RETRY_FLAG = 2  # bit of `ClientRequest.options`: this is a retry by the client
 
-# The protocol's forms; Python's `int` and `float` also accept signs, underscores and spaces.
+# The formats that the protocol allows: `int` and `float` also accept signs, underscores and spaces.
 _CUSTOMER_ID = re.compile(rb"[0-9a-fA-F]{16}")
 _REQUEST_ID = re.compile(rb"[0-9A-Za-z_.:-]{1,64}")
 _IDEMPOTENCY_KEY = re.compile(rb"[\x21-\x7e]{1,128}")
@@ -26,18 +26,18 @@
 
 
 class InvalidCommandError(ValueError):
-    """A command that cannot be executed; its text is the client's reply."""
+    """A command that cannot be executed; the message is sent to the client."""
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request as its client sent it; each attempt sends the same command with its own deadline."""
+    """A request as its client sent it; each attempt sends the same command with its own deadline."""
 
     command: RequestCommand
     class_index: int
     plan_index: int
     customer_id: int
-    wait_ms: int  # how long the client waits for its reply
+    wait_ms: int  # how long the client waits for the reply
     units: float
     gateway_spread: int
     first_gateway: int
@@ -56,7 +56,7 @@
 
 
 class RequestParser:
-    """Parses commands with the names of classes and plans in the configuration."""
+    """Parses commands by the classes and plans of the configuration."""
 
     def __init__(self, config: Config) -> None:
         self._classes = {
@@ -70,7 +70,7 @@
         self._max_units = max(1.0, config.settings.largest_request_units)
 
     def parse(self, arguments: list[bytes]) -> ClientRequest:
-        """Return the request in a command's arguments; raise `InvalidCommandError` where it is invalid."""
+        """Return the request in a command's arguments; raise `InvalidCommandError` if it is invalid."""
         if len(arguments) not in (ARGUMENTS_WITHOUT_BODY, ARGUMENTS_WITH_BODY):
             raise InvalidCommandError("wrong number of arguments")
         customer_id = _customer_id(arguments[1])
@@ -89,7 +89,7 @@
         _check_idempotence(request_class.idempotence, arguments, values)
         if CommandField.DEADLINE_MS not in values:
             raise InvalidCommandError("d missing")
-        # Names are unique, so they have the order of the pairs.
+        # `values` has the order of `pairs`, as names are unique.
         deadline_position = list(values).index(CommandField.DEADLINE_MS)
         pairs_before = b",".join([*pairs[:deadline_position], b""])
         pairs_after = b",".join([b"", *pairs[deadline_position + 1 :]])
--- a/tests/server/test_client_commands.py
+++ b/tests/server/test_client_commands.py
@@ -111,7 +111,7 @@
         async with gateway_harness() as harness:
             script_engine(harness, reject)
             other_client, client = await harness.connect_client(), await harness.connect_client()
-            # Behind another command, and with its header in two pieces.
+            # After another command if there is one, and with the header split over two reads.
             client.send(preceding + data[:2])
             await asyncio.sleep(0)
             client.send(data[2:])
@@ -126,7 +126,7 @@
 
 
 def test_close_with_unread_bytes_loses_no_reply() -> None:
-    """The gateway closes its half only: the client may still send, and reads all its replies."""
+    """The gateway half-closes, because closing a socket with unread bytes resets it and can lose replies."""
 
     async def test() -> None:
         async with gateway_harness() as harness:
--- a/tests/server/test_held_values.py
+++ b/tests/server/test_held_values.py
@@ -1,4 +1,4 @@
-"""Large values that are held while other commands wait behind them, and those that are streamed."""
+"""Large values that are buffered while other commands follow them, and those that are streamed."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
                 await harness.endpoint.reply_to_next_command(success_reply(b"w"))
                 assert await client.next_message() == b"w"
             else:
-                assert await client.next_message() is None  # its first bytes were streamed already
+                assert await client.next_message() is None  # its first bytes were already streamed
             await wait_until(lambda: not harness.open_requests)
             assert harness.buffers.buffered_bytes == 0
 
@@ -45,7 +45,7 @@
 
 @pytest.mark.parametrize("order", ["large first", "large last", "partial command last"])
 def test_incomplete_value_loses_no_reply_to_another_request_of_its_connection(order: str) -> None:
-    """No reply can follow an incomplete value, so a value is held while others wait behind it."""
+    """No reply can follow a partly written value, so a value is buffered while commands follow it."""
 
     async def test() -> None:
         async with gateway_harness() as harness:
--- a/tests/server/test_input_backlog.py
+++ b/tests/server/test_input_backlog.py
@@ -1,4 +1,4 @@
-"""The age of bytes that waited unread: while reading was paused, or left behind by a read."""
+"""Receive times of bytes that waited while reading was paused, or after a partial read."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def test_bytes_received_soon_after_a_full_socket_is_emptied_get_the_time_of_the_pause() -> None:
-    """The client's system held them back, and sent them after the gateway's read."""
+    """They did not fit into the socket, so the client's system sent them after the gateway's read."""
     backlog = backlog_after_pause(FULL_BUFFER_THRESHOLD_BYTES)
     emptied_at_s = RESUMED_AT_S + 1.0
     assert backlog.received_at_s(RESUMED_AT_S, READ_BYTES, socket_is_empty=False) == PAUSED_AT_S
--- a/tests/server/test_late_reads.py
+++ b/tests/server/test_late_reads.py
@@ -1,4 +1,4 @@
-"""Requests that waited before they were read: their deadlines count from when their clients sent them."""
+"""Requests that waited before they were read: their deadlines start when the clients sent them."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def send_and_wait(harness: GatewayHarness, sock: socket.socket, numbers: list[int]) -> list[int]:
-    """Send commands with half of the wait between them; return the times at which each was sent, in ns."""
+    """Send commands evenly spread over `WAIT_S`; return the times in ns at which they were sent."""
     sent_at = []
     for number in numbers:
         sent_at.append(harness.gateway.clock())
@@ -37,13 +37,13 @@
 
 
 def send_all(harness: GatewayHarness, sock: socket.socket, data: bytes) -> int:
-    """Send data, and return the time in ns at which its system had all of it."""
+    """Send data; return the time in ns at which the client's system had accepted all of it."""
     sock.sendall(data)
     return harness.gateway.clock()
 
 
 async def blocking_client(harness: GatewayHarness) -> socket.socket:
-    """Return a connected socket that is used without the event loop."""
+    """Return a connected blocking socket, which does not need the event loop."""
     address = (LOOPBACK, harness.gateway.clients.port)
     return await asyncio.to_thread(socket.create_connection, address)
 
@@ -101,7 +101,7 @@
 def test_deadline_includes_a_stall_when_the_commands_exceed_the_socket_buffer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What the client's system held back comes after the first read, and later than the stall is noted."""
+    """Bytes that do not fit into the socket arrive after the first read, when the stall is over."""
     monkeypatch.setattr(loop_stalls, "AFTERMATH_S", 0.0)
     monkeypatch.setattr(ClientConnection, "unread_bytes", lambda _: 0)  # each read empties the socket
     count = 40
--- a/tests/server/test_pipelined_deadlines.py
+++ b/tests/server/test_pipelined_deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines of deferred commands, and of those that wait in the sockets behind them."""
+"""Deadlines of deferred commands, and of commands that wait in the socket."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class AdjustableClock:
-    """The loop's clock, which a test can advance."""
+    """The event loop's clock with an offset that a test can increase."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -38,7 +38,7 @@
 
 
 def use_adjustable_clock(harness: GatewayHarness) -> AdjustableClock:
-    """Replace the clock of the client side; a connection keeps the one that it was opened with."""
+    """Replace the clock of connections that are opened from now on."""
     clock, clients = AdjustableClock(), harness.gateway.clients
     clients.context = replace(clients.context, time=clock.time)
     return clock
@@ -49,7 +49,7 @@
 
 
 def test_deadline_of_a_deferred_command_includes_all_its_waiting_time() -> None:
-    """Each reply starts one more command; the others have waited since they were read."""
+    """Each reply starts one more command; its waiting time starts at its read, not at the previous reply."""
 
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -86,7 +86,7 @@
             await wait_until(lambda: len(engine.arrivals) == MAX_PIPELINED + 2)
             assert time_left_s(harness, engine.arrivals[-1]) <= CLASS_DEADLINE_S - clock.offset_s
             reject_open_request(harness, engine.arrivals[2])
-            client.send(call_command(number=MAX_PIPELINED + 2))  # read on arrival: it has waited for no time
+            client.send(call_command(number=MAX_PIPELINED + 2))  # not deferred, so it has not waited
             await wait_until(lambda: len(engine.arrivals) == MAX_PIPELINED + 3)
             assert time_left_s(harness, engine.arrivals[-1]) > CLASS_DEADLINE_S - clock.offset_s
 
@@ -94,7 +94,7 @@
 
 
 def test_commands_beyond_the_pipeline_limit_are_read_without_delay() -> None:
-    """What the gateway's socket has no room for is sent late, and its waiting time is not known then."""
+    """Bytes that do not fit into the gateway's socket arrive late, and their waiting time is unknown."""
 
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -125,7 +125,7 @@
 
 
 def test_deadline_includes_the_time_in_the_socket_while_reading_was_paused() -> None:
-    """Nothing is read behind a large value that is written in part."""
+    """Reading is paused while a large value is streamed."""
 
     async def test() -> None:
         async with gateway_harness() as harness:
--- a/tests/server/test_pipelining.py
+++ b/tests/server/test_pipelining.py
@@ -1,4 +1,4 @@
-"""Pipelined commands: how many are served at once, and how many are deferred."""
+"""Pipelined commands: limits on concurrent and on deferred commands."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
             client.send(PING)
             while len(arrivals := engine.arrivals) < command_count:
                 assert len(harness.open_requests) <= MAX_PIPELINED
-                # Out of order: the last of them first.
+                # Out of order: the last one first.
                 reject_open_request(harness, arrivals[-1], 7 * MILLISECOND)
                 for arrival in arrivals[-MAX_PIPELINED:-1]:
                     reject_open_request(harness, arrival, 7 * MILLISECOND)
@@ -41,7 +41,7 @@
 
 
 def test_deferred_commands_are_bounded_over_all_clients_and_each_is_answered() -> None:
-    """Each command that was read gets a reply; closing the connection instead would lose requests."""
+    """Each command that was read gets a reply; closing the connection would lose requests."""
 
     async def test() -> None:
         async with gateway_harness() as harness:
@@ -50,7 +50,7 @@
             client = await harness.connect_client()
             client.send(b"".join(call_command(number=n, wait_ms=1000) for n in range(300)))
             await wait_until(lambda: len(harness.open_requests) == MAX_PIPELINED)
-            client.send(call_command(number=300, wait_ms=2000))  # there is room for it again
+            client.send(call_command(number=300, wait_ms=2000))  # within the limit again
             replies = [str(await client.next_message()) for _ in range(300)]
             assert set(replies[:MAX_PIPELINED]) == {"ERR out of time"}
             assert set(replies[MAX_PIPELINED:]) == {"BUSY"}
