--- a/tests/server/test_late_reads.py
+++ b/tests/server/test_late_reads.py
@@ -101,7 +101,7 @@
 def test_deadline_includes_a_stall_when_the_commands_exceed_the_socket_buffer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Bytes that do not fit into the socket arrive after the first read, when the stall is over."""
+    """Bytes that do not fit into the socket are read later, when the stall is no longer reported."""
     monkeypatch.setattr(loop_stalls, "AFTERMATH_S", 0.0)
     monkeypatch.setattr(ClientConnection, "unread_bytes", lambda _: 0)  # each read empties the socket
     count = 40
