--- a/qos_gateway/server/clients/connections.py
+++ b/qos_gateway/server/clients/connections.py
@@ -87,7 +87,7 @@
         self.max_connections = self._configured_max_connections
         if max_connections is not None:
             self.max_connections = min(self._configured_max_connections, max(1, max_connections))
-        self.context.buffers.limit(memory_fraction)
+        self.context.buffers.limit_to_fraction(memory_fraction)
 
     def is_near_limit(self) -> bool:
         """Return whether the number of connections is close to its limit."""
--- a/tests/server/test_connection_ends.py
+++ b/tests/server/test_connection_ends.py
@@ -56,7 +56,9 @@
             command = call_command()
             with closing(socket.create_connection(("127.0.0.1", clients.port))) as sock:
                 sock.sendall(command[:30])
-                await wait_until(lambda: any(c.input.reader.is_midway for c in clients.connections()))
+                await wait_until(
+                    lambda: any(c.input.reader.has_partial_command for c in clients.connections())
+                )
                 (client,) = clients.connections()
                 client.input.reader.partial_since_s -= 1.0
                 clients.max_connections = 1
