--- a/qos_gateway/server/clients/accept_drain.py
+++ b/qos_gateway/server/clients/accept_drain.py
@@ -8,9 +8,10 @@
 
 from ..observability.close_reasons import CloseReason
 
-ACCEPT_QUIET_PERIOD_S = 0.5  # without a new connection; the load balancer takes 0.4 s to notice the shutdown
+# Accepting ends this long after the last new connection. The load balancer takes 0.4 s to see a shutdown.
+ACCEPT_QUIET_PERIOD_S = 0.5
 MAX_ACCEPT_PERIOD_S = 0.9  # bounds the wait, as some clients bypass the load balancer and keep connecting
-FIRST_COMMAND_GRACE_S = 0.5  # for a new client to send its first command
+FIRST_COMMAND_GRACE_S = 0.5  # a new client has this time to send its first command
 DRAIN_CHECK_INTERVAL_S = 0.02
 
 
--- a/qos_gateway/server/clients/buffer_budgets.py
+++ b/qos_gateway/server/clients/buffer_budgets.py
@@ -2,10 +2,14 @@
 
 from __future__ import annotations
 
-MIN_WRITE_BUFFER_BYTES = 96 << 10  # per connection; exceeds the largest value that is not streamed
-MIN_STREAM_BUFFER_BYTES = 16 << 10  # per connection that streams a value, regardless of their number
-BUFFER_MEMORY_FRACTION = 0.125  # of memory: limit on deferred input, and on buffered values
-CONNECTION_DEFERRED_FRACTION = 0.25  # of that limit: deferred input per connection
+# Minimum write buffer of a connection that streams no value; exceeds any value that is not streamed.
+MIN_WRITE_BUFFER_BYTES = 96 << 10
+# Minimum write buffer of a connection that streams a value, however many values are streamed.
+MIN_STREAM_BUFFER_BYTES = 16 << 10
+# Deferred input and buffered values may each use this fraction of the memory.
+BUFFER_MEMORY_FRACTION = 0.125
+# One connection may use this fraction of the limit on deferred input.
+CONNECTION_DEFERRED_FRACTION = 0.25
 
 
 class BufferBudget:
@@ -25,9 +29,8 @@
     def __init__(self, memory_bytes: int, max_connections: int) -> None:
         self._configured_limit_bytes = int(memory_bytes * BUFFER_MEMORY_FRACTION)
         self.limit_bytes = self._configured_limit_bytes
-        self.write_buffer_bytes = max(  # per connection: written, and not accepted by the client
-            MIN_WRITE_BUFFER_BYTES, self.limit_bytes // max_connections
-        )
+        # A connection is blocked once more written bytes than this wait for its client to accept them.
+        self.write_buffer_bytes = max(MIN_WRITE_BUFFER_BYTES, self.limit_bytes // max_connections)
         self.deferred_bytes = 0  # commands that were read and not parsed
         self.buffered_bytes = 0  # large values not yet written, or not yet accepted by the client
 
--- a/qos_gateway/server/clients/command_reader.py
+++ b/qos_gateway/server/clients/command_reader.py
@@ -23,7 +23,9 @@
         self._frames = CommandFrames()
         self._reader = hiredis.Reader()
         self.command_end = 0  # position after the last command, in the data that contained its end
-        self.partial_since_s = 0.0  # when the first byte of an incomplete command was received; 0 without one
+        # Time at which the first byte of an incomplete command was read, or its timeout last restarted; 0 if
+        # there is no such command or its timeout is cancelled.
+        self.partial_since_s = 0.0
 
     @property
     def has_partial_command(self) -> bool:
@@ -31,12 +33,12 @@
         return self._frames.is_midway
 
     def restart_timeout(self) -> None:
-        """Restart the time-out of an incomplete command, as the gateway was not reading its input."""
+        """Restart the timeout of an incomplete command, as the gateway was not reading its input."""
         if self.partial_since_s:
             self.partial_since_s = self._time()
 
     def stop_timeout(self) -> None:
-        """Cancel the time-out of an incomplete command, as its remainder will not be parsed."""
+        """Cancel the timeout of an incomplete command, as its remainder will not be parsed."""
         self.partial_since_s = 0.0
 
     def next_command(self, data: bytes, start: int) -> list[bytes] | None:
--- a/qos_gateway/server/clients/connection.py
+++ b/qos_gateway/server/clients/connection.py
@@ -20,7 +20,7 @@
     unread_bytes,
 )
 
-SHUTDOWN_REPLY = b"-BUSY\r\n"  # to a command that is still incomplete at the end of a drain
+SHUTDOWN_REPLY = b"-BUSY\r\n"  # sent when a command is still incomplete at the end of a drain
 
 
 class ConnectionObserver(Protocol):
@@ -68,7 +68,8 @@
         self._replies: ReplyQueue  # set by `connection_made`
         self.input: ConnectionInput  # set by `connection_made`
         self._close_reason: CloseReason | None = None  # None until it is closed
-        self.idle_since_s = context.time()  # when it was opened or last became idle
+        # Time at which the connection was opened or last became idle.
+        self.idle_since_s = context.time()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Create the parts that need the transport, and notify the observer."""
--- a/qos_gateway/server/clients/connection_input.py
+++ b/qos_gateway/server/clients/connection_input.py
@@ -22,15 +22,17 @@
 from .socket_protocol import SocketAges
 
 MAX_PIPELINED = 32  # commands per connection without a reply; later commands are deferred
-MAX_PENDING_REPLIES = 1024  # per connection, including rejected commands; reading pauses there
-MAX_DISCARDED_BYTES = 1 << 20  # read after the input was closed; reading stops beyond it
+# Reading from a connection pauses at this number of pending replies, including those of rejected commands.
+MAX_PENDING_REPLIES = 1024
+# Reading stops when more than this was received after the input was closed.
+MAX_DISCARDED_BYTES = 1 << 20
 
 
 @dataclass(frozen=True, slots=True, kw_only=True, eq=False, repr=False)
 class ConnectionContext:
     """The state and services that all client connections share."""
 
-    time: Callable[[], float]  # in s, on the event loop's clock
+    time: Callable[[], float]  # returns the event loop's time in seconds
     stall_detector: LoopStallDetector
     call_soon: Callable[[Callable[[], None]], asyncio.Handle]
     requests: RequestHandler
@@ -106,7 +108,7 @@
         # Earliest receive time of the first read, if its bytes arrived before the accept; otherwise None.
         self._queued_since_s: float | None = None
         self._discarded_bytes = 0
-        self.has_sent_command = False  # at least one complete command
+        self.has_sent_command = False  # the client has sent at least one complete command
         self.is_parsing = False  # a command is being executed, and more may follow in the same data
         self.is_closed = False  # no further command is executed; input is discarded
 
--- a/qos_gateway/server/clients/connections.py
+++ b/qos_gateway/server/clients/connections.py
@@ -24,9 +24,11 @@
 from .request_parser import RequestParser
 from .timeouts import TimeoutChecker
 
-NEAR_LIMIT_FRACTION = 0.75  # of the connection limit; above it, idle connections are closed sooner
-MIN_IDLE_BEFORE_EVICTION_S = 0.1  # since a connection was opened or last became idle
-MIN_PARTIAL_BEFORE_EVICTION_S = 0.25  # since an incomplete command began
+NEAR_LIMIT_FRACTION = 0.75  # above this fraction of the limit, idle connections are closed sooner
+# A connection is not evicted within this time after it was opened or became idle.
+MIN_IDLE_BEFORE_EVICTION_S = 0.1
+# A connection with an incomplete command is not evicted within this time after the command began.
+MIN_PARTIAL_BEFORE_EVICTION_S = 0.25
 
 
 class ClientConnections:
@@ -38,9 +40,10 @@
         self.context = _build_context(config, requests, max_connections, close_guard)
         self._configured_max_connections = max_connections
         self.max_connections = max_connections
-        # Both are in eviction order, the least recently active connection first.
-        self._connections: dict[ClientConnection, None] = {}  # at least one complete command received
-        self._new_connections: dict[ClientConnection, None] = {}  # no complete command received yet
+        # Connections are new until a complete command is received. Both groups are in eviction order, the
+        # least recently active connection first.
+        self._connections: dict[ClientConnection, None] = {}
+        self._new_connections: dict[ClientConnection, None] = {}
         self.timeout_checker = TimeoutChecker(self)
         self._address = config.listen
         self._inherited_descriptor = config.inherited_descriptor
@@ -116,7 +119,8 @@
                 yield client
         for client in clients:
             is_old = client.partial_command_age_s(now_s) >= MIN_PARTIAL_BEFORE_EVICTION_S
-            if is_old and not client.has_unread_bytes():  # which may complete the command
+            # Unread bytes may complete the command.
+            if is_old and not client.has_unread_bytes():
                 yield client
 
     # The set of connections.
--- a/qos_gateway/server/clients/deferred_input.py
+++ b/qos_gateway/server/clients/deferred_input.py
@@ -17,7 +17,7 @@
 
     def __init__(self, data: bytes, times: ReceiveTimes) -> None:
         self.data = data
-        self.position = 0  # of the first unparsed byte
+        self.position = 0  # index of the first unparsed byte
         self.times = times
 
     def received_at_s(self, end: int) -> float:
--- a/qos_gateway/server/clients/input_backlog.py
+++ b/qos_gateway/server/clients/input_backlog.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
-FULL_BUFFER_THRESHOLD_BYTES = 4 << 10  # with fewer unread bytes the receive buffer was not full
-SEND_BUFFER_FLUSH_S = 0.25  # until a client's system has sent the data that did not fit into a full socket
+FULL_BUFFER_THRESHOLD_BYTES = 4 << 10  # a receive buffer with fewer unread bytes was not full
+# A client's system sends the data that did not fit into a full socket within this time.
+SEND_BUFFER_FLUSH_S = 0.25
 MAX_SOCKET_BUFFER_BYTES = 12 << 20  # total of the largest receive and send buffers that Linux uses by default
 
 
@@ -26,10 +27,14 @@
 
     def __init__(self) -> None:
         self._started_at_s = 0.0  # 0 if there is no backlog
-        self._emptied_at_s = 0.0  # when the socket was found empty after a pause; 0 before that
-        self._may_have_been_full = False  # the receive buffer, since the backlog started
-        self._read_bytes = 0  # since the start of the backlog, or of the current window
-        self._window_started_at_s = 0.0  # of MAX_SOCKET_BUFFER_BYTES; 0 in the first window
+        # Time since which the socket has been found empty; 0 after a pause or a read that left bytes.
+        self._emptied_at_s = 0.0
+        # Whether the receive buffer may have been full at some time since the backlog started.
+        self._may_have_been_full = False
+        # Number of bytes read since the backlog or the current window started.
+        self._read_bytes = 0
+        # Start of the current window of `MAX_SOCKET_BUFFER_BYTES`; 0 in the first window.
+        self._window_started_at_s = 0.0
 
     def exists(self) -> bool:
         """Return whether the next read may return bytes that have waited."""
--- a/qos_gateway/server/clients/listener.py
+++ b/qos_gateway/server/clients/listener.py
@@ -20,7 +20,8 @@
 # Connections per iteration of the event loop; limited because evicted ones close only in the next iteration.
 ACCEPT_BATCH = 16
 ACCEPT_RETRY_INTERVAL_S = 0.02
-MAX_QUEUE_TIME_S = 0.25  # without capacity; then queued connections are closed, so that clients can retry
+# After this time without capacity, queued connections are closed, so that clients can retry.
+MAX_QUEUE_TIME_S = 0.25
 
 
 def inherited_socket(descriptor: int) -> socket.socket | None:
@@ -71,10 +72,11 @@
         # Since when connections may have been queued; None while each is accepted on arrival.
         self._queued_since_s: float | None = 0.0  # an inherited socket may already hold some
         self._loop = asyncio.get_running_loop()
-        self._connecting: set[asyncio.Task[None]] = set()  # accepted, protocol not set up yet
+        self._connecting: set[asyncio.Task[None]] = set()  # each sets up an accepted connection
         self._accept_poll = select.poll()
         self._accept_poll.register(sock.fileno(), select.POLLIN)
-        self._at_capacity_since_s: float | None = None  # since when queued connections have lacked capacity
+        # Time since which queued connections have lacked capacity; None otherwise.
+        self._at_capacity_since_s: float | None = None
         self._resume_timer: asyncio.TimerHandle | None = None
         self.is_open = True
         self._start_accepting()
--- a/qos_gateway/server/clients/loop_stalls.py
+++ b/qos_gateway/server/clients/loop_stalls.py
@@ -7,7 +7,8 @@
 
 CHECK_INTERVAL_S = 0.1
 MIN_STALL_S = 0.05  # delay of a check that counts as a stall
-STALL_RECOVERY_S = 0.05  # after a delayed check, while bytes from the time of the stall are being read
+# Bytes from the time of a stall may still be read for this long after the delayed check.
+STALL_RECOVERY_S = 0.05
 
 
 class LoopStallDetector:
@@ -17,8 +18,8 @@
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         self._checked_at_s = 0.0
-        self._stalled_from_s = 0.0  # the last check before the latest stall
-        self._stall_detected_at_s = 0.0  # time of the first check after that stall
+        self._stalled_from_s = 0.0  # time of the last check before the latest stall
+        self._stall_detected_at_s = 0.0  # time of the first check after the latest stall
 
     def start(self) -> None:
         """Start checking."""
--- a/qos_gateway/server/clients/pending_replies.py
+++ b/qos_gateway/server/clients/pending_replies.py
@@ -49,10 +49,11 @@
 
     def __init__(self, client: ReplyConnection, request_number: int = -1) -> None:
         self.client = client
-        self.request_number = request_number  # of the open request; -1 if there is none
+        self.request_number = request_number  # number of the open request; -1 if there is none
         self.reply: bytes | None = None  # the complete reply, when it is known
         self.stream: StreamedReply | None = None  # a large value that is being received
-        self.buffered_bytes = 0  # of a large value: counted in the buffer budget, and not written
+        # Bytes of a large value that are counted in the buffer budget and not written.
+        self.buffered_bytes = 0
 
 
 class StreamedReply:
@@ -86,7 +87,7 @@
         self._flow_control = flow_control
         self._reserve_buffered = reserve_buffered
         self._header = b"$%d\r\n" % length
-        self._buffered: list[bytes] = []  # received before streaming started
+        self._buffered: list[bytes] = []  # parts received before streaming started
         self.is_out_of_budget = False  # reading from the endpoint is paused until streaming starts
         self.started = False
 
@@ -136,7 +137,8 @@
         self._transport = transport
         self._buffers = buffers
         self._streams = streams
-        self._written_buffered_bytes = 0  # of buffered values: written, possibly not accepted by the client
+        # Bytes of buffered values that were written and that the client may not have accepted.
+        self._written_buffered_bytes = 0
         self.pending: deque[PendingReply] = deque()
         transport.set_write_buffer_limits(high=buffers.write_buffer_bytes)
 
--- a/qos_gateway/server/clients/request_parser.py
+++ b/qos_gateway/server/clients/request_parser.py
@@ -12,7 +12,7 @@
 
 MAX_PAIRS_BYTES = 1024  # list of name=value in a command
 MAX_WAIT_MS = 86_400_000  # one day
-MAX_NUMBER_DIGITS = 11  # of an integer in a command; bounds the cost of `int`
+MAX_NUMBER_DIGITS = 11  # bounds the cost of `int` for the integers in a command
 CUSTOMER_ID_BITS = 33
 ARGUMENTS_WITHOUT_BODY = 4  # command name, customer, request id, list of name=value
 ARGUMENTS_WITH_BODY = 5
--- a/qos_gateway/server/clients/socket_protocol.py
+++ b/qos_gateway/server/clients/socket_protocol.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import cast
 
-HALF_CLOSE_TIMEOUT_S = 0.75  # for which input is read and discarded after the last reply
+HALF_CLOSE_TIMEOUT_S = 0.75  # input is read and discarded for this time after the last reply
 _IOCTL_INT_FORMAT = "i"  # result of the ioctl requests below, as a `struct` format
 # `struct tcp_info` in linux/tcp.h: 8 bytes, then 32-bit fields; these two are in ms.
 _LAST_DATA_SENT_OFFSET = 44
@@ -91,7 +91,7 @@
 
     def __init__(self) -> None:
         self.blocked_since_s = 0.0  # time of the last progress; 0 while the write buffer is not full
-        self._unacknowledged_bytes = 0  # unacknowledged at that time
+        self._unacknowledged_bytes = 0  # bytes not acknowledged at the time of the last progress
 
     def block(self, now_s: float, unacknowledged: int) -> None:
         """Record the time and the unacknowledged bytes: the write buffer is full."""
--- a/qos_gateway/server/clients/timeouts.py
+++ b/qos_gateway/server/clients/timeouts.py
@@ -11,11 +11,15 @@
 from .connection import ClientConnection
 
 CHECK_INTERVAL_S = 0.25
-COMMAND_TIMEOUT_S = 2.6  # to complete a command, from its first byte; the first command from the connect
-WRITE_STALL_TIMEOUT_S = 2.0  # for a blocked client that acknowledges nothing
-LARGE_WRITE_STALL_TIMEOUT_S = 5.0  # while a large value is written, as slow readers pause for longer
-IDLE_TIMEOUT_S = 25.0  # below the 30 s that are usual for clients
-NEAR_LIMIT_IDLE_TIMEOUT_S = 2.0  # while the number of connections is close to its limit
+# A command must be complete within this time of its first byte, and the first one within it of the connect.
+COMMAND_TIMEOUT_S = 2.6
+# A blocked client that acknowledges nothing for this time is disconnected.
+WRITE_STALL_TIMEOUT_S = 2.0
+# The timeout is longer while a large value is written, as slow readers pause for longer.
+LARGE_WRITE_STALL_TIMEOUT_S = 5.0
+IDLE_TIMEOUT_S = 25.0  # shorter than the idle timeout of 30 s that is usual for clients
+# Idle connections are closed sooner while the number of connections is close to its limit.
+NEAR_LIMIT_IDLE_TIMEOUT_S = 2.0
 
 
 class CheckedConnections(Protocol):
