--- a/qos_gateway/server/counter/client.py
+++ b/qos_gateway/server/counter/client.py
@@ -14,7 +14,7 @@
 from .connections import CounterConnections
 from .protocol import CounterResponse
 
-CHECK_INTERVAL_S = 0.25  # between connection checks
+CONNECTION_CHECK_INTERVAL_S = 0.25
 MIN_EXPIRY_DELAY_S = 0.001  # a timer due immediately would keep the event loop busy
 
 
@@ -46,8 +46,8 @@
         self._timeout_s = timeout_s
         self._on_reply = on_reply
         self._incomplete: deque[PendingIncrement] = deque()  # oldest first; completed ones are removed lazily
-        self._in_flight: dict[int, InFlightKey] = {}  # by key
-        self._waiting: list[PendingIncrement] = []  # until a connection is usable
+        self._in_flight_by_key: dict[int, InFlightKey] = {}
+        self._waiting_for_connection: list[PendingIncrement] = []
         self._closed = False
         self._expiry_timer: asyncio.TimerHandle | None = None
         self._check_timer: asyncio.TimerHandle | None = None
@@ -78,17 +78,17 @@
         self._incomplete.append(increment)
         if self._expiry_timer is None:
             self._expiry_timer = self._loop.call_later(self._timeout_s, self._expire)
-        if self._waiting or not self._try_write(increment):
-            self._waiting.append(increment)
+        if self._waiting_for_connection or not self._try_write(increment):
+            self._waiting_for_connection.append(increment)
 
     def _try_write(self, increment: PendingIncrement) -> bool:
         """Write an increment to its key's connection, so that a key's responses stay in order."""
-        in_flight = self._in_flight.get(increment.key)
+        in_flight = self._in_flight_by_key.get(increment.key)
         if in_flight is None:
             connection = self._connections.pick_connection()
             if connection is None:
                 return False
-            self._in_flight[increment.key] = InFlightKey(connection, 1)
+            self._in_flight_by_key[increment.key] = InFlightKey(connection, 1)
         else:
             connection = in_flight.connection
             if not (self._connections.is_active(connection) and connection.is_usable()):
@@ -99,12 +99,12 @@
         return True
 
     def _write_waiting(self) -> None:
-        waiting = self._waiting
-        self._waiting = []
+        waiting = self._waiting_for_connection
+        self._waiting_for_connection = []
         still_waiting = [
             increment for increment in waiting if not (increment.completed or self._try_write(increment))
         ]
-        self._waiting = still_waiting + self._waiting
+        self._waiting_for_connection = still_waiting + self._waiting_for_connection
 
     # Callbacks from the connections.
 
@@ -112,7 +112,7 @@
         """Complete an increment unless it has already timed out."""
         if isinstance(request, PendingIncrement):
             self._complete(request, response.outcome, response.total)
-        if self._waiting:
+        if self._waiting_for_connection:
             self._write_waiting()
 
     def on_increments_reset(self, increments: list[PendingIncrement]) -> None:
@@ -122,8 +122,8 @@
 
     def on_unreachable(self) -> None:
         """Fail the increments waiting for a connection; none of them was sent."""
-        waiting = self._waiting
-        self._waiting = []
+        waiting = self._waiting_for_connection
+        self._waiting_for_connection = []
         for increment in waiting:
             self._complete(increment, Outcome.CONNECT_FAILED)
 
@@ -145,10 +145,10 @@
 
     def _release_key(self, key: int) -> None:
         """Decrement a key's in-flight count; at 0 its next increment may use any connection."""
-        in_flight = self._in_flight[key]
+        in_flight = self._in_flight_by_key[key]
         in_flight.count -= 1
         if not in_flight.count:
-            del self._in_flight[key]
+            del self._in_flight_by_key[key]
 
     def _expire(self) -> None:
         """Complete the increments that have timed out.
@@ -183,4 +183,4 @@
         self._connections.check(self._timeout_s)
 
     def _schedule_check(self) -> None:
-        self._check_timer = self._loop.call_later(CHECK_INTERVAL_S, self._check)
+        self._check_timer = self._loop.call_later(CONNECTION_CHECK_INTERVAL_S, self._check)
--- a/qos_gateway/server/endpoints/response_receiver.py
+++ b/qos_gateway/server/endpoints/response_receiver.py
@@ -21,14 +21,21 @@
 class ResponseReceiver:
     """Parses the responses on one connection, one at a time."""
 
-    __slots__ = ("_attempt_listener", "_clock", "_frames", "_value_stream", "consumed_all_data", "parser")
+    __slots__ = (
+        "_attempt_listener",
+        "_clock",
+        "_frames",
+        "_large_value_stream",
+        "consumed_all_data",
+        "parser",
+    )
 
     def __init__(self, clock: Callable[[], int], attempt_listener: AttemptListener) -> None:
         """Take the gateway's clock, in ns, and the listener that provides the sink of each large value."""
         self._clock = clock
         self._attempt_listener = attempt_listener
         self._frames = ResponseFrames()
-        self._value_stream: ValueStream | None = None  # of the large value being received
+        self._large_value_stream: ValueStream | None = None
         self.parser = hiredis.Reader()
         self.consumed_all_data = True  # False if more data followed the last response or it was cancelled
 
@@ -48,7 +55,7 @@
         if response_end < 0:
             return None
         result = attempt.read_response(self.parser.gets())
-        self._value_stream = None
+        self._large_value_stream = None
         frames.large_value_bytes = 0
         self.consumed_all_data = response_end == len(data)
         return result
@@ -59,7 +66,9 @@
 
     def stall_timeout_s(self) -> float:
         """Return how long a partial response may receive no data."""
-        return RESPONSE_STALL_TIMEOUT_S if self._value_stream is None else LARGE_RESPONSE_STALL_TIMEOUT_S
+        return (
+            RESPONSE_STALL_TIMEOUT_S if self._large_value_stream is None else LARGE_RESPONSE_STALL_TIMEOUT_S
+        )
 
     def _stream_value(self, attempt: Attempt, data: bytes, flow: FlowControl) -> bool:
         """Write the part of `data` that belongs to the large value to its sink, and parse the rest.
@@ -67,12 +76,12 @@
         Returns whether the value is still needed.
         """
         value_start = 0
-        if self._value_stream is None:
+        if self._large_value_stream is None:
             value_start = self._frames.large_value_start
-            self._value_stream = self._start_stream(attempt, flow)
-            if self._value_stream is None:
+            self._large_value_stream = self._start_stream(attempt, flow)
+            if self._large_value_stream is None:
                 return False
-        self.parser.feed(self._value_stream.feed(data[value_start:]))
+        self.parser.feed(self._large_value_stream.feed(data[value_start:]))
         return not attempt.ended  # the write may have detected that the client is gone
 
     def _start_stream(self, attempt: Attempt, flow: FlowControl) -> ValueStream | None:
--- a/qos_gateway/server/networking/resp.py
+++ b/qos_gateway/server/networking/resp.py
@@ -8,7 +8,7 @@
 MAX_VALUE_BYTES = 4 << 20  # of an endpoint's value; one over MAX_BUFFERED_VALUE_BYTES is streamed
 MAX_COMMAND_OVERHEAD_BYTES = 4096  # a command's names, headers and arguments other than its value
 MAX_COMMAND_BYTES = MAX_BUFFERED_VALUE_BYTES + MAX_COMMAND_OVERHEAD_BYTES
-MAX_ARGUMENTS = 16  # of a command; no valid command has more than five
+MAX_COMMAND_ARGUMENTS = 16  # no valid command has more than five
 MAX_REPORT_BYTES = 1024  # of a response's load report or usage items
 MAX_USAGE_ITEMS = 16  # in a response whose usage is an array
 MAX_LINE_BYTES = 512  # of a header or an error line
@@ -191,7 +191,7 @@
 def _parse_argument_count(line: bytes) -> int:
     if not line.startswith(ARRAY):
         raise FrameError(NOT_A_COMMAND)
-    argument_count = _parse_length(line, MAX_ARGUMENTS)
+    argument_count = _parse_length(line, MAX_COMMAND_ARGUMENTS)
     if not argument_count:
         raise FrameError("empty command")
     return argument_count
--- a/qos_gateway/server/requests/attempt_results.py
+++ b/qos_gateway/server/requests/attempt_results.py
@@ -70,7 +70,7 @@
         self._activity.attempt_outcomes[outcome] += 1
         number = attempt.request
         request = self._requests[number]
-        request.attempts_in_flight.pop(attempt.number, None)
+        request.attempts_in_flight_by_number.pop(attempt.number, None)
         if request.streaming_attempt is attempt:
             elapsed = _time_to_first_byte(attempt)  # the rest depends on how fast the client reads
         if not request.closed:
--- a/qos_gateway/server/requests/client_requests.py
+++ b/qos_gateway/server/requests/client_requests.py
@@ -83,5 +83,5 @@
         self._handle(ClientDisconnected(number))
         if request.streaming_attempt is not None:
             self._attempts.cancel_attempt(request.streaming_attempt)
-        for attempt in list(request.attempts_in_flight.values()):
+        for attempt in list(request.attempts_in_flight_by_number.values()):
             self._attempts.cancel_unsent(attempt)
--- a/qos_gateway/server/requests/open_request.py
+++ b/qos_gateway/server/requests/open_request.py
@@ -14,7 +14,7 @@
 
     __slots__ = (
         "attempts",
-        "attempts_in_flight",
+        "attempts_in_flight_by_number",
         "attempts_started",
         "client_request",
         "closed",
@@ -33,7 +33,7 @@
         self.streaming_attempt: Attempt | None = None  # whose large value is streamed to the client
         self.attempts_started = 0  # including those that were never passed to a connection
         self.attempts: list[Attempt] = []  # all that were passed to a connection, ended or not
-        self.attempts_in_flight: dict[int, Attempt] = {}  # by number
+        self.attempts_in_flight_by_number: dict[int, Attempt] = {}
         self.deadline_timer: asyncio.TimerHandle | None = None
 
     @property
--- a/qos_gateway/server/requests/open_requests.py
+++ b/qos_gateway/server/requests/open_requests.py
@@ -100,7 +100,7 @@
         The deadline timer runs until then, as it also ends attempts at endpoints that never respond. Without
         it, their connections and their entries in the engine's in-flight count would never be released.
         """
-        if request.closed and not request.attempts_in_flight:
+        if request.closed and not request.attempts_in_flight_by_number:
             if request.deadline_timer is not None:
                 request.deadline_timer.cancel()
             self._requests.pop(number, None)
--- a/qos_gateway/server/requests/request_attempts.py
+++ b/qos_gateway/server/requests/request_attempts.py
@@ -69,7 +69,7 @@
             send_deadline_ns=action.send_deadline,
         )
         request.attempts.append(attempt)
-        request.attempts_in_flight[attempt_number] = attempt
+        request.attempts_in_flight_by_number[attempt_number] = attempt
         self._connections.start_attempt(attempt, action.timeout / SECOND if has_own_timeout else None)
 
     def _may_repeat(self, request: OpenRequest, endpoint: int, now: int) -> bool:
@@ -96,10 +96,13 @@
     def cancel(self, action: CancelAttempt) -> None:
         """Cancel an attempt in a later iteration of the event loop, as its end is a separate event."""
         request = self._requests.get(action.request_id)
-        if request is not None and (attempt := request.attempts_in_flight.get(action.attempt)) is not None:
+        if (
+            request is not None
+            and (attempt := request.attempts_in_flight_by_number.get(action.attempt)) is not None
+        ):
             self._loop.call_soon(self._cancel_if_in_flight, attempt)
 
     def _cancel_if_in_flight(self, attempt: Attempt) -> None:
         request = self._requests.get(attempt.request)
-        if request is not None and attempt.number in request.attempts_in_flight:
+        if request is not None and attempt.number in request.attempts_in_flight_by_number:
             self._connections.cancel_attempt(attempt)
--- a/qos_gateway/server/requests/request_deadlines.py
+++ b/qos_gateway/server/requests/request_deadlines.py
@@ -61,7 +61,7 @@
             return
         if request.streaming_attempt is not None and self._may_continue_streaming(number, request):
             return
-        for attempt in list(request.attempts_in_flight.values()):
+        for attempt in list(request.attempts_in_flight_by_number.values()):
             self._attempts.expire_attempt(attempt)
         if not request.closed:
             # The engine did not end it. FAILED leaves open whether it was executed.
