--- a/qos_gateway/server/counter/connection.py
+++ b/qos_gateway/server/counter/connection.py
@@ -17,7 +17,9 @@
     parse_ping_response,
 )
 
-MAX_PENDING_REQUESTS = 256  # per connection: more than the counter answers within the response timeout
+# Limits the requests without a response on one connection; the counter answers fewer than this within the
+# response timeout.
+MAX_PENDING_REQUESTS = 256
 MAX_LOGGED_LINE_BYTES = 80
 
 
@@ -37,12 +39,15 @@
 
 @dataclass(slots=True, eq=False)
 class PendingIncrement:
-    """An increment without a response yet; `completed` is set once its outcome is reported."""
+    """An increment without a response yet; `completed` is set once its outcome is reported.
+
+    `called_at_s` is on the event loop's clock.
+    """
 
     key: int
     time_to_live_ns: int
     amount: float
-    called_at_s: float  # on the loop's clock
+    called_at_s: float
     connection: CounterConnection | None = None  # None until it is written
     completed: bool = False
 
@@ -57,9 +62,9 @@
 
 @dataclass(slots=True, eq=False)
 class PendingPing:
-    """A ping without a response yet."""
+    """A ping without a response yet; `called_at_s` is on the event loop's clock."""
 
-    called_at_s: float  # on the loop's clock
+    called_at_s: float
 
     def encode(self) -> bytes:
         """Encode the request."""
--- a/qos_gateway/server/counter/connections.py
+++ b/qos_gateway/server/counter/connections.py
@@ -23,10 +23,15 @@
 log.addFilter(RateLimitFilter())
 
 CONNECTION_COUNT = 4  # a missing response delays all later requests on its connection
-INITIAL_BACKOFF_S = 0.05  # between connection attempts; doubled after each failure
+# The delay before the next connection attempt begins at this value and doubles after each failure.
+INITIAL_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 0.5
-RESPONSE_TIMEOUT_S = 1.0  # for the oldest pending request; then the counter's machine counts as failed
-PING_INTERVAL_S = 2.0  # idle time; pings keep the counter from closing the connection and detect dead ones
+# A connection is abandoned when its oldest pending request has had no response for this long: the counter's
+# machine then counts as failed.
+RESPONSE_TIMEOUT_S = 1.0
+# A connection that has been idle for this long is pinged. Pings keep the counter from closing it, and detect
+# a dead connection.
+PING_INTERVAL_S = 2.0
 
 
 class ConnectionsListener(Protocol):
@@ -55,7 +60,8 @@
         self._connect_timeout_s = connect_timeout_s
         self._listener = listener
         self._active: list[CounterConnection] = []
-        self._draining: list[CounterConnection] = []  # to a previous address, until nothing is pending
+        # Connections to a previous address, which are closed once they have no pending requests.
+        self._draining: list[CounterConnection] = []
         self._address_changed = False  # the active connections still go to the previous address
         self._newest_answered_call_at_s = 0.0  # call time of the newest answered request
         self._last_attempt_failed = False
--- a/qos_gateway/server/discovery/watch_schedule.py
+++ b/qos_gateway/server/discovery/watch_schedule.py
@@ -7,13 +7,17 @@
 
 INITIAL_BACKOFF_S = 0.05  # doubled after each failed watch
 MAX_BACKOFF_S = 2.0
-MAX_BACKOFF_GRACE_FRACTION = 0.5  # of the drain grace period: a drain may begin while no watch is open
+# Limits the backoff to a fraction of the drain grace, because a drain may begin while no watch is open.
+MAX_BACKOFF_GRACE_FRACTION = 0.5
 PROPAGATION_DEADLINE_S = 6.0  # a change must be in effect by then, even if calls have failed
 PROPAGATION_DEADLINE_AFTER_AGENT_CHANGE_S = 4.0
 FIRST_LIST_DEADLINE_S = 3.0  # shorter, because no request is served before the first list
 UPDATE_TIME_S = 0.6  # allowance for the call and for applying the largest list
-OVERLOAD_MIN_WAIT_FRACTION = 2 / 3  # of the time left: minimum wait after an overload response
-OVERLOAD_MAX_ADVISED_FRACTION = 0.85  # of the time left: limits Retry-After, so that calls stay spread out
+# After an overload response, the next call waits for a random fraction of the time left until it is due, at
+# least OVERLOAD_MIN_WAIT_FRACTION. A longer Retry-After raises this minimum, but not beyond
+# OVERLOAD_MAX_ADVISED_FRACTION, so that calls stay spread out.
+OVERLOAD_MIN_WAIT_FRACTION = 2 / 3
+OVERLOAD_MAX_ADVISED_FRACTION = 0.85
 
 
 class WatchSchedule:
--- a/qos_gateway/server/discovery/watched_list.py
+++ b/qos_gateway/server/discovery/watched_list.py
@@ -26,7 +26,8 @@
         self._newest_version = version
         self._raw_entries: dict[str, Any] = {}  # JSON entries by endpoint name
         self._listed_starts: dict[int, int] = {}  # start times by endpoint id, from the newest version
-        self._withdrawn_starts: dict[int, int] = {}  # of draining and removed endpoints, latest last
+        # Start times by endpoint id of the draining and removed endpoints, the last withdrawn one at the end.
+        self._withdrawn_starts: dict[int, int] = {}
 
     def reconcile(self, update: EndpointUpdate) -> EndpointUpdate | None:
         """Return the update with the newest version's state applied; None for an outdated delta."""
--- a/qos_gateway/server/endpoints/attempt.py
+++ b/qos_gateway/server/endpoints/attempt.py
@@ -41,7 +41,7 @@
     command: RequestCommand
     send_deadline_ns: int = 0  # the command must be written before this time; 0 means no limit
     response_started_at_ns: int = field(default=0, init=False)  # first bytes of a large value received
-    ended: bool = field(default=False, init=False)  # its result has been reported
+    ended: bool = field(default=False, init=False)  # True once the result has been reported
     outcome: Outcome | None = field(default=None, init=False)  # None until it has ended
     connection: AttemptConnection | None = field(default=None, init=False)
     timer: asyncio.TimerHandle | None = field(default=None, init=False)  # the attempt's timeout
--- a/qos_gateway/server/endpoints/connection.py
+++ b/qos_gateway/server/endpoints/connection.py
@@ -235,7 +235,8 @@
             return
         try:
             result = self.responses.receive(attempt, data, self)
-        except (ValueError, hiredis.ProtocolError) as error:  # from framing, parsing or content
+        except (ValueError, hiredis.ProtocolError) as error:
+            # The framing, the syntax or the content of the response is invalid.
             self._fail_response(str(error))
             return
         if result is None:
--- a/qos_gateway/server/endpoints/connection_pool.py
+++ b/qos_gateway/server/endpoints/connection_pool.py
@@ -28,7 +28,8 @@
         self.address = address
         self.idle: list[EndpointConnection] = []  # longest idle first
         self.connections: set[EndpointConnection] = set()
-        self.drain_ends_at: float | None = None  # in s on the event loop's clock; None while in service
+        # The end of the drain grace, in s on the event loop's clock; None while the endpoint is in service.
+        self.drain_ends_at: float | None = None
         self._connect_timeout_s = connect_timeout_s
         self._connection_limit = connection_limit
         self._context = context
--- a/qos_gateway/server/endpoints/connections.py
+++ b/qos_gateway/server/endpoints/connections.py
@@ -17,9 +17,12 @@
 from .keep_alive import KeepAliveEstimator
 from .responses import AttemptResult
 
-KEEP_ALIVE_FRACTION = 0.5  # of the configured idle time, to close connections well before the endpoint does
-MAX_PROCESS_PAUSE_S = 0.15  # between reading the clock and writing; deducted from the drain grace
-LOOP_DELAY_MARGIN_S = 0.02  # event loop delay; deducted from the drain grace
+# Connections are closed after this fraction of the configured idle time, well before the endpoint does so.
+KEEP_ALIVE_FRACTION = 0.5
+# The next two are deducted from the drain grace, because the process may be paused between reading the clock
+# and writing, and the event loop may be delayed.
+MAX_PROCESS_PAUSE_S = 0.15
+LOOP_DELAY_MARGIN_S = 0.02
 SWEEP_INTERVAL_S = 1.0  # also the interval at which the keep-alive counts decay
 
 
@@ -30,7 +33,7 @@
     max_connections: int  # total for all endpoints
     connect_timeout_s: float
     max_idle_s: float
-    drain_grace_s: float  # after which nothing may be written to a draining endpoint
+    drain_grace_s: float  # nothing may be written to an endpoint that has been draining for longer
 
 
 class EndpointConnections:
--- a/qos_gateway/server/endpoints/keep_alive.py
+++ b/qos_gateway/server/endpoints/keep_alive.py
@@ -5,7 +5,7 @@
 from bisect import bisect
 
 IDLE_TIME_BOUNDS_S = tuple(0.05 * 2**exponent for exponent in range(9))  # upper bounds of the buckets
-MIN_STALE_RESETS = 3.0  # per bucket before it can count as stale; fewer may be coincidence
+MIN_STALE_RESETS = 3.0  # a bucket with fewer resets never counts as stale: they may be coincidence
 STALE_RESET_RATIO = 0.15  # resets per reuse at which a bucket counts as stale
 DECAY_PER_S = 0.97  # factor on each count, so that a stale bucket is tried again after minutes
 
--- a/qos_gateway/server/endpoints/response_deadline.py
+++ b/qos_gateway/server/endpoints/response_deadline.py
@@ -2,7 +2,9 @@
 
 from __future__ import annotations
 
-DEADLINE_GRACE_S = 0.3  # for a large value after its client's deadline; 0.5 s late counts as lost
+# Bounds the time for which a large value is still received after its client's deadline, because a value that
+# is 0.5 s late counts as lost.
+DEADLINE_GRACE_S = 0.3
 
 
 class ResponseDeadline:
@@ -16,7 +18,8 @@
     def __init__(self) -> None:
         self.is_paused = False  # reading is paused because the client accepts no data
         self.last_data_at = 0.0
-        self.grace_started_at = 0.0  # when the client's deadline passed, moved forward by pauses; 0 before
+        # When the client's deadline passed; 0 before that. It advances with the clock during a pause.
+        self.grace_started_at = 0.0
 
     def reset(self) -> None:
         """Reset for the response to a new request."""
--- a/qos_gateway/server/endpoints/response_receiver.py
+++ b/qos_gateway/server/endpoints/response_receiver.py
@@ -13,7 +13,8 @@
 from .attempt_reporter import AttemptListener
 from .responses import AttemptResult
 
-RESPONSE_STALL_TIMEOUT_S = 0.25  # since the last byte; far longer than the pauses of a slow sender
+# A partly received response fails if no byte arrives for this long, far longer than a slow sender pauses.
+RESPONSE_STALL_TIMEOUT_S = 0.25
 LARGE_RESPONSE_STALL_TIMEOUT_S = 5.0  # longer, as no retry is possible once the client has received bytes
 EMPTY_VALUE_START = b"*3\r\n$0\r\n\r\n"  # fed to the parser in place of a streamed value
 
--- a/qos_gateway/server/networking/resp.py
+++ b/qos_gateway/server/networking/resp.py
@@ -4,17 +4,19 @@
 
 from functools import lru_cache
 
-MAX_BUFFERED_VALUE_BYTES = 64 << 10  # of a value that is buffered until it is complete
-MAX_VALUE_BYTES = 4 << 20  # of an endpoint's value; one over MAX_BUFFERED_VALUE_BYTES is streamed
+# A value up to this size is buffered until it is complete. A larger one is streamed if it comes from an
+# endpoint, and rejected if it comes from a client.
+MAX_BUFFERED_VALUE_BYTES = 64 << 10
+MAX_VALUE_BYTES = 4 << 20  # a larger value from an endpoint is rejected
 MAX_COMMAND_OVERHEAD_BYTES = 4096  # a command's names, headers and arguments other than its value
 MAX_COMMAND_BYTES = MAX_BUFFERED_VALUE_BYTES + MAX_COMMAND_OVERHEAD_BYTES
 MAX_COMMAND_ARGUMENTS = 16  # no valid command has more than five
-MAX_REPORT_BYTES = 1024  # of a response's load report or usage items
-MAX_USAGE_ITEMS = 16  # in a response whose usage is an array
-MAX_LINE_BYTES = 512  # of a header or an error line
-MAX_LENGTH_DIGITS = 9  # of a length in a header; bounds the cost of int()
+MAX_REPORT_BYTES = 1024  # limits a response's load report, and each item of its usage
+MAX_USAGE_ITEMS = 16  # limits a response's usage if it is an array
+MAX_LINE_BYTES = 512  # limits each header, and each response that is a single line, such as an error
+MAX_LENGTH_DIGITS = 9  # bounds the cost of int() on the length in a header
 RESPONSE_ITEMS = 3  # value, usage, load report
-MAX_ARRAY_DEPTH = 2  # of nested arrays in a response, the outermost included
+MAX_ARRAY_DEPTH = 2  # a response is an array, whose items may be arrays of single elements
 HEADER_CACHE_SIZE = 128  # entries per function; most messages repeat the headers of earlier ones
 
 CRLF = b"\r\n"
@@ -59,10 +61,10 @@
     def __init__(self) -> None:
         self._array_elements_left: list[int] = []  # one count for each incomplete array, the innermost last
         self._partial = b""  # the received part of an incomplete header or of the CR LF after a value
-        self._value_bytes_left = NO_VALUE  # of the value that is being received
+        self._value_bytes_left = NO_VALUE  # NO_VALUE while no value is being received
         self._command_bytes = 0  # total length of the command's arguments so far
         self.large_value_bytes = 0  # length of the message's value if it is too large to be buffered, else 0
-        self.large_value_start = 0  # its position in the data that was scanned when its header ended
+        self.large_value_start = 0  # the large value's position in the data that held the end of its header
 
     @property
     def is_midway(self) -> bool:
--- a/qos_gateway/server/networking/transient_errors.py
+++ b/qos_gateway/server/networking/transient_errors.py
@@ -22,7 +22,7 @@
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
 )
 RETRY_INTERVAL_S = 0.05
-START_RETRY_TIME_S = 5.0  # while a process starts, which must be ready within 10 s
+START_RETRY_TIME_S = 5.0  # bounds the retries of a starting process, which must be ready within 10 s
 
 
 def is_transient(error: OSError) -> bool:
--- a/qos_gateway/server/requests/open_request.py
+++ b/qos_gateway/server/requests/open_request.py
@@ -30,7 +30,7 @@
         self.pending_reply = pending_reply
         self.deadline = deadline
         self.closed = False  # answered, or its client disconnected
-        self.streaming_attempt: Attempt | None = None  # whose large value is streamed to the client
+        self.streaming_attempt: Attempt | None = None  # the attempt whose large value goes to the client
         self.attempts_started = 0  # including those that were never passed to a connection
         self.attempts: list[Attempt] = []  # all that were passed to a connection, ended or not
         self.attempts_in_flight_by_number: dict[int, Attempt] = {}
--- a/qos_gateway/server/requests/request_deadlines.py
+++ b/qos_gateway/server/requests/request_deadlines.py
@@ -14,7 +14,8 @@
 from .open_request import OpenRequest
 from .request_context import RequestContext
 
-DEADLINE_MARGIN_NS = 10 * MILLISECOND  # for network latency in both directions and event loop delays
+# Deducted from the time of each request, for network latency in both directions and event loop delays.
+DEADLINE_MARGIN_NS = 10 * MILLISECOND
 NO_DEADLINE_NS = 1 << 62  # later than the end of any request
 
 
