--- a/qos_gateway/server/requests/request_deadlines.py
+++ b/qos_gateway/server/requests/request_deadlines.py
@@ -14,7 +14,8 @@
 from .open_request import OpenRequest
 from .request_context import RequestContext
 
-DEADLINE_MARGIN_NS = 10 * MILLISECOND  # for network latency in both directions and event loop delays
+# Deducted from the time of each request, for network latency in both directions and event loop delays.
+DEADLINE_MARGIN_NS = 10 * MILLISECOND
 NO_DEADLINE_NS = 1 << 62  # later than the end of any request
 
 
@@ -61,7 +62,7 @@
             return
         if request.streaming_attempt is not None and self._may_continue_streaming(number, request):
             return
-        for attempt in list(request.attempts_in_flight.values()):
+        for attempt in list(request.attempts_in_flight_by_number.values()):
             self._attempts.expire_attempt(attempt)
         if not request.closed:
             # The engine did not end it. FAILED leaves open whether it was executed.
