--- a/qos_gateway/server/admin/connection.py
+++ b/qos_gateway/server/admin/connection.py
@@ -41,7 +41,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Report the connection as open, and start the timeout of its request."""
         self._transport = cast(asyncio.Transport, transport)
-        self._start_timer(REQUEST_TIMEOUT_S, self._expire)
+        self._start_timer(REQUEST_TIMEOUT_S, self._time_out_request)
         self._listener.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
@@ -86,7 +86,7 @@
         self._cancel_timer()
         self._listener.connection_closed(self)
 
-    def _expire(self) -> None:
+    def _time_out_request(self) -> None:
         self.answer(HttpResponse(408, b"no whole call in time\n"))
 
     def _write(self, data: bytes) -> None:
--- a/qos_gateway/server/admin/http.py
+++ b/qos_gateway/server/admin/http.py
@@ -10,7 +10,7 @@
 MAX_HEAD_BYTES = 8 << 10  # larger than a browser sends
 MAX_BODY_BYTES = 256  # the identifier of one endpoint
 
-RESPONSE_NOT_STARTED = (h11.IDLE, h11.SEND_RESPONSE)  # h11's states before and after the request's head
+H11_STATES_BEFORE_RESPONSE = (h11.IDLE, h11.SEND_RESPONSE)  # h11's states before and after the request's head
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,7 +86,7 @@
 
     def encode(self, response: HttpResponse) -> bytes:
         """Return the bytes of the response; no bytes if a response has been encoded before."""
-        if self._http.our_state not in RESPONSE_NOT_STARTED:
+        if self._http.our_state not in H11_STATES_BEFORE_RESPONSE:
             return b""
         headers = [
             ("Content-Type", "text/plain; charset=utf-8"),
--- a/qos_gateway/server/admin/operations.py
+++ b/qos_gateway/server/admin/operations.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True, eq=False, repr=False)
-class AdminTargets:
+class AdminDependencies:
     """The parts that the operations read and change."""
 
     clients: ClientConnections
@@ -38,29 +38,29 @@
 class AdminOperations:
     """The operations, independent of the protocol of the calls."""
 
-    def __init__(self, targets: AdminTargets, clock: Callable[[], int]) -> None:
-        self._targets = targets
+    def __init__(self, dependencies: AdminDependencies, clock: Callable[[], int]) -> None:
+        self._dependencies = dependencies
         self._clock = clock
 
     def accepts_clients(self) -> bool:
         """Return whether clients that connect are served."""
-        return self._targets.clients.is_accepting()
+        return self._dependencies.clients.is_accepting()
 
     def render_metrics(self) -> bytes:
         """Return all metrics in their text form."""
-        targets = self._targets
-        excluded = targets.load_balancer.excluded_count(self._clock())
+        dependencies = self._dependencies
+        excluded = dependencies.load_balancer.excluded_count(self._clock())
         gauges = Gauges(
-            targets.requests.unanswered_count(), targets.endpoint_directory.listed_count(), excluded
+            dependencies.requests.unanswered_count(), dependencies.endpoint_directory.listed_count(), excluded
         )
-        return render(targets.metrics, gauges)
+        return render(dependencies.metrics, gauges)
 
     async def set_endpoint_disabled(self, name: str, disabled: bool) -> bool:
         """Disable or enable an endpoint, here and in the other process; return False if it is not known."""
         endpoint = endpoint_id(name)
-        if not self._targets.endpoint_directory.is_listed_or_disabled(endpoint):
+        if not self._dependencies.endpoint_directory.is_listed_or_disabled(endpoint):
             return False
-        self._targets.handover.apply_admin_disabled(endpoint, disabled)
-        if self._targets.other_process is not None:
-            await self._targets.other_process.broadcast_admin_disabled(endpoint, disabled)
+        self._dependencies.handover.apply_admin_disabled(endpoint, disabled)
+        if self._dependencies.other_process is not None:
+            await self._dependencies.other_process.broadcast_admin_disabled(endpoint, disabled)
         return True
--- a/qos_gateway/server/admin/routes.py
+++ b/qos_gateway/server/admin/routes.py
@@ -63,11 +63,11 @@
     if not name:
         return HttpResponse(400, b"the body names no order server\n")
     try:
-        is_listed = await handler.set_endpoint_disabled(name, disabled)
+        is_known = await handler.set_endpoint_disabled(name, disabled)
     except Exception:
         log.exception("admin_endpoint_fault endpoint=%r disabled=%s", name, disabled)
         return HttpResponse(500, b"internal fault\n")
-    if not is_listed:
+    if not is_known:
         log.warning("admin_endpoint_unknown endpoint=%.80r", name)
         return HttpResponse(404, b"no such order server\n")
     log.warning("admin_endpoint_changed endpoint=%.80r disabled=%s", name, disabled)
--- a/qos_gateway/server/clients/close_guard.py
+++ b/qos_gateway/server/clients/close_guard.py
@@ -5,7 +5,7 @@
 import logging
 from collections.abc import Callable, Sequence
 
-from ..observability.close_reasons import CLIENT_CAUSED, CloseReason
+from ..observability.close_reasons import CLIENT_CAUSED_REASONS, CloseReason
 from ..observability.invariants import Invariant, InvariantMonitor
 from ..observability.metrics import Metrics
 
@@ -30,7 +30,7 @@
         """
         request_ids = [self._client_id(number) for number in unanswered]
         _log_close(reason, request_ids)
-        if reason in CLIENT_CAUSED:
+        if reason in CLIENT_CAUSED_REASONS:
             return
         for request_id in request_ids:
             self._monitor.report(Invariant.CLOSE, f"unanswered_{reason.value}", request_id)
--- a/qos_gateway/server/observability/close_reasons.py
+++ b/qos_gateway/server/observability/close_reasons.py
@@ -20,4 +20,6 @@
 
 
 # Pending replies cannot reach the client.
-CLIENT_CAUSED = frozenset({CloseReason.CLIENT_CLOSED, CloseReason.HANGUP_SEEN, CloseReason.WRITE_STALLED})
+CLIENT_CAUSED_REASONS = frozenset(
+    {CloseReason.CLIENT_CLOSED, CloseReason.HANGUP_SEEN, CloseReason.WRITE_STALLED}
+)
--- a/qos_gateway/server/observability/logs.py
+++ b/qos_gateway/server/observability/logs.py
@@ -5,7 +5,7 @@
 import logging
 import time
 
-MAX_LINES = 10  # of one logger in a window
+MAX_LINES_PER_WINDOW = 10  # of one logger in a window
 WINDOW_S = 10.0
 
 
@@ -24,10 +24,10 @@
         """Return whether the line is written; append the number of suppressed lines if there are any."""
         now_s = time.monotonic()
         if now_s - self._window_started_at_s >= WINDOW_S:
-            suppressed = max(0, self._line_count - MAX_LINES)
+            suppressed = max(0, self._line_count - MAX_LINES_PER_WINDOW)
             self._window_started_at_s = now_s
             self._line_count = 0
             if suppressed:
                 record.msg = f"{record.msg} suppressed_lines={suppressed}"
         self._line_count += 1
-        return self._line_count <= MAX_LINES
+        return self._line_count <= MAX_LINES_PER_WINDOW
--- a/qos_gateway/server/observability/metrics.py
+++ b/qos_gateway/server/observability/metrics.py
@@ -14,8 +14,8 @@
 from .invariants import Invariant
 from .retry_causes import RetryCause
 
-Key = TypeVar("Key", bound=Enum)
-_UNSAFE_IN_NAME = re.compile(r"[^0-9A-Za-z_-]")  # has a meaning within a metric's name
+LabelT = TypeVar("LabelT", bound=Enum)
+_UNSAFE_IN_METRIC_NAME = re.compile(r"[^0-9A-Za-z_-]")  # has a meaning within a metric's name
 
 
 class RequestResult(StrEnum):
@@ -29,10 +29,12 @@
 class Metrics:
     """Counters: each request is counted when it is answered, each attempt when its last byte is written."""
 
-    def __init__(self, classes: Iterable[bytes], violations: Mapping[Invariant, int] | None = None) -> None:
+    def __init__(
+        self, class_names: Iterable[bytes], violations: Mapping[Invariant, int] | None = None
+    ) -> None:
         """Take the names of the request classes, in the order of their indices, and the violations."""
-        self.classes = tuple(_UNSAFE_IN_NAME.sub("_", name.decode()) for name in classes)
-        self.requests = [dict.fromkeys(RequestResult, 0) for _ in self.classes]
+        self.class_names = tuple(_UNSAFE_IN_METRIC_NAME.sub("_", name.decode()) for name in class_names)
+        self.requests = [dict.fromkeys(RequestResult, 0) for _ in self.class_names]
         self.attempts = 0
         self.rejections = dict.fromkeys(RejectReason, 0)
         self.retries = dict.fromkeys(RetryCause, 0)
@@ -57,7 +59,7 @@
     """Return one line for each metric, in the form `name:value|kind`."""
     lines = [
         f"{MetricName.PREFIX}.{MetricName.REQUESTS}.{name}.{result.value}:{count}|c"
-        for name, counts in zip(metrics.classes, metrics.requests, strict=True)
+        for name, counts in zip(metrics.class_names, metrics.requests, strict=True)
         for result, count in counts.items()
     ]
     lines += [
@@ -66,13 +68,15 @@
         f"{MetricName.PREFIX}.{MetricName.LISTED_ENDPOINTS}:{gauges.listed_endpoints}|g",
         f"{MetricName.PREFIX}.{MetricName.EXCLUDED_ENDPOINTS}:{gauges.excluded_endpoints}|g",
     ]
-    lines += _counters(MetricName.REJECTIONS, metrics.rejections)
-    lines += _counters(MetricName.RETRIES, metrics.retries)
-    lines += _counters(MetricName.CLIENT_CLOSES, metrics.client_closes)
-    lines += _counters(MetricName.VIOLATIONS, {key: metrics.violations.get(key, 0) for key in Invariant})
+    lines += _render_counters(MetricName.REJECTIONS, metrics.rejections)
+    lines += _render_counters(MetricName.RETRIES, metrics.retries)
+    lines += _render_counters(MetricName.CLIENT_CLOSES, metrics.client_closes)
+    lines += _render_counters(
+        MetricName.VIOLATIONS, {label: metrics.violations.get(label, 0) for label in Invariant}
+    )
     lines.append("")
     return "\n".join(lines).encode()
 
 
-def _counters(name: str, counts: Mapping[Key, int]) -> list[str]:
-    return [f"{MetricName.PREFIX}.{name}.{key.value}:{count}|c" for key, count in counts.items()]
+def _render_counters(name: str, counts: Mapping[LabelT, int]) -> list[str]:
+    return [f"{MetricName.PREFIX}.{name}.{label.value}:{count}|c" for label, count in counts.items()]
--- a/qos_gateway/server/observability/retry_causes.py
+++ b/qos_gateway/server/observability/retry_causes.py
@@ -20,7 +20,7 @@
     NOT_SENT = "not_sent"
 
 
-CAUSE_OF_OUTCOME = {
+RETRY_CAUSE_BY_OUTCOME = {
     Outcome.ERROR: RetryCause.ERROR,
     Outcome.OVERLOADED: RetryCause.OVERLOADED,
     Outcome.TIMEOUT: RetryCause.TIMEOUT,
--- a/qos_gateway/server/requests/request_log.py
+++ b/qos_gateway/server/requests/request_log.py
@@ -10,7 +10,7 @@
 
 from ...types import RejectReason
 from ..endpoints.attempt import Attempt
-from ..observability.retry_causes import CAUSE_OF_OUTCOME, RetryCause
+from ..observability.retry_causes import RETRY_CAUSE_BY_OUTCOME, RetryCause
 
 log = logging.getLogger(__name__)
 
@@ -22,7 +22,7 @@
     last = attempts[-1]
     if last.outcome is None:
         return RetryCause.HEDGED
-    return CAUSE_OF_OUTCOME.get(last.outcome, RetryCause.ERROR)
+    return RETRY_CAUSE_BY_OUTCOME.get(last.outcome, RetryCause.ERROR)
 
 
 def log_retry(request_id: bytes, cause: RetryCause, attempt: int, endpoint: int) -> None:
--- a/qos_gateway/server/wiring.py
+++ b/qos_gateway/server/wiring.py
@@ -13,7 +13,7 @@
 from ..types import CounterReplied
 from ..units import SECOND
 from .action_executor import ActionExecutor, ActionTargets
-from .admin.operations import AdminOperations, AdminTargets
+from .admin.operations import AdminDependencies, AdminOperations
 from .clients.close_guard import CloseGuard
 from .clients.connections import ClientConnections
 from .config import Config
@@ -243,7 +243,7 @@
 ) -> Services:
     config = core.config
     handover_channel = _build_handover_channel(config, handover)
-    targets = AdminTargets(
+    dependencies = AdminDependencies(
         clients=clients,
         requests=core.context.requests,
         endpoint_directory=directory,
@@ -252,7 +252,7 @@
         handover=handover,
         other_process=handover_channel,
     )
-    operations = AdminOperations(targets, core.context.clock)
+    operations = AdminOperations(dependencies, core.context.clock)
     return Services(
         handover=handover,
         handover_channel=handover_channel,
