--- a/tests/server/test_admin.py
+++ b/tests/server/test_admin.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from qos_gateway.server.admin import connection as admin_connection
-from qos_gateway.server.admin import server as admin
+from qos_gateway.server.admin import connection as connection_module
+from qos_gateway.server.admin import server as server_module
 from qos_gateway.server.admin.server import AdminServer
 from tests.support.event_loop import LOOPBACK, run_on_loop, wait_until, with_timeout
 
@@ -78,12 +78,14 @@
     run_on_loop(test)
 
 
-def test_requests_are_answered_that_arrive_byte_by_byte() -> None:
+def test_requests_that_arrive_byte_by_byte_are_answered() -> None:
     async def test() -> None:
         handler = FakeAdminHandler()
         async with admin_server(handler) as server:
-            command = post_request("/ops/order-servers/down", b"s-1\n")
-            status, _ = await send_request(server.port, *(command[i : i + 1] for i in range(len(command))))
+            request_bytes = post_request("/ops/order-servers/down", b"s-1\n")
+            status, _ = await send_request(
+                server.port, *(request_bytes[i : i + 1] for i in range(len(request_bytes)))
+            )
             assert status == 200
             assert handler.calls == [("s-1", True)]
             assert (await send_request(server.port, post_request("/ops/order-servers/up", b"s-1")))[0] == 200
@@ -124,7 +126,7 @@
 
 def test_incomplete_request_times_out_with_408(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr(admin_connection, "REQUEST_TIMEOUT_S", 0.02)
+        monkeypatch.setattr(connection_module, "REQUEST_TIMEOUT_S", 0.02)
         async with admin_server(FakeAdminHandler()) as server:
             assert (await send_request(server.port, get_request("/ops/stats")[:20]))[0] == 408
             without_last_byte = post_request("/ops/order-servers/down", b"s-1")[:-1]
@@ -136,13 +138,13 @@
 def test_incomplete_requests_do_not_starve_the_api() -> None:
     async def test() -> None:
         async with admin_server(FakeAdminHandler()) as server:
-            idle = [
+            incomplete = [
                 await with_timeout(asyncio.open_connection(LOOPBACK, server.port))
-                for _ in range(3 * admin.MAX_CONNECTIONS)
+                for _ in range(3 * server_module.MAX_CONNECTIONS)
             ]
             assert (await send_request(server.port, get_request("/ops/readiness")))[0] == 200
-            await wait_until(lambda: len(server._connections) <= admin.MAX_CONNECTIONS)
-            for _, writer in idle:
+            await wait_until(lambda: len(server._connections) <= server_module.MAX_CONNECTIONS)
+            for _, writer in incomplete:
                 writer.close()
 
     run_on_loop(test)
@@ -150,7 +152,7 @@
 
 def test_bind_is_retried_while_the_address_is_in_use(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr(admin, "BIND_RETRY_INTERVAL_S", 0.005)
+        monkeypatch.setattr(server_module, "BIND_RETRY_INTERVAL_S", 0.005)
         async with admin_server(FakeAdminHandler()) as first:
             second = AdminServer((LOOPBACK, first.port), FakeAdminHandler())
             await second.start()
--- a/tests/server/test_disabled_endpoint.py
+++ b/tests/server/test_disabled_endpoint.py
@@ -31,9 +31,9 @@
             assert str(await client.next_message()).startswith("BUSY")
             # Updates from discovery do not enable it.
             agent = harness.discovery
-            for seq, words in enumerate((("terminating", 0), ("terminated", 0), ("in_service", 7)), 2):
+            for seq, state in enumerate((("terminating", 0), ("terminated", 0), ("in_service", 7)), 2):
                 agent.send_update(
-                    endpoint_list(seq, endpoint_entry("s-1", harness.endpoint.port, *words), whole=False)
+                    endpoint_list(seq, endpoint_entry("s-1", harness.endpoint.port, *state), whole=False)
                 )
             await wait_until(lambda: gateway.discovery._list.version == 4)
             client.send(call_command(number=3))
@@ -44,14 +44,14 @@
             assert read_metrics(harness)["skipped_order_servers"] == 0
             while not harness.endpoint.commands.qsize():
                 client.send(call_command(number=4))
-                answered = asyncio.ensure_future(client.next_message())
+                reply = asyncio.ensure_future(client.next_message())
                 await asyncio.wait(
-                    (answered, asyncio.ensure_future(asyncio.sleep(0.1))), return_when=asyncio.FIRST_COMPLETED
+                    (reply, asyncio.ensure_future(asyncio.sleep(0.1))), return_when=asyncio.FIRST_COMPLETED
                 )
-                if not answered.done():
+                if not reply.done():
                     connection, _ = await harness.endpoint.next_command()
                     connection.send(success_reply(b"back"))
-                    assert await answered == b"back"
+                    assert await reply == b"back"
                     break
 
     run_on_loop(test)
--- a/tests/server/test_metrics.py
+++ b/tests/server/test_metrics.py
@@ -14,7 +14,7 @@
 from tests.support.metric_values import read_metrics
 
 
-def test_metrics_are_rendered_one_a_line() -> None:
+def test_each_metric_is_rendered_on_its_own_line() -> None:
     monitor = InvariantMonitor()
     metrics = Metrics((b"stock-check", b"look.up|x"), monitor.violations)
     metrics.count_request(0, RequestResult.SERVED)
@@ -70,12 +70,12 @@
     async def test() -> None:
         async with gateway_harness() as harness:
             client = await harness.connect_client()
-            for number, ending in enumerate((success_reply(b"v"), b"-ERR failed\r\n")):
+            for number, reply in enumerate((success_reply(b"v"), b"-ERR failed\r\n")):
                 client.send(call_command("charge", number))
                 connection, _ = await harness.endpoint.next_command()
                 assert read_metrics(harness)["in_progress"] == 1
                 assert read_metrics(harness)["upstream_tries"] == number + 1
-                connection.send(ending)
+                connection.send(reply)
                 await client.next_message()
             client.send(call_command("charge", 2, wait_ms=0))  # no time left for an attempt
             assert str(await client.next_message()).startswith("BUSY ")
@@ -83,7 +83,7 @@
             assert await client.next_message() == b"PONG"  # neither is a request
             await client.next_message()
             values = read_metrics(harness)
-            assert [values[f"handled.charge.{how.value}"] for how in RequestResult] == [1, 1, 1]
+            assert [values[f"handled.charge.{result.value}"] for result in RequestResult] == [1, 1, 1]
             assert sum(n for name, n in values.items() if name.startswith("handled.")) == 3
             assert (values["upstream_tries"], values["in_progress"]) == (2, 0)
             assert (values["known_order_servers"], values["skipped_order_servers"]) == (1, 0)
