--- a/qos_gateway/server/admin/connection.py
+++ b/qos_gateway/server/admin/connection.py
@@ -1,4 +1,4 @@
-"""One connection of the admin API: a request within a bounded time, its response, and the close."""
+"""A connection of the admin API, which serves one request within a time limit and then closes."""
 
 from __future__ import annotations
 
@@ -9,28 +9,30 @@
 from .http import AdminRequest, HttpError, HttpExchange, HttpResponse
 from .routes import find_route
 
-REQUEST_TIMEOUT_S = 2.0  # from connecting until the request is complete; operators wait 1 s
-CLOSE_TIMEOUT_S = 0.5  # for the client to take the response and close
+# Covers the time from the connect to the complete request; operators wait 1 s for a response.
+REQUEST_TIMEOUT_S = 2.0
+# Covers the time from the response until the client closes the connection.
+CLOSE_TIMEOUT_S = 0.5
 
 
 class AdminConnectionListener(Protocol):
-    """What a connection calls."""
+    """Receives the events of a connection."""
 
     def connection_opened(self, connection: AdminConnection) -> None:
-        """Add the connection to the open ones."""
+        """Register an open connection."""
 
     def connection_closed(self, connection: AdminConnection) -> None:
-        """Remove the connection from the open ones."""
+        """Unregister a closed connection."""
 
     def handle(self, connection: AdminConnection, request: AdminRequest) -> None:
-        """Answer the connection's only request, at once or later."""
+        """Answer the connection's only request through `answer`, immediately or later."""
 
 
 class AdminConnection(asyncio.Protocol):
-    """Serve one request, then close."""
+    """Serves one request, then closes the connection."""
 
     def __init__(self, listener: AdminConnectionListener) -> None:
-        """Take `listener` for all events of the connection; a running event loop is needed."""
+        """Report the events of the connection to `listener`; requires a running event loop."""
         self.awaits_request = True
         self._listener = listener
         self._loop = asyncio.get_running_loop()
@@ -45,7 +47,7 @@
         self._listener.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse the request; data after it is dropped."""
+        """Parse the request; data after its end is discarded."""
         if not self.awaits_request:
             return
         try:
@@ -60,9 +62,9 @@
         self._listener.handle(self, request)
 
     def answer(self, response: HttpResponse) -> None:
-        """Send the response; the connection is aborted unless the client closes it in `CLOSE_TIMEOUT_S`.
+        """Send the response; abort the connection unless the client closes it within `CLOSE_TIMEOUT_S`.
 
-        Only the first response is sent: a request may time out while it is handled.
+        Only the first response is sent, as a request may time out while its handler is running.
         """
         self.awaits_request = False
         self._cancel_timer()
@@ -75,13 +77,13 @@
         self._start_timer(CLOSE_TIMEOUT_S, self.abort)
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection immediately and discard unsent data."""
         self._cancel_timer()
         if self._transport is not None:
             self._transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # asyncio's signature
-        """Stop the timer, and report the connection as closed."""
+        """Cancel the timer, and report the connection as closed."""
         self.awaits_request = False
         self._cancel_timer()
         self._listener.connection_closed(self)
--- a/qos_gateway/server/admin/http.py
+++ b/qos_gateway/server/admin/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 for the admin API, without I/O: one request and its response on each connection."""
+"""HTTP/1.1 for the admin API, without I/O: each connection carries one request and its response."""
 
 from __future__ import annotations
 
@@ -7,15 +7,16 @@
 
 import h11
 
-MAX_HEAD_BYTES = 8 << 10  # larger than a browser sends
-MAX_BODY_BYTES = 256  # the identifier of one endpoint
+MAX_HEAD_BYTES = 8 << 10  # browsers send smaller heads
+MAX_BODY_BYTES = 256  # the body is the identifier of one endpoint
 
-H11_STATES_BEFORE_RESPONSE = (h11.IDLE, h11.SEND_RESPONSE)  # h11's states before and after the request's head
+# h11 changes from the first state to the second when it receives the head of the request.
+H11_STATES_BEFORE_RESPONSE = (h11.IDLE, h11.SEND_RESPONSE)
 
 
 @dataclass(frozen=True, slots=True)
 class RequestHead:
-    """Method and path of a request, without the query."""
+    """The method of a request, and its path without the query."""
 
     method: str
     path: str
@@ -23,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminRequest:
-    """A complete request; the body is text, stripped of surrounding space."""
+    """A complete request; the body is decoded text without surrounding whitespace."""
 
     head: RequestHead
     body: str
@@ -31,15 +32,15 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """A response in plain text."""
+    """A plain-text response."""
 
     status: int
     body: bytes
-    allowed_method: str | None = None  # for the Allow header, which status 405 requires
+    allowed_method: str | None = None  # sent in the Allow header, which status 405 requires
 
 
 class HttpError(Exception):
-    """A request that is rejected, with the status and the reason; status 405 also has the allowed method."""
+    """Rejects a request with a status and a reason, and for status 405 also with the allowed method."""
 
     def __init__(self, status: int, reason: str, allowed_method: str | None = None) -> None:
         super().__init__(reason)
@@ -52,17 +53,17 @@
 
 
 class HttpExchange:
-    """Parse the one request of a connection, and encode the response to it."""
+    """Parses the only request of a connection, and encodes the response."""
 
     def __init__(self, check_head: Callable[[RequestHead], object]) -> None:
-        """Take the check that runs before the body is read; it raises `HttpError` to reject the request."""
+        """`check_head` runs before the body is read, and raises `HttpError` to reject the request."""
         self._check_head = check_head
         self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._head: RequestHead | None = None
         self._body = b""
 
     def receive(self, data: bytes) -> AdminRequest | None:
-        """Return the request once it is complete, else None; raises `HttpError` for an invalid one."""
+        """Parse `data`; return the request once it is complete, else None; raises `HttpError` if invalid."""
         try:
             self._http.receive_data(data)
             while True:
@@ -73,19 +74,19 @@
                     self._extend_body(event.data)
                 elif isinstance(event, h11.EndOfMessage):
                     return self._finish_request()
-                else:  # more data is needed, or the client has closed
+                else:  # More data is needed, or the client has closed the connection.
                     return None
         except h11.RemoteProtocolError as error:
             raise HttpError(error.error_status_hint, f"no call: {error}") from None
 
     def encode_continue(self) -> bytes:
-        """Return the response 100 if the client waits for it before sending the body, else no bytes."""
+        """Return a 100 Continue response if the client waits for it before the body, else no bytes."""
         if not self._http.they_are_waiting_for_100_continue:
             return b""
         return self._http.send(h11.InformationalResponse(status_code=100, headers=[])) or b""
 
     def encode(self, response: HttpResponse) -> bytes:
-        """Return the bytes of the response; no bytes if a response has been encoded before."""
+        """Return the bytes of the response, or no bytes if a response was already encoded."""
         if self._http.our_state not in H11_STATES_BEFORE_RESPONSE:
             return b""
         headers = [
@@ -113,7 +114,7 @@
 
     def _finish_request(self) -> AdminRequest:
         if self._head is None:
-            raise RuntimeError("h11 ended a request that it had not begun")
+            raise RuntimeError("h11 reported the end of a request without its start")
         try:
             body = self._body.decode().strip()
         except UnicodeDecodeError:
--- a/qos_gateway/server/admin/operations.py
+++ b/qos_gateway/server/admin/operations.py
@@ -1,4 +1,4 @@
-"""The operations of the admin API, carried out on the running gateway."""
+"""The operations of the admin API on the running gateway."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
     """The other process of this gateway during an upgrade."""
 
     async def broadcast_admin_disabled(self, endpoint: int, disabled: bool) -> None:
-        """Send an operator's call to it, if it runs; wait briefly for its acknowledgement."""
+        """Forward an operator's change if the process is running; wait briefly for its acknowledgement."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True, eq=False, repr=False)
 class AdminDependencies:
-    """The parts that the operations read and change."""
+    """The components that the operations read and change."""
 
     clients: ClientConnections
     requests: OpenRequests
@@ -32,22 +32,22 @@
     metrics: Metrics
     load_balancer: LoadBalancer
     handover: Handover
-    other_process: OtherProcess | None  # None where no other process can take over
+    other_process: OtherProcess | None  # None if no other process can take over
 
 
 class AdminOperations:
-    """The operations, independent of the protocol of the calls."""
+    """The operations of the admin API, independent of HTTP."""
 
     def __init__(self, dependencies: AdminDependencies, clock: Callable[[], int]) -> None:
         self._dependencies = dependencies
         self._clock = clock
 
     def accepts_clients(self) -> bool:
-        """Return whether clients that connect are served."""
+        """Return whether new client connections are served."""
         return self._dependencies.clients.is_accepting()
 
     def render_metrics(self) -> bytes:
-        """Return all metrics in their text form."""
+        """Return all metrics in their text format."""
         dependencies = self._dependencies
         excluded = dependencies.load_balancer.excluded_count(self._clock())
         gauges = Gauges(
@@ -56,7 +56,7 @@
         return render(dependencies.metrics, gauges)
 
     async def set_endpoint_disabled(self, name: str, disabled: bool) -> bool:
-        """Disable or enable an endpoint, here and in the other process; return False if it is not known."""
+        """Disable or enable an endpoint in this process and the other one; return False if it is unknown."""
         endpoint = endpoint_id(name)
         if not self._dependencies.endpoint_directory.is_listed_or_disabled(endpoint):
             return False
--- a/qos_gateway/server/admin/routes.py
+++ b/qos_gateway/server/admin/routes.py
@@ -1,4 +1,4 @@
-"""The calls of the admin API: method, path, and handler."""
+"""The routes of the admin API: method, path, and handler."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 
 
 class AdminHandler(Protocol):
-    """The operations that the admin API calls."""
+    """The operations that the routes call."""
 
     def accepts_clients(self) -> bool:
-        """Return whether clients that connect are served."""
+        """Return whether new client connections are served."""
 
     def render_metrics(self) -> bytes:
-        """Return all metrics in their text form."""
+        """Return all metrics in their text format."""
 
     def set_endpoint_disabled(self, name: str, disabled: bool) -> Awaitable[bool]:
-        """Disable an endpoint or enable it again; the result is False if the endpoint is not known."""
+        """Disable or enable an endpoint; the result is False if the endpoint is unknown."""
 
 
 RouteHandler: TypeAlias = Callable[[AdminHandler, AdminRequest], HttpResponse | Awaitable[HttpResponse]]
-"""Return the response, or an awaitable if the call is also sent to the gateway's other process."""
+"""Returns the response, or an awaitable if the change is also forwarded to the gateway's other process."""
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One call of the admin API."""
+    """The handler of a method and path."""
 
     method: str
     path: str
--- a/qos_gateway/server/admin/server.py
+++ b/qos_gateway/server/admin/server.py
@@ -18,18 +18,19 @@
 log = logging.getLogger(__name__)
 log.addFilter(RateLimitFilter())
 
-MAX_CONNECTIONS = 24  # above it the oldest is closed, preferably one with an incomplete request
-BACKLOG_CONNECTIONS = 64  # that the kernel accepts ahead of the process
-BIND_RETRY_INTERVAL_S = 0.25  # while the previous process holds the address
+# A further connection closes the oldest one, preferably the oldest with an incomplete request.
+MAX_CONNECTIONS = 24
+BACKLOG_CONNECTIONS = 64  # queued by the kernel until the process accepts them
+BIND_RETRY_INTERVAL_S = 0.25  # the previous process may still hold the address
 
 
 class AdminServer:
-    """Serve the admin API on its own address."""
+    """Serves the admin API on its own address."""
 
     def __init__(self, address: Address, handler: AdminHandler) -> None:
-        """Take `handler` to carry out the calls; nothing is opened before `start`."""
+        """Set the handler that carries out the requests; no socket is opened before `start`."""
         self._loop = asyncio.get_running_loop()
-        self.port = 0  # set once it listens; chosen by the system if the address has port 0
+        self.port = 0  # set when the server listens; the kernel chooses it if the address has port 0
         self._address = address
         self._handler = handler
         self._connections: dict[AdminConnection, None] = {}  # oldest first
@@ -37,17 +38,20 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen; an address in use is retried in the background, so that the start does not wait for it."""
+        """Listen; after a transient error or with the address in use, retry in the background.
+
+        The start of the process does not wait for the retries.
+        """
         try:
             await self._listen()
         except OSError as error:
-            # An address in use is expected, so no traceback.
+            # An address in use is an expected error, which needs no traceback.
             log.error("admin_listen_failed address=%s:%d error=%s", *self._address, error)  # noqa: TRY400
             if error.errno == errno.EADDRINUSE or is_transient(error):
                 self._spawn(self._retry_listening())
 
     def close(self) -> None:
-        """Stop listening, cancel the calls in progress, and close all connections."""
+        """Stop listening, cancel the requests in progress, and close all connections."""
         if self._server is not None:
             self._server.close()
         for task in list(self._tasks):
@@ -56,17 +60,17 @@
             connection.abort()
 
     def connection_opened(self, connection: AdminConnection) -> None:
-        """Add a connection; above `MAX_CONNECTIONS`, close the oldest."""
+        """Register an open connection; if there are already `MAX_CONNECTIONS`, close the oldest."""
         if len(self._connections) >= MAX_CONNECTIONS:
             self._close_oldest()
         self._connections[connection] = None
 
     def connection_closed(self, connection: AdminConnection) -> None:
-        """Remove a connection from the open ones."""
+        """Unregister a closed connection."""
         self._connections.pop(connection, None)
 
     def handle(self, connection: AdminConnection, request: AdminRequest) -> None:
-        """Answer a request, at once or from a task, as its route requires."""
+        """Answer a request immediately, or from a task if its route returns an awaitable."""
         result = find_route(request.head).handle(self._handler, request)
         if isinstance(result, HttpResponse):
             connection.answer(result)
--- a/qos_gateway/server/observability/__init__.py
+++ b/qos_gateway/server/observability/__init__.py
@@ -1,1 +1,1 @@
-"""Metrics, logs, and run-time checks of invariants."""
+"""Metrics, logs, and the reporting of violated invariants."""
--- a/qos_gateway/server/observability/activity_log.py
+++ b/qos_gateway/server/observability/activity_log.py
@@ -1,4 +1,4 @@
-"""A periodic log line with the outcomes of attempts and of calls to the counter."""
+"""A periodic log line that counts the outcomes of attempts and of calls to the counter."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ActivityGauges:
-    """Callables that return the present number of requests or connections."""
+    """Callables that return the current number of requests or connections."""
 
     open_requests: Callable[[], int]
     client_connections: Callable[[], int]
@@ -26,7 +26,7 @@
 
 
 class ActivityLog:
-    """Counts the outcomes between two lines, which show faults that no single attempt shows."""
+    """Counts outcomes in each interval, which reveals faults that no single attempt shows."""
 
     def __init__(self) -> None:
         self.attempt_outcomes: Counter[Outcome] = Counter()
@@ -34,7 +34,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self, gauges: ActivityGauges) -> None:
-        """Write the first line after one interval."""
+        """Start the periodic line; the first one is written after one interval."""
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(LOG_INTERVAL_S, self._write, gauges)
 
--- a/qos_gateway/server/observability/close_reasons.py
+++ b/qos_gateway/server/observability/close_reasons.py
@@ -1,4 +1,4 @@
-"""Why the connection of a client ended."""
+"""The reasons for which client connections end."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 class CloseReason(Enum):
     """Why a client's connection ended; the values are parts of the metrics' names."""
 
-    CLIENT_CLOSED = "client_closed"  # the client closed or reset it
-    HANGUP_SEEN = "hangup_seen"  # the client closed it, which the gateway detected before the event loop
+    CLIENT_CLOSED = "client_closed"  # the client closed or reset the connection
+    HANGUP_SEEN = "hangup_seen"  # the gateway detected the client's close before the event loop did
     IDLE = "idle"
-    EVICTED = "evicted"  # to admit another connection
-    DRAINED = "drained"  # idle while the process stops
+    EVICTED = "evicted"  # closed to admit another connection
+    DRAINED = "drained"  # closed because it was idle while the process was stopping
     PROTOCOL_ERROR = "protocol_error"  # closed after an error reply
     WRITE_STALLED = "write_stalled"  # the client does not read its replies
-    VALUE_ABORTED = "value_aborted"  # a large value failed after a part of it was written
-    SHUTDOWN = "shutdown"  # open at the end of the process
+    VALUE_ABORTED = "value_aborted"  # the transfer of a large value failed after a part was written
+    SHUTDOWN = "shutdown"  # still open at the end of the process
 
 
-# Pending replies cannot reach the client.
+# After a close for one of these reasons, pending replies cannot reach the client.
 CLIENT_CAUSED_REASONS = frozenset(
     {CloseReason.CLIENT_CLOSED, CloseReason.HANGUP_SEEN, CloseReason.WRITE_STALLED}
 )
--- a/qos_gateway/server/observability/invariants.py
+++ b/qos_gateway/server/observability/invariants.py
@@ -1,4 +1,4 @@
-"""Invariants that are checked at run time: each violation is counted and logged.
+"""Invariants that are checked at run time; each violation is counted and logged.
 
 Each guard is in the package of the operation that it checks, and reports violations to `InvariantMonitor`.
 """
@@ -21,7 +21,7 @@
     SEND = "send"  # an attempt is written only to an endpoint in service, in time, for an open request
     REPEAT = "repeat"  # only requests that may be repeated can be executed twice
     CLOSE = "close"  # a connection ends only after the replies to its requests
-    START = "start"  # clients are served only with the latest endpoint list of discovery
+    START = "start"  # clients are served only with the latest endpoint list from discovery
 
 
 class InvariantMonitor:
@@ -31,7 +31,7 @@
         self.violations: Counter[Invariant] = Counter()
 
     def report(self, invariant: Invariant, rule: str, request_id: bytes = b"") -> None:
-        """Count and log one violation; `rule` names the condition that did not hold."""
+        """Count and log one violation; `rule` names the violated condition."""
         self.violations[invariant] += 1
         log.error(
             "invariant_violated invariant=%s rule=%s request=%s",
--- a/qos_gateway/server/observability/logs.py
+++ b/qos_gateway/server/observability/logs.py
@@ -1,18 +1,19 @@
-"""Limit the rate of log lines whose number clients, endpoints or operators determine."""
+"""Rate limiting of log lines that clients, endpoints or operators can trigger."""
 
 from __future__ import annotations
 
 import logging
 import time
 
-MAX_LINES_PER_WINDOW = 10  # of one logger in a window
+MAX_LINES_PER_WINDOW = 10  # for each logger
 WINDOW_S = 10.0
 
 
 class RateLimitFilter(logging.Filter):
-    """Pass the first lines of each window, so that faulty peers cannot use up the CPU with logging.
+    """Passes only the first lines of each window.
 
-    The first line of the next window carries the number of suppressed lines.
+    Faulty clients, endpoints or peers could otherwise exhaust the CPU with logging.
+    The first line of the next window includes the number of suppressed lines.
     """
 
     def __init__(self) -> None:
--- a/qos_gateway/server/observability/metrics.py
+++ b/qos_gateway/server/observability/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics for the operators: counters since the start of the process, gauges, and their text form."""
+"""Metrics for operators: counters since the start of the process, gauges, and their text format."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
 from .retry_causes import RetryCause
 
 LabelT = TypeVar("LabelT", bound=Enum)
-_UNSAFE_IN_METRIC_NAME = re.compile(r"[^0-9A-Za-z_-]")  # has a meaning within a metric's name
+# The text format reserves characters such as `.`, `:` and `|`.
+_UNSAFE_IN_METRIC_NAME = re.compile(r"[^0-9A-Za-z_-]")
 
 
 class RequestResult(StrEnum):
@@ -27,12 +28,12 @@
 
 
 class Metrics:
-    """Counters: each request is counted when it is answered, each attempt when its last byte is written."""
+    """Counters; a request is counted when it is answered, an attempt when its last byte is written."""
 
     def __init__(
         self, class_names: Iterable[bytes], violations: Mapping[Invariant, int] | None = None
     ) -> None:
-        """Take the names of the request classes, in the order of their indices, and the violations."""
+        """`class_names` is in the order of the class indices; `violations` is read at each rendering."""
         self.class_names = tuple(_UNSAFE_IN_METRIC_NAME.sub("_", name.decode()) for name in class_names)
         self.requests = [dict.fromkeys(RequestResult, 0) for _ in self.class_names]
         self.attempts = 0
@@ -48,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Gauges:
-    """Values at the time of the call."""
+    """Current values, sampled for each rendering."""
 
     open_requests: int
     listed_endpoints: int
--- a/qos_gateway/server/observability/retry_causes.py
+++ b/qos_gateway/server/observability/retry_causes.py
@@ -1,4 +1,4 @@
-"""Why a request is retried."""
+"""The causes of retries, and the cause that corresponds to each outcome of an attempt."""
 
 from __future__ import annotations
 
