--- a/tests/server/test_admin.py
+++ b/tests/server/test_admin.py
@@ -1,4 +1,4 @@
-"""The operators' API as its clients see it."""
+"""Tests of the admin API over TCP connections."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FakeAdminHandler:
-    """Stands in for the gateway."""
+    """Records the calls of the admin API, and returns fixed results."""
 
     def __init__(self) -> None:
         self.is_accepting = True
@@ -45,7 +45,7 @@
 
 
 async def send_request(port: int, *pieces: bytes) -> tuple[int, bytes]:
-    """Return status and body of the response, read to the end of the connection; 0 without one."""
+    """Send a request in pieces; return the status and body of the response, or status 0 if there is none."""
     reader, writer = await with_timeout(asyncio.open_connection(LOOPBACK, port))
     for piece in pieces:
         writer.write(piece)
@@ -106,7 +106,7 @@
         (get_request("/ops/order-servers/down"), 405),
         (post_request("/ops/stats", b""), 405),
         (b"HEAD /ops/stats HTTP/1.1\r\nHost: x\r\n\r\n", 405),
-        (b"GET /ops/stats HTTP/1.1\r\n\r\n", 400),  # no host
+        (b"GET /ops/stats HTTP/1.1\r\n\r\n", 400),  # without the Host header
         (post_request("/ops/order-servers/down", b""), 400),
         (post_request("/ops/order-servers/down", b"\xff\xfe"), 400),
         (post_request("/ops/order-servers/down", b"s" * 300), 413),
--- a/tests/server/test_disabled_endpoint.py
+++ b/tests/server/test_disabled_endpoint.py
@@ -1,4 +1,4 @@
-"""Endpoints that operators disable, as clients see it."""
+"""Tests that an endpoint disabled by operators receives no requests until it is enabled again."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
             assert await client.next_message() == b"v"  # attempts in flight continue
             client.send(call_command(number=2))
             assert str(await client.next_message()).startswith("BUSY")
-            # Updates from discovery do not enable it.
+            # Updates from discovery do not enable the endpoint.
             agent = harness.discovery
             for seq, state in enumerate((("terminating", 0), ("terminated", 0), ("in_service", 7)), 2):
                 agent.send_update(
--- a/tests/server/test_log_rate_limit.py
+++ b/tests/server/test_log_rate_limit.py
@@ -1,4 +1,4 @@
-"""Rate limits on log lines that clients and endpoints cause."""
+"""Tests of the rate limit on log lines that clients and endpoints can trigger."""
 
 from __future__ import annotations
 
--- a/tests/server/test_metrics.py
+++ b/tests/server/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics: how they are rendered, and what a request adds to them."""
+"""Tests of the rendering of metrics, and of the counters that a request increments."""
 
 from __future__ import annotations
 
@@ -80,7 +80,7 @@
             client.send(call_command("charge", 2, wait_ms=0))  # no time left for an attempt
             assert str(await client.next_message()).startswith("BUSY ")
             client.send(PING + b"*2\r\n$8\r\nCALL.GET\r\n$1\r\nx\r\n")
-            assert await client.next_message() == b"PONG"  # neither is a request
+            assert await client.next_message() == b"PONG"  # neither PING nor a malformed call is a request
             await client.next_message()
             values = read_metrics(harness)
             assert [values[f"handled.charge.{result.value}"] for result in RequestResult] == [1, 1, 1]
