--- a/qos_gateway/server/observability/retry_causes.py
+++ b/qos_gateway/server/observability/retry_causes.py
@@ -1,4 +1,4 @@
-"""Why a request is retried."""
+"""The causes of retries, and the cause that corresponds to each outcome of an attempt."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     NOT_SENT = "not_sent"
 
 
-CAUSE_OF_OUTCOME = {
+RETRY_CAUSE_BY_OUTCOME = {
     Outcome.ERROR: RetryCause.ERROR,
     Outcome.OVERLOADED: RetryCause.OVERLOADED,
     Outcome.TIMEOUT: RetryCause.TIMEOUT,
--- a/tests/server/test_metrics.py
+++ b/tests/server/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics: how they are rendered, and what a request adds to them."""
+"""Tests of the rendering of metrics, and of the counters that a request increments."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.support.metric_values import read_metrics
 
 
-def test_metrics_are_rendered_one_a_line() -> None:
+def test_each_metric_is_rendered_on_its_own_line() -> None:
     monitor = InvariantMonitor()
     metrics = Metrics((b"stock-check", b"look.up|x"), monitor.violations)
     metrics.count_request(0, RequestResult.SERVED)
@@ -70,20 +70,20 @@
     async def test() -> None:
         async with gateway_harness() as harness:
             client = await harness.connect_client()
-            for number, ending in enumerate((success_reply(b"v"), b"-ERR failed\r\n")):
+            for number, reply in enumerate((success_reply(b"v"), b"-ERR failed\r\n")):
                 client.send(call_command("charge", number))
                 connection, _ = await harness.endpoint.next_command()
                 assert read_metrics(harness)["in_progress"] == 1
                 assert read_metrics(harness)["upstream_tries"] == number + 1
-                connection.send(ending)
+                connection.send(reply)
                 await client.next_message()
             client.send(call_command("charge", 2, wait_ms=0))  # no time left for an attempt
             assert str(await client.next_message()).startswith("BUSY ")
             client.send(PING + b"*2\r\n$8\r\nCALL.GET\r\n$1\r\nx\r\n")
-            assert await client.next_message() == b"PONG"  # neither is a request
+            assert await client.next_message() == b"PONG"  # neither PING nor a malformed call is a request
             await client.next_message()
             values = read_metrics(harness)
-            assert [values[f"handled.charge.{how.value}"] for how in RequestResult] == [1, 1, 1]
+            assert [values[f"handled.charge.{result.value}"] for result in RequestResult] == [1, 1, 1]
             assert sum(n for name, n in values.items() if name.startswith("handled.")) == 3
             assert (values["upstream_tries"], values["in_progress"]) == (2, 0)
             assert (values["known_order_servers"], values["skipped_order_servers"]) == (1, 0)
