--- a/qos_gateway/server/handover/handover.py
+++ b/qos_gateway/server/handover/handover.py
@@ -22,14 +22,14 @@
 
 log = logging.getLogger(__name__)
 
-FRACTIONS = HandoverFractions(OUTGOING_FRACTION, INCOMING_FRACTION)
+HANDOVER_FRACTIONS = HandoverFractions(OUTGOING_FRACTION, INCOMING_FRACTION)
 EXTRA_CLIENT_CONNECTIONS = 4  # that the old process may accept once the next one starts
 EXTRA_ENDPOINT_CONNECTIONS = 8  # that the old process may open for retries once the next one starts
-WHOLE_MEMORY = 1.0  # the fraction of a process that shares with no other
+FULL_MEMORY_FRACTION = 1.0  # the fraction of a process that shares with no other
 
 
 @dataclass(frozen=True, slots=True, kw_only=True, eq=False, repr=False)
-class SharedParts:
+class SharedComponents:
     """The parts of the process whose state or limits two processes share."""
 
     clients: ClientConnections
@@ -43,17 +43,17 @@
 
     def __init__(
         self,
-        parts: SharedParts,
+        components: SharedComponents,
         settings: Settings,
         clock: Callable[[], int],
         dispatcher: EventDispatcher,
         apply_list: Callable[[EndpointUpdate], None],
     ) -> None:
         """Take `apply_list` to put an endpoint list into force in this process."""
-        self._clients = parts.clients
-        self._endpoint_connections = parts.endpoint_connections
-        self._discovery = parts.discovery
-        self._endpoint_directory = parts.endpoint_directory
+        self._clients = components.clients
+        self._endpoint_connections = components.endpoint_connections
+        self._discovery = components.discovery
+        self._endpoint_directory = components.endpoint_directory
         self._settings = settings
         self._clock = clock
         self._dispatcher = dispatcher
@@ -63,15 +63,15 @@
         """Return the state for the next process, and limit this one to the connections that it reports."""
         from .messages import HandoverState  # loaded by upgrades alone
 
-        client_connections = self._clients.connection_count() + EXTRA_CLIENT_CONNECTIONS
+        max_client_connections = self._clients.connection_count() + EXTRA_CLIENT_CONNECTIONS
         max_endpoint_connections = self._endpoint_connections.open_connections + EXTRA_ENDPOINT_CONNECTIONS
-        self._clients.limit(client_connections, FRACTIONS.outgoing)
+        self._clients.limit(max_client_connections, HANDOVER_FRACTIONS.outgoing)
         self._endpoint_connections.restrict_connections(max_endpoint_connections)
         return HandoverState(
             endpoint_list=self._discovery.current_list(),
-            client_connections=client_connections,
+            max_client_connections=max_client_connections,
             max_endpoint_connections=max_endpoint_connections,
-            engine=capture(self._dispatcher.engine, self._clock(), FRACTIONS),
+            engine=capture(self._dispatcher.engine, self._clock(), HANDOVER_FRACTIONS),
         )
 
     def restore_state(self, received: ReceivedState, list_is_current: bool) -> None:
@@ -85,11 +85,13 @@
             if not list_is_current and endpoint_list is not None:
                 self._apply_list(self._discovery.restore_list(endpoint_list))
             state = received.decode(len(self._settings.plans), len(self._settings.classes))
-            restore(engine, self._clock(), state.engine, FRACTIONS.incoming)
+            restore(engine, self._clock(), state.engine, HANDOVER_FRACTIONS.incoming)
         except (KeyError, TypeError, ValueError) as error:
             log.error("handover_state_invalid error=%s", error)  # noqa: TRY400  # the other side's fault
             return
-        self._clients.limit(self._clients.max_connections - state.client_connections, FRACTIONS.incoming)
+        self._clients.limit(
+            self._clients.max_connections - state.max_client_connections, HANDOVER_FRACTIONS.incoming
+        )
         self._endpoint_connections.restrict_connections(
             self._endpoint_connections.max_connections - state.max_endpoint_connections
         )
@@ -103,6 +105,6 @@
 
     def on_other_process_ended(self) -> None:
         """Use all of what the two processes shared."""
-        self._clients.limit(None, WHOLE_MEMORY)
+        self._clients.limit(None, FULL_MEMORY_FRACTION)
         self._endpoint_connections.restrict_connections(None)
         complete(self._dispatcher.engine)
--- a/qos_gateway/server/handover/messages.py
+++ b/qos_gateway/server/handover/messages.py
@@ -31,7 +31,7 @@
     """State of a process for the next one."""
 
     endpoint_list: JsonObject | None  # in discovery's form; None before the first one
-    client_connections: int  # upper limit of the process until it ends
+    max_client_connections: int  # upper limit of the process until it ends
     max_endpoint_connections: int
     engine: EngineSnapshot
 
@@ -53,13 +53,13 @@
         """Return the state; raises `SnapshotFormatError` unless it fits the numbers of plans and classes."""
         endpoint_list = self.endpoint_list()
         try:
-            client_connections = int(self.raw[HandoverStateKey.CLIENT_CONNECTIONS])
+            max_client_connections = int(self.raw[HandoverStateKey.CLIENT_CONNECTIONS])
             max_endpoint_connections = int(self.raw[HandoverStateKey.MAX_ENDPOINT_CONNECTIONS])
             raw_engine = self.raw[HandoverStateKey.ENGINE]
         except (KeyError, TypeError, ValueError) as error:
             raise SnapshotFormatError(f"handover state: {type(error).__name__}: {error}") from None
         engine = decode_snapshot(raw_engine, plan_count, class_count)
-        return HandoverState(endpoint_list, client_connections, max_endpoint_connections, engine)
+        return HandoverState(endpoint_list, max_client_connections, max_endpoint_connections, engine)
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,7 +118,7 @@
 def _encode_state(state: HandoverState) -> JsonObject:
     return {
         HandoverStateKey.ENDPOINT_LIST: state.endpoint_list,
-        HandoverStateKey.CLIENT_CONNECTIONS: state.client_connections,
+        HandoverStateKey.CLIENT_CONNECTIONS: state.max_client_connections,
         HandoverStateKey.MAX_ENDPOINT_CONNECTIONS: state.max_endpoint_connections,
         HandoverStateKey.ENGINE: encode_snapshot(state.engine),
     }
--- a/qos_gateway/server/handover/open_connections.py
+++ b/qos_gateway/server/handover/open_connections.py
@@ -12,7 +12,7 @@
 
 log = logging.getLogger(__name__)
 
-ACKNOWLEDGE_TIMEOUT_S = 0.3  # of an operator's call; its client waits 1 s for the response
+ACKNOWLEDGEMENT_TIMEOUT_S = 0.3  # of an operator's call; its client waits 1 s for the response
 
 
 class HandoverDelegate(Protocol):
@@ -58,7 +58,7 @@
     async def broadcast_admin_disabled(self, endpoint: int, disabled: bool) -> None:
         """Send an operator's call to the other process, if one runs; wait for its acknowledgement.
 
-        The wait ends after `ACKNOWLEDGE_TIMEOUT_S`.
+        The wait ends after `ACKNOWLEDGEMENT_TIMEOUT_S`.
         """
         pending = [
             connection.send_acknowledged(EndpointDisabled(endpoint, disabled, next(self._sequence_numbers)))
@@ -67,7 +67,7 @@
         ]
         if not pending:
             return
-        _, unacknowledged = await asyncio.wait(pending, timeout=ACKNOWLEDGE_TIMEOUT_S)
+        _, unacknowledged = await asyncio.wait(pending, timeout=ACKNOWLEDGEMENT_TIMEOUT_S)
         if unacknowledged:
             log.error("handover_call_unacknowledged endpoint=%d disabled=%s", endpoint, disabled)
 
--- a/qos_gateway/server/handover/shared_socket.py
+++ b/qos_gateway/server/handover/shared_socket.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from urllib.parse import quote
 
-MAX_PATH_BYTES = 100  # of a Unix socket's path; the system allows 108
+MAX_SOCKET_PATH_BYTES = 100  # of a Unix socket's path; the system allows 108
 BACKLOG_CONNECTIONS = 4  # one process takes over at a time
 
 
@@ -26,7 +26,7 @@
         """
         sock = _non_blocking_socket()
         try:
-            self._with_short_path(self._file_name, sock.connect)
+            self._call_with_short_path(self._file_name, sock.connect)
         except (FileNotFoundError, ConnectionRefusedError):
             sock.close()
             return None
@@ -41,7 +41,7 @@
         sock = _non_blocking_socket()
         try:
             (self._folder / new_name).unlink(missing_ok=True)
-            self._with_short_path(new_name, sock.bind)
+            self._call_with_short_path(new_name, sock.bind)
             sock.listen(BACKLOG_CONNECTIONS)
             (self._folder / new_name).replace(self._folder / self._file_name)
         except OSError:
@@ -49,15 +49,15 @@
             raise
         return sock
 
-    def _with_short_path(self, file_name: str, use: Callable[[str], None]) -> None:
-        """Call `use` with a path that fits into a Unix socket's address, also for a long folder path."""
+    def _call_with_short_path(self, file_name: str, operation: Callable[[str], None]) -> None:
+        """Call `operation` with a path short enough for a Unix socket address, even in a long folder path."""
         path = str(self._folder / file_name)
-        if len(os.fsencode(path)) <= MAX_PATH_BYTES:
-            use(path)
+        if len(os.fsencode(path)) <= MAX_SOCKET_PATH_BYTES:
+            operation(path)
             return
         descriptor = os.open(self._folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
-            use(f"/proc/self/fd/{descriptor}/{file_name}")
+            operation(f"/proc/self/fd/{descriptor}/{file_name}")
         finally:
             os.close(descriptor)
 
--- a/qos_gateway/server/wiring.py
+++ b/qos_gateway/server/wiring.py
@@ -22,7 +22,7 @@
 from .discovery.endpoint_feed import EndpointFeed
 from .endpoints.connections import EndpointConnections, EndpointLimits
 from .event_dispatcher import EventDispatcher
-from .handover.handover import Handover, SharedParts
+from .handover.handover import Handover, SharedComponents
 from .networking.clock import make_monotonic_unix_clock
 from .observability.activity_log import ActivityLog
 from .observability.invariants import InvariantMonitor
@@ -115,7 +115,7 @@
     feed = EndpointFeed(directory, dispatcher)
     discovery = _build_discovery(config, feed)
     handover = Handover(
-        SharedParts(
+        SharedComponents(
             clients=clients,
             endpoint_connections=connections,
             discovery=discovery,
--- a/tests/server/test_handover.py
+++ b/tests/server/test_handover.py
@@ -11,7 +11,7 @@
 from qos_gateway.server.handover.handover import (
     EXTRA_CLIENT_CONNECTIONS,
     EXTRA_ENDPOINT_CONNECTIONS,
-    FRACTIONS,
+    HANDOVER_FRACTIONS,
 )
 from qos_gateway.server.handover.messages import ReceivedState, StateResponse, encode_message
 from tests.support.clients import call_command
@@ -55,8 +55,12 @@
             new.gateway.services.handover.restore_state(ReceivedState(raw), list_is_current=True)
             assert new.gateway.clients.max_connections == max_clients - raw["clients"]
             assert new.gateway.endpoint_connections.max_connections == max_endpoints - raw["backends"]
-            assert old.gateway.clients.context.buffers.limit_bytes == int(memory * FRACTIONS.outgoing)
-            assert new.gateway.clients.context.buffers.limit_bytes == int(memory * FRACTIONS.incoming)
+            assert old.gateway.clients.context.buffers.limit_bytes == int(
+                memory * HANDOVER_FRACTIONS.outgoing
+            )
+            assert new.gateway.clients.context.buffers.limit_bytes == int(
+                memory * HANDOVER_FRACTIONS.incoming
+            )
             for harness in (old, new):
                 harness.gateway.services.handover.on_other_process_ended()
                 assert harness.gateway.clients.max_connections == max_clients
--- a/tests/server/test_handover_channel.py
+++ b/tests/server/test_handover_channel.py
@@ -92,7 +92,7 @@
 def test_call_that_the_other_process_does_not_acknowledge_is_logged_and_goes_on(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    monkeypatch.setattr(open_connections, "ACKNOWLEDGE_TIMEOUT_S", 0.01)
+    monkeypatch.setattr(open_connections, "ACKNOWLEDGEMENT_TIMEOUT_S", 0.01)
 
     async def test() -> None:
         channel = await listening_channel(tmp_path, Delegate())
