--- a/qos_gateway/server/handover/__init__.py
+++ b/qos_gateway/server/handover/__init__.py
@@ -1,1 +1,1 @@
-"""The handover of state from one process of a gateway to the next."""
+"""Hands over state from one process of a gateway to the next during an upgrade."""
--- a/qos_gateway/server/handover/connection.py
+++ b/qos_gateway/server/handover/connection.py
@@ -1,4 +1,4 @@
-"""One connection between two processes of a gateway: messages in, each handled, and messages out."""
+"""A connection between two processes of a gateway: sends messages, and handles those received."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LINE_BYTES = 16 << 20  # the state of some 100,000 customers
+MAX_LINE_BYTES = 16 << 20  # fits the state of about 100,000 customers
 
 
 class HandoverConnectionListener(Protocol):
-    """What a connection calls, each from its own event loop."""
+    """Receives the events of a connection, called on its event loop."""
 
     def connection_opened(self, connection: HandoverConnection) -> None:
         """Add the connection to the open ones."""
@@ -38,15 +38,15 @@
         """Return the state for the other process."""
 
     def apply_admin_disabled(self, endpoint: int, disabled: bool) -> None:
-        """Apply an operator's call that the other process received."""
+        """Apply an admin call that the other process received."""
 
 
 class HandoverConnection(asyncio.Protocol):
-    """One connection between two processes."""
+    """Exchanges newline-delimited messages with the other process."""
 
     def __init__(self, listener: HandoverConnectionListener) -> None:
-        """Take `listener` for all events of the connection; a running event loop is needed."""
-        self.state_shared = False  # state has passed over it, in either direction
+        """Report all events of the connection to `listener`; requires a running event loop."""
+        self.state_shared = False  # whether state was sent or received over this connection
         self._loop = asyncio.get_running_loop()
         self._received_state: asyncio.Future[ReceivedState] = self._loop.create_future()
         self._listener = listener
@@ -60,12 +60,12 @@
         self._listener.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
-        """Handle every complete line; an invalid message aborts the connection."""
+        """Handle every complete line; abort the connection on an invalid message."""
         self._buffer += data
         try:
             self._handle_lines()
         except (AttributeError, KeyError, TypeError, ValueError) as error:
-            log.error("handover_message_invalid error=%s", error)  # noqa: TRY400  # the other side's fault
+            log.error("handover_message_invalid error=%s", error)  # noqa: TRY400  # other process at fault
             self._abort()
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002  # asyncio's signature
@@ -73,14 +73,14 @@
         if not self._received_state.done():
             error = ConnectionResetError("the other process closed the connection")
             self._received_state.set_exception(error)
-            self._received_state.exception()  # read here, as nobody may be waiting for it
+            self._received_state.exception()  # asyncio logs exceptions that nobody retrieves
         for acknowledged in self._unacknowledged.values():
             if not acknowledged.done():
                 acknowledged.set_result(None)
         self._listener.connection_closed(self)
 
     async def request_state(self) -> ReceivedState:
-        """Return the other process's state; raises OSError if the connection closes before it arrives."""
+        """Return the other process's state; raise OSError if the connection closes first."""
         self._send(StateRequest())
         return await self._received_state
 
@@ -92,7 +92,7 @@
         return acknowledged
 
     def abandon(self) -> None:
-        """Close at once; the close does not count as the end of the other process."""
+        """Close immediately, without treating it as the end of the other process."""
         self.state_shared = False
         self._abort()
 
@@ -109,7 +109,7 @@
                 self._handle(message)
         if len(self._buffer) > MAX_LINE_BYTES:
             raise HandoverMessageError(
-                f"handover message: over {len(self._buffer)} bytes, {MAX_LINE_BYTES} at most are wanted"
+                f"handover message: line of at least {len(self._buffer)} bytes, maximum {MAX_LINE_BYTES}"
             )
 
     def _handle(self, message: ReceivedMessage) -> None:
--- a/qos_gateway/server/handover/handover.py
+++ b/qos_gateway/server/handover/handover.py
@@ -1,4 +1,4 @@
-"""The state and limits that two processes of a gateway share: captured, restored, and released at the end."""
+"""Captures and restores gateway state, and splits the limits while two processes of a gateway run."""
 
 from __future__ import annotations
 
@@ -23,14 +23,16 @@
 log = logging.getLogger(__name__)
 
 HANDOVER_FRACTIONS = HandoverFractions(OUTGOING_FRACTION, INCOMING_FRACTION)
-EXTRA_CLIENT_CONNECTIONS = 4  # that the old process may accept once the next one starts
-EXTRA_ENDPOINT_CONNECTIONS = 8  # that the old process may open for retries once the next one starts
-FULL_MEMORY_FRACTION = 1.0  # the fraction of a process that shares with no other
+# Headroom of the old process above its open connections: it may still accept clients and open
+# connections for retries after the next process has started.
+EXTRA_CLIENT_CONNECTIONS = 4
+EXTRA_ENDPOINT_CONNECTIONS = 8
+FULL_MEMORY_FRACTION = 1.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True, eq=False, repr=False)
 class SharedComponents:
-    """The parts of the process whose state or limits two processes share."""
+    """Components whose state is handed over, or whose limits are split between the two processes."""
 
     clients: ClientConnections
     endpoint_connections: EndpointConnections
@@ -39,7 +41,7 @@
 
 
 class Handover:
-    """Captures the state for the next process, and restores that of the one before."""
+    """Captures the state for the next process, and restores the state of the previous one."""
 
     def __init__(
         self,
@@ -49,7 +51,7 @@
         dispatcher: EventDispatcher,
         apply_list: Callable[[EndpointUpdate], None],
     ) -> None:
-        """Take `apply_list` to put an endpoint list into force in this process."""
+        """Use `apply_list` to apply an endpoint list in this process."""
         self._clients = components.clients
         self._endpoint_connections = components.endpoint_connections
         self._discovery = components.discovery
@@ -60,8 +62,8 @@
         self._apply_list = apply_list
 
     def capture_state(self) -> HandoverState:
-        """Return the state for the next process, and limit this one to the connections that it reports."""
-        from .messages import HandoverState  # loaded by upgrades alone
+        """Return the state for the next process, and limit this one to the connections stated there."""
+        from .messages import HandoverState  # imported lazily: only upgrades need it
 
         max_client_connections = self._clients.connection_count() + EXTRA_CLIENT_CONNECTIONS
         max_endpoint_connections = self._endpoint_connections.open_connections + EXTRA_ENDPOINT_CONNECTIONS
@@ -75,9 +77,9 @@
         )
 
     def restore_state(self, received: ReceivedState, list_is_current: bool) -> None:
-        """Restore the previous process's state; its endpoint list only if `list_is_current` is false.
+        """Restore the previous process's state, and its endpoint list unless `list_is_current`.
 
-        An invalid state is logged and dropped.
+        An invalid state is logged, and the limits of this process stay unchanged.
         """
         engine = self._dispatcher.engine
         try:
@@ -87,7 +89,7 @@
             state = received.decode(len(self._settings.plans), len(self._settings.classes))
             restore(engine, self._clock(), state.engine, HANDOVER_FRACTIONS.incoming)
         except (KeyError, TypeError, ValueError) as error:
-            log.error("handover_state_invalid error=%s", error)  # noqa: TRY400  # the other side's fault
+            log.error("handover_state_invalid error=%s", error)  # noqa: TRY400  # other process at fault
             return
         self._clients.limit(
             self._clients.max_connections - state.max_client_connections, HANDOVER_FRACTIONS.incoming
@@ -99,12 +101,12 @@
         log.info("handover_completed endpoints_disabled=%d", self._endpoint_directory.admin_disabled_count())
 
     def apply_admin_disabled(self, endpoint: int, disabled: bool) -> None:
-        """Apply an operator's call, whichever process received it."""
+        """Disable or enable an endpoint, for an admin call that either process received."""
         self._dispatcher.handle(SetEndpointEnabled(endpoint, not disabled))
         self._endpoint_directory.set_admin_disabled(endpoint, disabled)
 
     def on_other_process_ended(self) -> None:
-        """Use all of what the two processes shared."""
+        """Restore the full limits and quota of this process."""
         self._clients.limit(None, FULL_MEMORY_FRACTION)
         self._endpoint_connections.restrict_connections(None)
         complete(self._dispatcher.engine)
--- a/qos_gateway/server/handover/messages.py
+++ b/qos_gateway/server/handover/messages.py
@@ -1,6 +1,6 @@
-"""Messages between two processes of one gateway, and their form on the wire: JSON, one object a line.
+"""Messages between two processes of a gateway, and their wire format: one JSON object per line.
 
-Processes of different releases exchange them: keys and their order must not change within `VERSION`.
+Processes of different releases exchange them: keys and their order must not change within a `VERSION`.
 """
 
 from __future__ import annotations
@@ -19,38 +19,39 @@
 from ...edge_names import HandoverKey, HandoverStateKey
 
 VERSION = 1
-REQUESTED_STATE = HandoverKey.STATE  # the only value of a request
+REQUESTED_STATE = HandoverKey.STATE  # state is all that a process can request
 
 
 class HandoverMessageError(ValueError):
-    """A message that is malformed or of another version."""
+    """Raised for a message that is malformed or has an unsupported version."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandoverState:
-    """State of a process for the next one."""
+    """The state that a process hands over to the next one."""
 
-    endpoint_list: JsonObject | None  # in discovery's form; None before the first one
-    max_client_connections: int  # upper limit of the process until it ends
+    endpoint_list: JsonObject | None  # in discovery's JSON format; None until a list is received
+    # Connection limits of the old process until it ends.
+    max_client_connections: int
     max_endpoint_connections: int
     engine: EngineSnapshot
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedState:
-    """A state as received. Each part is decoded and checked when it is used."""
+    """Received state; each part is decoded and validated only when it is used."""
 
     raw: JsonObject
 
     def endpoint_list(self) -> JsonObject | None:
-        """Return the endpoint list in discovery's form; raises `SnapshotFormatError` where it is missing."""
+        """Return the list in discovery's JSON format; raise `SnapshotFormatError` if its key is missing."""
         if HandoverStateKey.ENDPOINT_LIST not in self.raw:
-            raise SnapshotFormatError(f"handover state: key {HandoverStateKey.ENDPOINT_LIST!r} missing")
+            raise SnapshotFormatError(f"handover state: key {HandoverStateKey.ENDPOINT_LIST!r} is missing")
         endpoint_list: JsonObject | None = self.raw[HandoverStateKey.ENDPOINT_LIST]
         return endpoint_list
 
     def decode(self, plan_count: int, class_count: int) -> HandoverState:
-        """Return the state; raises `SnapshotFormatError` unless it fits the numbers of plans and classes."""
+        """Return the state; raise `SnapshotFormatError` if malformed or for other plan or class counts."""
         endpoint_list = self.endpoint_list()
         try:
             max_client_connections = int(self.raw[HandoverStateKey.CLIENT_CONNECTIONS])
@@ -69,14 +70,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StateResponse:
-    """The requested state."""
+    """Answers a `StateRequest` with the state."""
 
     state: HandoverState
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointDisabled:
-    """An operator has disabled an endpoint, or enabled it again; requires an `Acknowledgement`."""
+    """Reports that an admin call disabled or enabled an endpoint; requires an `Acknowledgement`."""
 
     endpoint: int
     disabled: bool
@@ -85,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledgement:
-    """The message with this sequence number has been applied."""
+    """Confirms that the message with this sequence number was applied."""
 
     sequence_number: int
 
@@ -95,7 +96,7 @@
 
 
 def encode_message(message: SentMessage) -> bytes:
-    """Return the line for a message."""
+    """Return the message as one line, including its line end."""
     return json.dumps({HandoverKey.VERSION: VERSION, **_encode_fields(message)}).encode() + b"\n"
 
 
@@ -125,9 +126,9 @@
 
 
 def decode_message(line: bytes) -> ReceivedMessage | None:
-    """Return the message of a line, or None if its kind is unknown.
+    """Return the message in a line, or None if its type is unknown.
 
-    Raises `HandoverMessageError` for a malformed message or another version.
+    Raises `HandoverMessageError` if the message is malformed or has an unsupported version.
     """
     try:
         raw = json.loads(line)
@@ -136,7 +137,7 @@
             return _decode_fields(raw)
     except (AttributeError, KeyError, TypeError, ValueError) as error:
         raise HandoverMessageError(f"handover message: {type(error).__name__}: {error}") from None
-    raise HandoverMessageError(f"handover message: version {version!r}, {VERSION} wanted")
+    raise HandoverMessageError(f"handover message: unsupported version {version!r}, expected {VERSION}")
 
 
 def _decode_fields(raw: Any) -> ReceivedMessage | None:
--- a/qos_gateway/server/handover/open_connections.py
+++ b/qos_gateway/server/handover/open_connections.py
@@ -1,4 +1,4 @@
-"""The open connections to other processes of this gateway, and the operators' calls that they share."""
+"""Tracks open connections to other processes of this gateway, and forwards admin calls over them."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 log = logging.getLogger(__name__)
 
-ACKNOWLEDGEMENT_TIMEOUT_S = 0.3  # of an operator's call; its client waits 1 s for the response
+ACKNOWLEDGEMENT_TIMEOUT_S = 0.3  # the sender of an admin call waits 1 s for its response
 
 
 class HandoverDelegate(Protocol):
-    """What the other process causes in this one."""
+    """Performs the actions that the other process triggers in this one."""
 
     def capture_state(self) -> HandoverState:
         """Return the state for the next process."""
 
     def apply_admin_disabled(self, endpoint: int, disabled: bool) -> None:
-        """Apply an operator's call that the other process received."""
+        """Apply an admin call that the other process received."""
 
     def on_other_process_ended(self) -> None:
-        """Use all of what the two processes shared."""
+        """Restore the full limits and quota of this process."""
 
 
 class OpenHandoverConnections:
-    """All open connections; they show whether the other process runs."""
+    """The set of open connections; those with shared state show that the other process is running."""
 
     def __init__(self, delegate: HandoverDelegate) -> None:
         self.connections: set[HandoverConnection] = set()
@@ -37,11 +37,11 @@
         self._sequence_numbers = count(1)
 
     def connection_opened(self, connection: HandoverConnection) -> None:
-        """Add the connection."""
+        """Add the connection to the open ones."""
         self.connections.add(connection)
 
     def connection_closed(self, connection: HandoverConnection) -> None:
-        """Remove the connection; the last one with shared state marks the end of the other process."""
+        """Remove the connection; if it was the last with shared state, the other process has ended."""
         self.connections.discard(connection)
         if connection.state_shared and not any(each.state_shared for each in self.connections):
             log.info("handover_other_process_ended")
@@ -52,13 +52,13 @@
         return self._delegate.capture_state()
 
     def apply_admin_disabled(self, endpoint: int, disabled: bool) -> None:
-        """Apply an operator's call that the other process received."""
+        """Apply an admin call that the other process received."""
         self._delegate.apply_admin_disabled(endpoint, disabled)
 
     async def broadcast_admin_disabled(self, endpoint: int, disabled: bool) -> None:
-        """Send an operator's call to the other process, if one runs; wait for its acknowledgement.
+        """Forward an admin call to the other process, if one runs.
 
-        The wait ends after `ACKNOWLEDGEMENT_TIMEOUT_S`.
+        Waits up to `ACKNOWLEDGEMENT_TIMEOUT_S` for the acknowledgement.
         """
         pending = [
             connection.send_acknowledged(EndpointDisabled(endpoint, disabled, next(self._sequence_numbers)))
@@ -72,6 +72,6 @@
             log.error("handover_call_unacknowledged endpoint=%d disabled=%s", endpoint, disabled)
 
     def close(self) -> None:
-        """Close all connections at once."""
+        """Close all connections immediately."""
         for connection in list(self.connections):
             connection.abandon()
--- a/qos_gateway/server/handover/shared_socket.py
+++ b/qos_gateway/server/handover/shared_socket.py
@@ -1,4 +1,4 @@
-"""The Unix socket under a gateway's name, in the folder that its processes share."""
+"""The Unix socket of a gateway, named after it, in the folder that its processes share."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from pathlib import Path
 from urllib.parse import quote
 
-MAX_SOCKET_PATH_BYTES = 100  # of a Unix socket's path; the system allows 108
-BACKLOG_CONNECTIONS = 4  # one process takes over at a time
+MAX_SOCKET_PATH_BYTES = 100  # Linux allows 108
+BACKLOG_CONNECTIONS = 4  # only one process takes over at a time
 
 
 class SharedSocket:
-    """Connects to the socket of the serving process, or replaces it by a socket of this process."""
+    """Connects to the socket of the serving process, or replaces it with a socket of this process."""
 
     def __init__(self, folder: str, gateway_name: str) -> None:
         self._folder = Path(folder)
@@ -36,7 +36,7 @@
         return sock
 
     def listen(self) -> socket.socket:
-        """Return a listening socket that has atomically replaced any earlier one; raises OSError."""
+        """Return a listening socket that atomically replaced any previous one; raise OSError on failure."""
         new_name = f"{self._file_name}.{os.getpid()}"
         sock = _non_blocking_socket()
         try:
--- a/qos_gateway/server/handover/takeover.py
+++ b/qos_gateway/server/handover/takeover.py
@@ -1,4 +1,4 @@
-"""Taking over: the state of the process that still serves, requested over the shared socket."""
+"""Requests the state of the serving process over the shared socket."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 log = logging.getLogger(__name__)
 
-STATE_TIMEOUT_S = 0.5  # from connecting until the state is received; delays the start by this at most
+STATE_TIMEOUT_S = 0.5  # covers connecting and receiving; bounds the delay of the start
 
 
 async def request_state(
     shared_socket: SharedSocket, listener: HandoverConnectionListener
 ) -> ReceivedState | None:
-    """Return the state of the serving process; None if none serves, or if its state is not received in time.
+    """Return the state of the serving process; None if there is none or it does not respond in time.
 
-    A connection over which state was received stays open.
+    The connection stays open after the state was received: its close shows that the other process has ended.
     """
     try:
         sock = shared_socket.connect()
     except OSError as error:
-        log.error("handover_unreachable error=%s", error)  # noqa: TRY400  # the file system's fault
+        log.error("handover_unreachable error=%s", error)  # noqa: TRY400  # file system error
         return None
     return None if sock is None else await _receive_state(sock, listener)
 
@@ -39,8 +39,8 @@
             )
             return await connection.request_state()
     except (OSError, TimeoutError) as error:
-        reason = str(error) or f"no state within {STATE_TIMEOUT_S} s"
-        log.error("handover_state_missing error=%s", reason)  # noqa: TRY400  # the other side's fault
+        reason = str(error) or f"no state received within {STATE_TIMEOUT_S} s"
+        log.error("handover_state_missing error=%s", reason)  # noqa: TRY400  # other process at fault
         if connection is not None:
             connection.abandon()
         return None
