--- a/tests/server/test_handover.py
+++ b/tests/server/test_handover.py
@@ -1,4 +1,4 @@
-"""What two processes of one gateway share while both live, and what one has again once it is alone."""
+"""Handover: two processes of a gateway split its limits, and the remaining one regains all of them."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from tests.support.gateway_harness import GatewayHarness, gateway_harness
 
 
-async def serve_one(harness: GatewayHarness) -> None:
+async def serve_one_request(harness: GatewayHarness) -> None:
     client = await harness.connect_client()
     client.send(call_command())
     connection, _ = await harness.endpoint.next_command()
@@ -29,23 +29,23 @@
     assert await client.next_message() == b"v"
 
 
-def captured(harness: GatewayHarness) -> dict[str, Any]:
-    """The state as the next process receives it."""
+def captured_state(harness: GatewayHarness) -> dict[str, Any]:
+    """Return the state in the form that the next process receives."""
     line = encode_message(StateResponse(harness.gateway.services.handover.capture_state()))
     raw: dict[str, Any] = json.loads(line)["state"]
     return raw
 
 
-def test_old_process_keeps_its_open_connections_and_the_new_one_gets_the_others() -> None:
+def test_old_process_keeps_its_open_connections_and_the_new_one_gets_the_remaining_limits() -> None:
     async def test() -> None:
         async with gateway_harness() as old, gateway_harness() as new:
-            await serve_one(old)
+            await serve_one_request(old)
             max_clients, max_endpoints = (
                 old.gateway.clients.max_connections,
                 old.gateway.endpoint_connections.max_connections,
             )
             memory = old.gateway.clients.context.buffers.limit_bytes
-            raw = captured(old)
+            raw = captured_state(old)
             assert raw["clients"] == old.gateway.clients.max_connections == 1 + EXTRA_CLIENT_CONNECTIONS
             assert (
                 raw["backends"]
@@ -72,12 +72,12 @@
 
 
 @pytest.mark.parametrize("list_is_current", [True, False])
-def test_list_of_the_old_process_is_taken_over_only_where_discovery_has_told_of_none(
+def test_list_of_the_old_process_is_used_only_without_a_list_from_discovery(
     list_is_current: bool,
 ) -> None:
     async def test() -> None:
         async with gateway_harness() as old, gateway_harness() as new:
-            raw = captured(old)
+            raw = captured_state(old)
             raw["list"] = endpoint_list(9, *(endpoint_entry(f"s-{n}", 1) for n in range(3)))
             new.gateway.services.handover.restore_state(ReceivedState(raw), list_is_current)
             assert new.gateway.endpoint_directory.listed_count() == (1 if list_is_current else 3)
@@ -86,12 +86,12 @@
 
 
 @pytest.mark.parametrize("key", ["list", "clients", "backends", "decisions"])
-def test_state_that_lacks_a_key_leaves_the_new_process_with_all_its_limits(
+def test_state_with_a_missing_key_leaves_the_new_process_with_its_full_limits(
     key: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
         async with gateway_harness() as old, gateway_harness() as new:
-            raw = captured(old)
+            raw = captured_state(old)
             del raw[key]
             max_clients, max_endpoints = (
                 new.gateway.clients.max_connections,
--- a/tests/server/test_handover_channel.py
+++ b/tests/server/test_handover_channel.py
@@ -1,4 +1,4 @@
-"""The channel between two processes, with the other process played by the test."""
+"""The handover channel, with a client of the test in place of the other process."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 ENGINE: dict[str, Any] = json.loads((FIXTURES / "handover_state.json").read_text())["written"]
 
 
-class Delegate:
-    """Stands in for the gateway."""
+class FakeDelegate:
+    """Records the calls that the gateway would receive from the channel."""
 
     def __init__(self) -> None:
         self.disabled: list[tuple[int, bool]] = []
-        self.ended = 0
+        self.ended_count = 0
 
     def capture_state(self) -> HandoverState:
         return HandoverState(None, 5, 9, decode_snapshot(ENGINE, 2, len(ENGINE["latency"])))
@@ -35,11 +35,11 @@
         self.disabled.append((endpoint, disabled))
 
     def on_other_process_ended(self) -> None:
-        self.ended += 1
+        self.ended_count += 1
 
 
 class OtherProcess:
-    """The process that takes over, line by line."""
+    """A client of the channel that exchanges raw lines, in place of the next process."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -57,16 +57,18 @@
     return OtherProcess(*await with_timeout(streams))
 
 
-async def listening_channel(folder: Path, delegate: Delegate) -> HandoverChannel:
+async def listening_channel(folder: Path, delegate: FakeDelegate) -> HandoverChannel:
     channel = HandoverChannel(str(folder), "n/0", delegate)
-    assert await channel.request_state() is None  # nobody serves yet
+    assert await channel.request_state() is None  # no process is listening yet
     await channel.listen()
     return channel
 
 
-def test_state_is_handed_over_and_calls_are_shared_until_the_other_process_ends(tmp_path: Path) -> None:
+def test_state_is_handed_over_and_admin_calls_are_forwarded_until_the_other_process_ends(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
-        delegate = Delegate()
+        delegate = FakeDelegate()
         channel = await listening_channel(tmp_path, delegate)
         other = await connect(tmp_path)
         other.send(b'{"v": 1, "want": "state"}\n')
@@ -76,26 +78,26 @@
         other.send(b'{"v": 1, "backend": 7, "out": true, "n": 3}\n')
         assert await other.next_message() == {"v": 1, "done": 3}
         assert delegate.disabled == [(7, True)]
-        shared = asyncio.create_task(channel.broadcast_admin_disabled(8, False))
+        broadcast = asyncio.create_task(channel.broadcast_admin_disabled(8, False))
         assert await other.next_message() == {"v": 1, "backend": 8, "out": False, "n": 1}
-        assert not shared.done()
+        assert not broadcast.done()
         other.send(b'{"v": 1, "done": 1}\n')
-        await with_timeout(shared)
-        assert delegate.ended == 0
+        await with_timeout(broadcast)
+        assert delegate.ended_count == 0
         other.writer.close()
-        await wait_until(lambda: delegate.ended == 1)
+        await wait_until(lambda: delegate.ended_count == 1)
         channel.close()
 
     run_on_loop(test)
 
 
-def test_call_that_the_other_process_does_not_acknowledge_is_logged_and_goes_on(
+def test_unacknowledged_admin_call_is_logged_and_completes(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     monkeypatch.setattr(open_connections, "ACKNOWLEDGEMENT_TIMEOUT_S", 0.01)
 
     async def test() -> None:
-        channel = await listening_channel(tmp_path, Delegate())
+        channel = await listening_channel(tmp_path, FakeDelegate())
         other = await connect(tmp_path)
         other.send(b'{"v": 1, "want": "state"}\n')
         await other.next_message()
@@ -108,13 +110,13 @@
 
 
 @pytest.mark.parametrize("line", [b"{\n", b'{"v": 2, "want": "state"}\n', b"x" * 70_000])
-def test_message_that_cannot_be_read_ends_the_connection(
+def test_invalid_message_closes_the_connection(
     line: bytes, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     monkeypatch.setattr(handover_connection, "MAX_LINE_BYTES", 1 << 16)
 
     async def test() -> None:
-        delegate = Delegate()
+        delegate = FakeDelegate()
         channel = await listening_channel(tmp_path, delegate)
         other = await connect(tmp_path)
         other.send(line)
@@ -122,7 +124,7 @@
             await other.next_message()
         assert "handover_message_invalid" in caplog.text
         await wait_until(lambda: not channel._open.connections)
-        assert delegate.ended == 0  # no state went over it
+        assert delegate.ended_count == 0  # the connection transferred no state
         channel.close()
 
     run_on_loop(test)
--- a/tests/server/test_upgrade.py
+++ b/tests/server/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Upgrades: the next process starts beside the one that serves, and takes over its state and socket."""
+"""Upgrades: a new process starts while the old one serves, and takes over its state and socket."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 ) -> None:
     async def test() -> None:
         async with inherited_socket_host(tmp_path) as host, host.serving() as old:
-            taken, idle = await old.client(), await old.client()
+            busy, idle = await old.client(), await old.client()
             idle.send(PING)
             assert await idle.next_message() == b"PONG"
-            taken.send(call_command(number=1))
+            busy.send(call_command(number=1))
             first, _ = await host.endpoint.next_command()
             async with host.serving() as new:
                 old.process.send_signal(signal.SIGTERM)
                 await old.logged(b"stopping")
                 assert await idle.next_message() is None
-                for number in range(2, 12):  # the old accepts no more
+                for number in range(2, 12):  # the old process no longer accepts clients
                     client = await new.client()
                     client.send(call_command(number=number))
                     connection, words = await host.endpoint.next_command()
@@ -38,8 +38,8 @@
                     assert await client.next_message() == b"new"
                 assert old.process.returncode is None
                 first.send(success_reply(b"old"))
-                assert await taken.next_message() == b"old"
-                assert await taken.next_message() is None
+                assert await busy.next_message() == b"old"
+                assert await busy.next_message() is None
                 assert await with_timeout(old.process.wait()) == 0
                 client = await new.client()
                 client.send(call_command(number=20))
@@ -50,18 +50,18 @@
     run_on_loop(test)
 
 
-def test_disabled_endpoint_stays_disabled_over_an_upgrade_and_either_process_takes_the_call(
+def test_disabled_endpoint_stays_disabled_over_an_upgrade_and_both_processes_apply_admin_calls(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        two = FakeEndpoint()
-        async with listening(two), inherited_socket_host(tmp_path, two) as host:
-            one = host.endpoint
+        second = FakeEndpoint()
+        async with listening(second), inherited_socket_host(tmp_path, second) as host:
+            first = host.endpoint
             async with host.serving() as old:
-                kept = await old.client()
-                kept.send(call_command(number=1, wait_ms=9000))
-                await wait_until(lambda: one.commands.qsize() + two.commands.qsize() == 1)
-                held = (one if one.commands.qsize() else two).commands.get_nowait()[0]
+                old_client = await old.client()
+                old_client.send(call_command(number=1, wait_ms=9000))
+                await wait_until(lambda: first.commands.qsize() + second.commands.qsize() == 1)
+                unanswered = (first if first.commands.qsize() else second).commands.get_nowait()[0]
                 assert await call_admin(old, "/ops/order-servers/down", b"s-1") == 200
                 async with host.serving() as new:
                     assert b"handover_completed endpoints_disabled=1" in new.log_read
@@ -78,12 +78,12 @@
                         client.send(call_command(number=number))
                         answered = asyncio.ensure_future(client.next_message())
                         while not answered.done():
-                            assert two.commands.empty()  # disabled: it gets no request
-                            if not one.commands.empty():
-                                one.commands.get_nowait()[0].send(success_reply(b"v"))
+                            assert second.commands.empty()  # a disabled endpoint receives no requests
+                            if not first.commands.empty():
+                                first.commands.get_nowait()[0].send(success_reply(b"v"))
                             await asyncio.sleep(0.001)
-                    held.send(success_reply(b"old"))
-                    assert await kept.next_message() == b"old"
+                    unanswered.send(success_reply(b"old"))
+                    assert await old_client.next_message() == b"old"
                     assert await with_timeout(old.process.wait()) == 0
                     await new.logged(b"handover_other_process_ended")
                     assert await call_admin(new, "/ops/order-servers/up", b"s-2") == 200
@@ -92,7 +92,7 @@
     run_on_loop(test)
 
 
-def test_old_process_regains_its_shares_when_the_new_one_dies(tmp_path: Path) -> None:
+def test_old_process_regains_its_full_limits_when_the_new_one_is_killed(tmp_path: Path) -> None:
     async def test() -> None:
         async with inherited_socket_host(tmp_path) as host, host.serving() as old:
             async with host.serving() as new:
@@ -156,7 +156,7 @@
             async with host.serving() as killed:
                 killed.process.kill()
                 await killed.process.wait()
-            async with host.serving() as p:  # finds the socket of a process that has ended
+            async with host.serving() as p:  # finds the socket file of the killed process
                 assert await call_admin(p, "/ops/order-servers/down", b"s-1") == 200
                 async with host.serving() as new:
                     assert b"handover_completed endpoints_disabled=1" in new.log_read
@@ -165,7 +165,7 @@
 
 
 @pytest.mark.parametrize("descriptor", ["0", "999"])
-def test_inherited_descriptor_that_is_no_listening_socket_is_ignored(tmp_path: Path, descriptor: str) -> None:
+def test_inherited_descriptor_without_a_listening_socket_is_ignored(tmp_path: Path, descriptor: str) -> None:
     async def test() -> None:
         async with running(tmp_path, ROUTER_PASSED_SOCKET=descriptor) as p:
             client = await p.client()
