--- a/tests/decisions/test_many_gateways.py
+++ b/tests/decisions/test_many_gateways.py
@@ -65,9 +65,8 @@
 def test_each_endpoint_is_in_about_ten_subsets_even_when_half_are_ejected() -> None:
     assert set(gateways_by_endpoint(set()).values()) <= {9, 10, 11}
     assert min(sorted(gateways_by_endpoint(set(range(30))).values())[30:]) >= 10
-    assert set(gateways_by_endpoint(set(), 3, 9).values()) == {
-        3
-    }  # in a small fleet every gateway uses every endpoint
+    # In a small fleet, every gateway uses every endpoint.
+    assert set(gateways_by_endpoint(set(), 3, 9).values()) == {3}
 
 
 def test_endpoint_in_slow_start_accumulates_no_tokens_outside_the_subset() -> None:
