--- a/qos_gateway/decisions/load_balancing/endpoint_state.py
+++ b/qos_gateway/decisions/load_balancing/endpoint_state.py
@@ -156,7 +156,7 @@
             slow_start_tokens=self.slow_start_bucket.tokens,
             disabled_at=self.disabled_at,
             assumed_start=max(self.assumed_start, self.corrected_start),
-            slowness=MeanSnapshot.of(self.relative_latency),
+            relative_latency=MeanSnapshot.of(self.relative_latency),
         )
 
     def can_restore(self, snapshot: EndpointSnapshot) -> bool:
@@ -174,4 +174,4 @@
         self.assumed_start = snapshot.assumed_start
         if self.corrected_start and snapshot.assumed_start:
             self.corrected_start = snapshot.assumed_start
-        self.relative_latency = snapshot.slowness.to_mean()
+        self.relative_latency = snapshot.relative_latency.to_mean()
--- a/qos_gateway/decisions/requests/stalled_requests.py
+++ b/qos_gateway/decisions/requests/stalled_requests.py
@@ -21,12 +21,12 @@
 
     def outstanding_attempts(self, now: int) -> list[OutstandingAttempt]:
         """Return the last attempt of each open request, except for those whose response was probably lost."""
-        latest_answered_send = self._load_balancer.response_statistics.latest_successful_send
+        latest_successful_send = self._load_balancer.response_statistics.latest_successful_send
         lost_after = [LOST_AFTER_LATENCIES * latency.mean.value for latency in self._model.class_latency]
 
         def is_lost(request: RequestState) -> bool:
             sent_at = request.last_attempt_at
-            overtaken = latest_answered_send - sent_at > lost_after[request.arrival.class_index] > 0.0
+            overtaken = latest_successful_send - sent_at > lost_after[request.arrival.class_index] > 0.0
             return overtaken or self._load_balancer.was_lost_with_zone(request.last_endpoint, sent_at)
 
         return [
--- a/qos_gateway/decisions/snapshot.py
+++ b/qos_gateway/decisions/snapshot.py
@@ -77,7 +77,7 @@
     slow_start_tokens: float
     disabled_at: int
     assumed_start: int
-    slowness: MeanSnapshot
+    relative_latency: MeanSnapshot
 
     def shifted(self, offset: int) -> EndpointSnapshot:
         """Return the endpoint with its times shifted by `offset` (ns), except for the reported start."""
@@ -86,7 +86,7 @@
             ejected_until=_shifted(self.ejected_until, offset),
             disabled_at=_shifted(self.disabled_at, offset),
             assumed_start=_shifted(self.assumed_start, offset),
-            slowness=self.slowness.shifted(offset),
+            relative_latency=self.relative_latency.shifted(offset),
         )
 
 
@@ -138,7 +138,7 @@
     def _latest_update(self) -> int:
         """Return the time of the latest update of any mean."""
         means = [self.load_balancer.warm_completions, *self.latency]
-        means += [endpoint.slowness for endpoint in self.load_balancer.endpoints]
+        means += [endpoint.relative_latency for endpoint in self.load_balancer.endpoints]
         means += [account.long_demand for account in self.accounts]
         means += [account.grant_ratio for account in self.accounts]
         return max(mean.updated_at for mean in means)
--- a/qos_gateway/decisions/snapshot_format.py
+++ b/qos_gateway/decisions/snapshot_format.py
@@ -143,7 +143,7 @@
         endpoint.slow_start_tokens,
         endpoint.disabled_at,
         endpoint.assumed_start,
-        _encode_mean(endpoint.slowness),
+        _encode_mean(endpoint.relative_latency),
     ]
 
 
@@ -157,7 +157,7 @@
         slow_start_tokens,
         disabled_at,
         assumed_start,
-        slowness,
+        relative_latency,
     ) = row
     return EndpointSnapshot(
         endpoint=int(endpoint),
@@ -168,7 +168,7 @@
         slow_start_tokens=float(slow_start_tokens),
         disabled_at=int(disabled_at),
         assumed_start=int(assumed_start),
-        slowness=_decode_mean(slowness),
+        relative_latency=_decode_mean(relative_latency),
     )
 
 
