--- a/qos_gateway/decisions/admission/commitment.py
+++ b/qos_gateway/decisions/admission/commitment.py
@@ -13,7 +13,7 @@
 
 MIN_CONCURRENCY = 2  # requested for every customer, so that a small burst is admitted
 PRIORITY_SMOOTHING_FACTOR = 0.2  # weight of the newest request in a customer's mean priority
-HEADROOM_GROWTH_FACTOR = 1.01  # per request, up to the headroom of the request's class
+HEADROOM_GROWTH_PER_REQUEST = 1.01  # per request, up to the headroom of the request's class
 
 
 @dataclass(slots=True)
@@ -45,7 +45,9 @@
     def observe(self, priority: float, headroom: float, latency_objective: int) -> None:
         """Update the customer's goals with a request's priority and the goals of its class."""
         self.priority_weight += PRIORITY_SMOOTHING_FACTOR * (priority - self.priority_weight)
-        self.headroom = min(self.headroom, headroom) * HEADROOM_GROWTH_FACTOR if self.headroom else headroom
+        self.headroom = (
+            min(self.headroom, headroom) * HEADROOM_GROWTH_PER_REQUEST if self.headroom else headroom
+        )
         self.latency_objective = max(self.latency_objective, latency_objective)
 
     def demand(self, now: int, quota_share: float) -> Demand:
--- a/qos_gateway/decisions/admission/load_shedding.py
+++ b/qos_gateway/decisions/admission/load_shedding.py
@@ -8,7 +8,7 @@
 from ..statistics.time_constants import LONG_TIME_CONSTANT_NS
 from .priority_demand import PriorityDemand
 
-LOWEST_PRIORITY_FRACTION = 0.7  # of the limit, from which requests of the lowest priority are shed
+SHEDDING_START_FRACTION = 0.7  # of the limit, from which requests of the lowest priority are shed
 CONGESTION_LOG_INTERVAL_NS = LONG_TIME_CONSTANT_NS
 
 
@@ -24,10 +24,10 @@
         """Return whether to shed a request of `priority`."""
         limit = self.model.concurrency_limit
         in_flight = self.requests.effective_in_flight
-        if limit is None or in_flight < LOWEST_PRIORITY_FRACTION * limit:
+        if limit is None or in_flight < SHEDDING_START_FRACTION * limit:
             return False
         fraction_below = self.demand.fraction_below(now, priority)
-        fraction = LOWEST_PRIORITY_FRACTION + (1.0 - LOWEST_PRIORITY_FRACTION) * fraction_below
+        fraction = SHEDDING_START_FRACTION + (1.0 - SHEDDING_START_FRACTION) * fraction_below
         return in_flight >= limit * fraction
 
 
@@ -45,7 +45,7 @@
         limit = self.model.concurrency_limit
         in_flight = self.requests.in_flight
         logged_recently = now - self._logged_at < CONGESTION_LOG_INTERVAL_NS
-        if limit is None or in_flight < LOWEST_PRIORITY_FRACTION * limit or logged_recently:
+        if limit is None or in_flight < SHEDDING_START_FRACTION * limit or logged_recently:
             return []
         self._logged_at = now
         return [LogLine(f"congested in_flight={in_flight} limit={limit}")]
--- a/qos_gateway/decisions/congestion/queue_model.py
+++ b/qos_gateway/decisions/congestion/queue_model.py
@@ -21,7 +21,7 @@
 OBJECTIVE_TO_BASELINE_RATIO = 8  # estimates the baseline of a class without responses
 TARGET_WAIT_FRACTION = 0.4  # mean wait as a fraction of the headroom; latencies vary around the mean
 BISECTION_STEPS = 20  # resolve the service demand to a millionth of the mean latency
-MIN_HEADROOM_FRACTION = 1 / 4  # of the latency objective
+MIN_HEADROOM_TO_OBJECTIVE_RATIO = 1 / 4  # of the latency objective
 MIN_CONCURRENCY_LIMIT = 2
 
 
@@ -106,7 +106,9 @@
     def headroom(self, class_index: int) -> float:
         """Return the time from the class's baseline to its objective, at least a part of the objective."""
         objective = self.objectives[class_index]
-        return max(objective - self.class_latency[class_index].baseline, objective * MIN_HEADROOM_FRACTION)
+        return max(
+            objective - self.class_latency[class_index].baseline, objective * MIN_HEADROOM_TO_OBJECTIVE_RATIO
+        )
 
     def uncongested_latency(self, class_index: int) -> float:
         """Return the class's baseline; while it is unknown, its mean or an estimate from its objective."""
--- a/qos_gateway/decisions/handover.py
+++ b/qos_gateway/decisions/handover.py
@@ -26,8 +26,8 @@
     return EngineSnapshot(
         accounts=quota.capture_accounts(now, fractions.incoming, fractions.outgoing),
         load_balancer=engine.load_balancer.capture(fractions.outgoing),
-        latency=tuple(MeanSnapshot.of(latency.mean) for latency in engine.model.class_latency),
-        baseline_latency=tuple(latency.baseline for latency in engine.model.class_latency),
+        latency_by_class=tuple(MeanSnapshot.of(latency.mean) for latency in engine.model.class_latency),
+        baseline_latency_by_class=tuple(latency.baseline for latency in engine.model.class_latency),
         call_rate=quota.counter.call_rate,
         retry_tokens=engine.dispatcher.retry_budget.capture(fractions.incoming),
         lease_fractions=quota.accounts.capture_leases(),
@@ -39,7 +39,9 @@
     snapshot = snapshot.adjusted_to_clock(now)
     engine.quota.restore(now, snapshot, incoming_fraction)
     engine.load_balancer.restore(now, snapshot.load_balancer, incoming_fraction)
-    latencies = zip(engine.model.class_latency, snapshot.latency, snapshot.baseline_latency, strict=True)
+    latencies = zip(
+        engine.model.class_latency, snapshot.latency_by_class, snapshot.baseline_latency_by_class, strict=True
+    )
     for latency, captured, baseline in latencies:
         latency.restore(captured.to_mean(), baseline)
     engine.dispatcher.retry_budget.restore(snapshot.retry_tokens)
--- a/qos_gateway/decisions/load_balancing/outlier_ejection.py
+++ b/qos_gateway/decisions/load_balancing/outlier_ejection.py
@@ -13,10 +13,10 @@
 
 FAILURES_TO_EJECT = 2  # consecutive; a single failure may be a coincidence
 SIGNIFICANCE_LEVEL = 0.005  # consecutive resets with a lower probability are not a coincidence
-MAX_RESET_RATIO = 0.5  # of all attempts; bounds the number of consecutive resets before ejection
+MAX_ASSUMED_RESET_RATIO = 0.5  # of all attempts; bounds the number of consecutive resets before ejection
 RESET_PRIOR_WEIGHT = 3.0  # assumed prior attempts without a reset
 UNRESPONSIVE_AFTER_LATENCIES = 2.0  # a response is overdue after this many mean latencies
-UNRESPONSIVE_MIN_ENDPOINTS = 3  # with overdue responses, before their zone counts as unresponsive
+MIN_OVERDUE_ENDPOINTS = 3  # with overdue responses, before their zone counts as unresponsive
 RESPONSE_OUTCOMES = (Outcome.OK, Outcome.ERROR, Outcome.OVERLOADED)  # show that a zone responds
 RESET_SAMPLES = (Outcome.OK, Outcome.ERROR, Outcome.RESET)  # executed or failed: in the reset ratio
 NON_FAILURE_OUTCOMES = (Outcome.OK, Outcome.OVERLOADED, Outcome.CANCELLED, Outcome.NOT_SENT)
@@ -53,7 +53,7 @@
         if outcome is Outcome.TIMEOUT:
             return FAILURES_TO_EJECT
         mean = self.reset_ratio.mean_with_prior(now, 0.0, RESET_PRIOR_WEIGHT)
-        ratio = min(MAX_RESET_RATIO, max(SIGNIFICANCE_LEVEL, mean))
+        ratio = min(MAX_ASSUMED_RESET_RATIO, max(SIGNIFICANCE_LEVEL, mean))
         return max(FAILURES_TO_EJECT, ceil(log(SIGNIFICANCE_LEVEL) / log(ratio)))
 
     def was_lost_with_zone(self, zone: int, sent_at: int) -> bool:
@@ -79,7 +79,7 @@
         return [
             UnresponsiveZone(zone, waiting, self._eject_zone(now, endpoints, zone))
             for zone, waiting in overdue.items()
-            if len({request.last_endpoint for request in waiting}) >= UNRESPONSIVE_MIN_ENDPOINTS
+            if len({request.last_endpoint for request in waiting}) >= MIN_OVERDUE_ENDPOINTS
         ]
 
     def _eject_zone(self, now: int, endpoints: Mapping[int, EndpointState], zone: int) -> list[int]:
--- a/qos_gateway/decisions/load_balancing/slow_start.py
+++ b/qos_gateway/decisions/load_balancing/slow_start.py
@@ -23,7 +23,7 @@
 MAX_TOKENS = 2.0  # maximum burst at one endpoint; other gateways may burst at the same time
 REENABLED_MIN_RATE_PER_S = 0.4  # minimum token rate per gateway after an operator enables an endpoint
 REENABLED_TOTAL_MIN_RATE_PER_S = 2.0  # upper bound of the sum of these rates over all gateways
-UNKNOWN_CAPACITY_ATTEMPTS = 3.0  # per overload window, all gateways; overloads no endpoint
+UNKNOWN_CAPACITY_ATTEMPTS_PER_WINDOW = 3.0  # per overload window, all gateways; overloads no endpoint
 UNKNOWN_CAPACITY_MAX_TOKENS = 1.0  # maximum burst at one endpoint of unknown capacity
 LAST_WARM_RATE_FRACTION = 0.5  # lower bound of the rate without warm endpoints / last warm rate
 CAPACITY_SAMPLES = (Outcome.OK, Outcome.CANCELLED)  # attempts that consumed an endpoint's capacity
@@ -38,12 +38,14 @@
         self.warming_up: set[int] = set()  # ids of usable endpoints that may still be in slow start
         # Completions, not attempts sent: under overload, far more attempts are sent than are completed.
         self.warm_completions = DecayingMean(SHORT_TIME_CONSTANT_NS)
-        self.warm_endpoints = DecayingMean(SHORT_TIME_CONSTANT_NS)  # their mean number, over the same time
+        self.warm_endpoint_count = DecayingMean(
+            SHORT_TIME_CONSTANT_NS
+        )  # their mean number, over the same time
         # If True, the two means are of endpoints in slow start, weighted by their capacity fractions.
         self.all_warming_up = False
         self._last_warm_rate = 0.0  # completions per second of a warm endpoint, when there last was one
         self._gateways_per_endpoint = 1.0  # gateways that have the same endpoint in their subset
-        self.warm_endpoints.updated_at = -SHORT_TIME_CONSTANT_NS  # gives the first sample full weight
+        self.warm_endpoint_count.updated_at = -SHORT_TIME_CONSTANT_NS  # gives the first sample full weight
         self.handover_fraction = NO_HANDOVER_FRACTION  # this process's fraction of the token rate
 
     def capacity_fraction(self, now: int, state: EndpointState) -> float:
@@ -78,15 +80,15 @@
             self.all_warming_up = all_warming_up
             self._last_warm_rate = self._completions_per_warm_endpoint(now) if all_warming_up else 0.0
             self._rescale(endpoints)
-        elapsed = (now - self.warm_endpoints.updated_at) / self.warm_endpoints.time_constant
-        self.warm_endpoints.add(now, endpoints, min(1.0, elapsed))
+        elapsed = (now - self.warm_endpoint_count.updated_at) / self.warm_endpoint_count.time_constant
+        self.warm_endpoint_count.add(now, endpoints, min(1.0, elapsed))
 
     def _rescale(self, endpoints: float) -> None:
         """Keep the completion rate per endpoint when the set of counted endpoints changes."""
-        previous = self.warm_endpoints.value
+        previous = self.warm_endpoint_count.value
         if previous > 0.0:
             self.warm_completions.scale_weight(endpoints / previous)
-            self.warm_endpoints.scale_values(endpoints / previous)
+            self.warm_endpoint_count.scale_values(endpoints / previous)
 
     def attempt_started(self, now: int, state: EndpointState) -> None:
         """Take a token for an attempt at an endpoint in slow start."""
@@ -128,13 +130,13 @@
 
     def _completions_per_warm_endpoint(self, now: int) -> float:
         """Return the mean completions per second of a warm endpoint."""
-        rate = self.warm_completions.rate(now) / (self.warm_endpoints.value or 1.0)
+        rate = self.warm_completions.rate(now) / (self.warm_endpoint_count.value or 1.0)
         return max(rate, LAST_WARM_RATE_FRACTION * self._last_warm_rate)
 
     def _unknown_capacity_rate(self) -> float:
         """Return this gateway's share of the attempts per second that overload no endpoint."""
         window_s = self.settings.overload_window / SECOND
-        return UNKNOWN_CAPACITY_ATTEMPTS / (window_s * self._gateways_per_endpoint)
+        return UNKNOWN_CAPACITY_ATTEMPTS_PER_WINDOW / (window_s * self._gateways_per_endpoint)
 
     def _min_rate(self, state: EndpointState) -> float:
         if state.disabled_at <= 0:
--- a/qos_gateway/decisions/quota/counter_quota.py
+++ b/qos_gateway/decisions/quota/counter_quota.py
@@ -15,10 +15,12 @@
 from .quota import Quota
 from .quota_decision import Charge, QuotaDecision, QuotaReply
 
-LIGHT_USAGE = 0.75  # of a quota; a bucket has tokens while reported use and local demand are below it
-TYPICAL_USAGE = 0.4  # of a quota; prior for a customer with few requests
-UNCERTAIN_USAGE = 0.75  # of a quota; estimated use from which on the bucket may be empty
-COUNTER_LAG_FRACTION = 0.125  # of a burst, by which the counter may differ from the bucket uncorrected
+LIGHT_USAGE_FRACTION = (
+    0.75  # of a quota; a bucket has tokens while reported use and local demand are below it
+)
+TYPICAL_USAGE_FRACTION = 0.4  # of a quota; prior for a customer with few requests
+UNCERTAIN_USAGE_FRACTION = 0.75  # of a quota; estimated use from which on the bucket may be empty
+MAX_COUNTER_LAG_BURSTS = 0.125  # of a burst, by which the counter may differ from the bucket uncorrected
 
 
 class CounterQuota(Quota):
@@ -78,15 +80,15 @@
         return min(1.0, max(0.0, 2.0 * self.counter.call_rate - skipped))
 
     def _max_unreported_units(self, account: CustomerAccount) -> float:
-        return max(self.settings.largest_request_units, COUNTER_LAG_FRACTION * account.plan.burst)
+        return max(self.settings.largest_request_units, MAX_COUNTER_LAG_BURSTS * account.plan.burst)
 
     def _spend_from_slice(self, now: int, account: CustomerAccount, units: float) -> bool:
         """Spend units of the even slice without a call, if they are few and the customer's use is light."""
         unreported = account.counter_calls.unreported_units + units
         is_small = unreported <= self._max_unreported_units(account) <= account.buckets.local_tokens
         reported = now - account.usage.reported_at < REPORT_EXPIRES_AFTER_NS
-        light = reported and account.usage.fraction < LIGHT_USAGE
-        slice_rate = LIGHT_USAGE * account.plan.rate / account.buckets.slices
+        light = reported and account.usage.fraction < LIGHT_USAGE_FRACTION
+        slice_rate = LIGHT_USAGE_FRACTION * account.plan.rate / account.buckets.slices
         light = light and account.demand.unit_rate(now) < slice_rate
         if not (is_small and light and self._permits(now, account, units)):
             return False
@@ -96,7 +98,7 @@
     def _probably_has_tokens(self, now: int, account: CustomerAccount) -> bool:
         """Return whether the bucket likely has tokens: an estimate, as reports are too rare to be certain."""
         largest = self.settings.largest_request_units
-        return account.usage_estimate(now, TYPICAL_USAGE, largest) < UNCERTAIN_USAGE
+        return account.usage_estimate(now, TYPICAL_USAGE_FRACTION, largest) < UNCERTAIN_USAGE_FRACTION
 
     def _may_spend_unreported(self, now: int, account: CustomerAccount, units: float) -> bool:
         """Return whether units may be spent without a call: they are few and the bucket likely has tokens."""
@@ -174,6 +176,6 @@
             actions.append(self.counter.call(now, account, -unconfirmed))
         if call.amount and not granted and (call.reservation or account.excess_pays):
             actions.append(self.counter.call(now, account, -call.amount))
-        elif reading.surplus * self.counter.call_rate > account.plan.burst * COUNTER_LAG_FRACTION:
+        elif reading.surplus * self.counter.call_rate > account.plan.burst * MAX_COUNTER_LAG_BURSTS:
             actions.append(self.counter.call(now, account, reading.surplus, is_correction=True))
         return actions
--- a/qos_gateway/decisions/quota/peers/gossip.py
+++ b/qos_gateway/decisions/quota/peers/gossip.py
@@ -7,7 +7,7 @@
 
 from ....types import Action, SendPeerMessage
 from ..account.customer_account import CustomerAccount
-from .peer_messages import MAX_TOTALS, CustomerTotal, GossipMessage, encode_totals
+from .peer_messages import MAX_TOTALS_PER_MESSAGE, CustomerTotal, GossipMessage, encode_totals
 from .process_age import ProcessAge
 
 MAX_REORDERING_TENTHS = 50  # tenths of a second; a larger decrease of a peer's age means a restart
@@ -43,7 +43,7 @@
         """Return a message with pending totals, those that were repeated least first."""
         changed = [a for a in accounts if a.peer_totals.pending_messages and a.peer_totals.peers]
         changed.sort(key=lambda account: (-account.peer_totals.pending_messages, account.customer_id))
-        included = changed[:MAX_TOTALS]
+        included = changed[:MAX_TOTALS_PER_MESSAGE]
         for account in included:
             account.peer_totals.message_sent()
         totals = [
--- a/qos_gateway/decisions/quota/peers/peer_messages.py
+++ b/qos_gateway/decisions/quota/peers/peer_messages.py
@@ -11,7 +11,7 @@
 _HEADER = struct.Struct("<HH")
 _TOTAL = struct.Struct("<QHB")
 _RESERVATION = struct.Struct("<BQBHIH")
-MAX_TOTALS = (MAX_MESSAGE_BYTES - _HEADER.size) // _TOTAL.size  # per message
+MAX_TOTALS_PER_MESSAGE = (MAX_MESSAGE_BYTES - _HEADER.size) // _TOTAL.size  # per message
 
 
 class ReservationKind(IntEnum):
@@ -87,7 +87,7 @@
 
 
 def encode_totals(incarnation: int, sender_age: int, totals: Iterable[CustomerTotal]) -> bytes:
-    """Encode a message; at most `MAX_TOTALS` totals fit, `sender_age` is in tenths of a second."""
+    """Encode a message of at most `MAX_TOTALS_PER_MESSAGE` totals; `sender_age` is in tenths of a second."""
     message = _HEADER.pack(incarnation, _u16(sender_age))
     for total in totals:
         message += _TOTAL.pack(
--- a/qos_gateway/decisions/snapshot.py
+++ b/qos_gateway/decisions/snapshot.py
@@ -113,8 +113,8 @@
 
     accounts: tuple[AccountSnapshot, ...]
     load_balancer: LoadBalancerSnapshot
-    latency: tuple[MeanSnapshot, ...]  # by class
-    baseline_latency: tuple[float, ...]  # by class
+    latency_by_class: tuple[MeanSnapshot, ...]  # by class
+    baseline_latency_by_class: tuple[float, ...]  # by class
     call_rate: float
     retry_tokens: float
     lease_fractions: dict[int, dict[int, float]]  # by customer and term
@@ -132,12 +132,12 @@
             self,
             accounts=tuple(account.shifted(offset) for account in self.accounts),
             load_balancer=self.load_balancer.shifted(offset),
-            latency=tuple(mean.shifted(offset) for mean in self.latency),
+            latency_by_class=tuple(mean.shifted(offset) for mean in self.latency_by_class),
         )
 
     def _latest_update(self) -> int:
         """Return the time of the latest update of any mean."""
-        means = [self.load_balancer.warm_completions, *self.latency]
+        means = [self.load_balancer.warm_completions, *self.latency_by_class]
         means += [endpoint.relative_latency for endpoint in self.load_balancer.endpoints]
         means += [account.long_demand for account in self.accounts]
         means += [account.grant_ratio for account in self.accounts]
--- a/qos_gateway/decisions/snapshot_format.py
+++ b/qos_gateway/decisions/snapshot_format.py
@@ -35,8 +35,8 @@
         ENDPOINTS_KEY: [_encode_endpoint(endpoint) for endpoint in snapshot.load_balancer.endpoints],
         ADMIN_DISABLED_KEY: sorted(snapshot.load_balancer.admin_disabled.items()),
         WARM_COMPLETIONS_KEY: _encode_mean(snapshot.load_balancer.warm_completions),
-        LATENCY_KEY: [_encode_mean(mean) for mean in snapshot.latency],
-        BASELINE_LATENCY_KEY: list(snapshot.baseline_latency),
+        LATENCY_KEY: [_encode_mean(mean) for mean in snapshot.latency_by_class],
+        BASELINE_LATENCY_KEY: list(snapshot.baseline_latency_by_class),
         CALL_RATE_KEY: snapshot.call_rate,
         RETRY_TOKENS_KEY: snapshot.retry_tokens,
         LEASE_FRACTIONS_KEY: [
@@ -58,8 +58,8 @@
                 admin_disabled={int(endpoint): int(since) for endpoint, since in raw[ADMIN_DISABLED_KEY]},
                 warm_completions=_decode_mean(raw[WARM_COMPLETIONS_KEY]),
             ),
-            latency=tuple(_decode_mean(row) for row in raw[LATENCY_KEY]),
-            baseline_latency=tuple(float(latency) for latency in raw[BASELINE_LATENCY_KEY]),
+            latency_by_class=tuple(_decode_mean(row) for row in raw[LATENCY_KEY]),
+            baseline_latency_by_class=tuple(float(latency) for latency in raw[BASELINE_LATENCY_KEY]),
             call_rate=float(raw[CALL_RATE_KEY]),
             retry_tokens=float(raw[RETRY_TOKENS_KEY]),
             lease_fractions={
@@ -81,9 +81,10 @@
                 f"snapshot: customer {account.customer_id:x} has the plan index {account.plan_index}, "
                 f"the settings have {plan_count} plans"
             )
-    if not len(snapshot.latency) == len(snapshot.baseline_latency) == class_count:
+    if not len(snapshot.latency_by_class) == len(snapshot.baseline_latency_by_class) == class_count:
         raise SnapshotFormatError(
-            f"snapshot: {len(snapshot.latency)} latencies and {len(snapshot.baseline_latency)} baselines, "
+            f"snapshot: {len(snapshot.latency_by_class)} latencies and "
+            f"{len(snapshot.baseline_latency_by_class)} baselines, "
             f"the settings have {class_count} classes"
         )
 
--- a/tests/decisions/test_clock_steps.py
+++ b/tests/decisions/test_clock_steps.py
@@ -19,7 +19,7 @@
 WARM_ENDPOINTS = range(1, 6)
 STARTED_ENDPOINT = 9
 REQUEST_INTERVAL_NS = 10 * MS
-MAX_RATIO = 1.5  # between the attempts with and without a clock error
+MAX_ATTEMPT_RATIO = 1.5  # between the attempts with and without a clock error
 OBSERVATION_NS = 3 * SECOND
 
 
@@ -60,7 +60,7 @@
 def test_reported_start_begins_a_slow_start_despite_a_clock_error(clock_error: int) -> None:
     # Without correction, a clock an hour ahead gave the endpoint as many attempts as a warm one.
     expected = count_first_attempts(0)
-    assert expected / MAX_RATIO <= count_first_attempts(clock_error) <= expected * MAX_RATIO
+    assert expected / MAX_ATTEMPT_RATIO <= count_first_attempts(clock_error) <= expected * MAX_ATTEMPT_RATIO
 
 
 @pytest.mark.parametrize("clock_error", [HOUR, 0, -HOUR])
@@ -70,7 +70,7 @@
     traffic.count_attempts(REPORTED_AT, SLOW_START_NS)
     attempts = traffic.count_attempts(REPORTED_AT + SLOW_START_NS, OBSERVATION_NS)
     even_share = OBSERVATION_NS // REQUEST_INTERVAL_NS / (len(WARM_ENDPOINTS) + 1)
-    assert attempts >= even_share / MAX_RATIO
+    assert attempts >= even_share / MAX_ATTEMPT_RATIO
     assert not traffic.engine.load_balancer.slow_start.warming_up
 
 
--- a/tests/decisions/test_delay_detection.py
+++ b/tests/decisions/test_delay_detection.py
@@ -25,7 +25,7 @@
 SEEDS = (1, 2)
 MIN_SERVED_AT_600_MS = 0.66 / (2 / 3)  # 0.66 of all requests; two in three clients wait long enough
 MIN_SERVED_AT_250_MS = 0.95
-SAMPLING_ERROR = 0.02  # of a share over 20 s and two seeds
+SHARE_SAMPLING_ERROR = 0.02  # of a share over 20 s and two seeds
 BASELINE_DELAY = 50 * MS
 FIRST_PERIOD_START = 100 * SECOND
 
@@ -50,7 +50,7 @@
     scenarios = [queue_scenario(QUEUE, load, gateways, seed) for seed in SEEDS]
     served = mean([settled_share(scenario) for scenario in scenarios])
     monkeypatch.setattr(DelayDetector, "estimate_delay", lambda *_: None)
-    assert served >= mean([settled_share(scenario) for scenario in scenarios]) - SAMPLING_ERROR
+    assert served >= mean([settled_share(scenario) for scenario in scenarios]) - SHARE_SAMPLING_ERROR
 
 
 @pytest.mark.parametrize("load", [0.8, 2.0])
--- a/tests/decisions/test_slow_start_of_all.py
+++ b/tests/decisions/test_slow_start_of_all.py
@@ -12,8 +12,8 @@
 from tests.support.slow_start_simulation import Simulation
 
 ENDPOINTS = 6
-MANY_REQUESTS_MAX_GATEWAYS = 40  # with more, each gateway receives only two requests per second
-MIN_SERVED_AFTER_REPLACEMENT = 0.93  # over 45 s
+MAX_GATEWAYS_WITH_MANY_REQUESTS = 40  # with more, each gateway receives only two requests per second
+MIN_SERVED_DURING_REPLACEMENT = 0.93  # over 45 s
 MIN_SERVED_AFTER_START = 0.7  # over 26 s
 # By number of gateways; each group has ENDPOINTS endpoints and receives 105 requests per second.
 ENDPOINT_GROUPS = {3: 1, 12: 1, 40: 2, 200: 4}
@@ -42,7 +42,7 @@
     )
     simulation.run()
     assert simulation.worst_load_ratio() <= 1.0
-    assert simulation.served_fraction(START_NS, START_NS + 45 * SECOND) >= MIN_SERVED_AFTER_REPLACEMENT
+    assert simulation.served_fraction(START_NS, START_NS + 45 * SECOND) >= MIN_SERVED_DURING_REPLACEMENT
 
 
 @pytest.mark.parametrize("gateways", ENDPOINT_GROUPS)
@@ -53,7 +53,7 @@
     simulation.run()
     begin = START_NS - TRAFFIC_LEAD_NS
     assert simulation.worst_load_ratio() <= 1.0
-    if gateways <= MANY_REQUESTS_MAX_GATEWAYS:
+    if gateways <= MAX_GATEWAYS_WITH_MANY_REQUESTS:
         assert simulation.served_fraction(begin, begin + 26 * SECOND) >= MIN_SERVED_AFTER_START
 
 
