--- a/qos_gateway/decisions/quota/quota.py
+++ b/qos_gateway/decisions/quota/quota.py
@@ -22,9 +22,9 @@
 from .peers.reservations import ReservationClient
 from .quota_decision import Charge, QuotaDecision, QuotaReply, Verdict
 
-USAGE_GRANT_SPAN = 0.5  # of a quota, around full use, over which a grant goes from certain to impossible
-MIN_RESERVATION_TIME_NS = 4 * TICK_INTERVAL_NS  # left to the deadline for a request to wait for a reply
-UNCOUNTED_SLOT_PROBABILITY = 0.4  # that a slot is free where even slices of the in-flight limit are below one
+USAGE_GRANT_SPAN = 0.5  # grants go from certain to impossible over this part of a quota, around full use
+MIN_RESERVATION_TIME_NS = 4 * TICK_INTERVAL_NS  # with less time left, a request does not wait for a reply
+UNCOUNTED_SLOT_PROBABILITY = 0.4  # of a free slot, where an even slice of the in-flight limit is below one
 PLAN_PRIOR_WEIGHT = 0.1  # samples of denial; small, as a plan's first reports are representative
 CUSTOMER_PRIOR_WEIGHT = 0.5  # samples of its plan's ratio; a single report on the customer outweighs them
 
@@ -32,13 +32,12 @@
 class Quota:
     """Enforces quotas by even local slices; subclasses coordinate with peers or a shared counter.
 
-    Times are in ns, amounts in units. The random generator is shared with the engine, so the order of draws
-    affects its results.
+    Times are in ns, amounts in units. The engine shares the random generator, so the order of draws matters.
     """
 
     uses_counter = False  # whether a counter shared by all gateways holds the buckets
     divides_bucket = False  # whether a handover divides the bucket's tokens between both processes
-    sliced_ceiling_fraction = 1.0  # of a ceiling, divided into even slices
+    sliced_ceiling_fraction = 1.0  # the part of a ceiling that is divided into even slices
     leases: Leases | None = None
 
     def __init__(self, settings: Settings, seed: int, now: int, rng: random.Random) -> None:
@@ -51,7 +50,7 @@
         self.reservations = ReservationClient(settings.gateway_count, self.age)
         self.plan_grant_ratio = [DecayingMean(LONG_TIME_CONSTANT_NS) for _ in settings.plans]
         self.last_reservation = 0
-        self.handover_fraction = 1.0  # of the buckets, which this process uses during a handover
+        self.handover_fraction = 1.0  # the part of the buckets that this process uses during a handover
 
     def account_for(self, now: int, arrival: Arrival) -> CustomerAccount:
         """Return the account of a request's customer."""
@@ -62,11 +61,7 @@
     def account(
         self, now: int, customer_id: int, plan_index: int, spread: int = 0, first: int = 0
     ) -> CustomerAccount:
-        """Return the customer's account, and create it if there is none.
-
-        `spread` gateways, from position `first` on, serve the customer; it is 0 if no request of the
-        customer has arrived here.
-        """
+        """Return or create the account; `spread` gateways from `first` on serve it, 0 before any request."""
         account = self.accounts.get(customer_id)
         if account is None:
             # Nothing of a new customer's slices was spent, so they have been refilling since the start.
@@ -89,9 +84,9 @@
     def _assign_slice(self, account: CustomerAccount, count: int, first: int) -> None:
         """Assign this gateway its even slice among the `count` gateways from position `first` on.
 
-        The slices of the quota start with one burst in total on average: where a slice of the burst is less
-        than the largest request, it starts with the units of one such request or with none, at random. The
-        slices of the ceiling start with only its slack, as a restarted gateway cannot know what was spent.
+        The quota's slices start with one burst in total on average: a slice of less than the largest request
+        starts with the units of one or with none, at random. The ceiling's slices start with only its slack,
+        as a restarted gateway cannot know what was spent.
         """
         buckets = account.buckets
         buckets.set_slice((self.settings.position - first) % self.settings.gateway_count, count)
@@ -156,10 +151,7 @@
         self.plan_grant_ratio[account.plan_index].add(now, float(granted))
 
     def decide(self, now: int, account: CustomerAccount, request: Arrival, congested: bool) -> QuotaDecision:
-        """Decide on a request and charge it to its customer's quota.
-
-        If the decision has `report_usage` set, call `report_consumed` once the request is sent.
-        """
+        """Decide on a request, and charge it; if `report_usage` is set, call `report_consumed` once sent."""
         may_exceed = account.excess_pays and not congested
         return self._decide(now, Charge(account, request.units, request.deadline, may_exceed))
 
@@ -174,12 +166,10 @@
         return charge.account.take(charge.units, charge.may_exceed)
 
     def _permits(self, now: int, account: CustomerAccount, units: float) -> bool:
-        """Return whether the ceiling and the in-flight limit permit a request.
-
-        Without a current report on requests in flight elsewhere, an even slice of the limit applies.
-        """
+        """Return whether the ceiling and the in-flight limit permit a request."""
         limit = account.plan.max_in_flight
         reports = account.reports
+        # Without a current report on requests in flight elsewhere, an even slice of the limit applies.
         fresh = now - reports.in_flight_elsewhere_at < REPORT_CURRENT_FOR_NS
         local_limit = ceil(limit / (1 if fresh else account.buckets.slices))
         has_slot = not limit or account.in_flight + fresh * reports.in_flight_elsewhere < local_limit
@@ -270,12 +260,9 @@
         return QuotaReply(actions=[reply])
 
     def _detect_restart(self, now: int, age_tenths: int) -> bool:
-        """Return whether a peer is older than this process, which shows that this gateway was restarted.
-
-        The first such peer reduces each bucket to the tokens that were likely left, as what was spent before
-        the restart is unknown.
-        """
+        """Return whether a peer is older than this process, which shows that this gateway was restarted."""
         peer_is_older = self.age.is_older(now, age_tenths)
+        # The first such peer limits each bucket to the tokens likely left: earlier spending is unknown.
         if peer_is_older and self.age.record_restart():
             for account in self.accounts.values():
                 account.buckets.limit_tokens(self._restart_tokens(account))
@@ -288,11 +275,8 @@
     def capture_accounts(
         self, now: int, incoming_fraction: float, outgoing_fraction: float
     ) -> tuple[AccountSnapshot, ...]:
-        """Return the accounts for the next process; this one keeps the outgoing fraction of the buckets.
-
-        The quota's bucket is divided only with gossip. Otherwise its tokens are those reported by the owner
-        or the counter, and both processes keep them.
-        """
+        """Return the accounts for the next process; this one keeps the outgoing fraction of the buckets."""
+        # Only gossip divides the quota's bucket. Tokens reported by an owner or the counter stay with both.
         captured = []
         for account in self.accounts.values():
             self.refill(now, account)
