--- a/qos_gateway/decisions/admission/commitment.py
+++ b/qos_gateway/decisions/admission/commitment.py
@@ -13,7 +13,7 @@
 
 MIN_CONCURRENCY = 2  # requested for every customer, so that a small burst is admitted
 PRIORITY_SMOOTHING_FACTOR = 0.2  # weight of the newest request in a customer's mean priority
-HEADROOM_GROWTH_PER_REQUEST = 1.01  # per request, up to the headroom of the request's class
+HEADROOM_GROWTH_PER_REQUEST = 1.01  # factor; the headroom of the request's class limits the growth
 
 
 @dataclass(slots=True)
--- a/qos_gateway/decisions/admission/load_shedding.py
+++ b/qos_gateway/decisions/admission/load_shedding.py
@@ -8,7 +8,7 @@
 from ..statistics.time_constants import LONG_TIME_CONSTANT_NS
 from .priority_demand import PriorityDemand
 
-SHEDDING_START_FRACTION = 0.7  # of the limit, from which requests of the lowest priority are shed
+SHEDDING_START_FRACTION = 0.7  # the lowest priority is shed from this fraction of the limit on
 CONGESTION_LOG_INTERVAL_NS = LONG_TIME_CONSTANT_NS
 
 
--- a/qos_gateway/decisions/admission/pending_reservations.py
+++ b/qos_gateway/decisions/admission/pending_reservations.py
@@ -8,7 +8,7 @@
 from ..requests.request_state import RequestState
 from ..statistics.time_constants import TICK_INTERVAL_NS
 
-RESERVATION_TIMEOUT_NS = TICK_INTERVAL_NS // 2  # above a round trip to a peer, far below an objective
+RESERVATION_TIMEOUT_NS = TICK_INTERVAL_NS // 2  # exceeds a round trip to a peer, far below any objective
 
 
 @dataclass(slots=True)
--- a/qos_gateway/decisions/congestion/delay_detection.py
+++ b/qos_gateway/decisions/congestion/delay_detection.py
@@ -15,13 +15,13 @@
 SAMPLING_PERIOD_NS = SECOND // 2  # attempts sent within it count with the same number in flight
 MAX_PERIODS = 16
 MIN_SAMPLES = 16  # responses for a regression
-MIN_PERIODS = 4  # in the first ones the latency is still changing
+MIN_PERIODS = 4  # the latency is still changing in the first periods
 MIN_RELATIVE_IN_FLIGHT_DEVIATION = 0.05  # standard deviation, relative to the mean
 SLOPE_MARGIN_STANDARD_ERRORS = 3.0  # added to the slope for its upper bound
-MAX_QUEUE_FRACTION = 0.5  # of the latency beyond the known delay; from here on it counts as queueing
-REFUTING_RISE_FRACTION = 0.25  # of the latency that an estimate added to the delay
-CONFIRMATION_TIME_NS = 5 * SECOND  # within which a rise in latency refutes an estimate
-INITIAL_BACKOFF_NS = 10 * SECOND  # without estimates after a refuted one; doubles with each further one
+MAX_QUEUE_FRACTION = 0.5  # if more of the latency beyond the known delay may be queueing, it is not a delay
+REFUTING_RISE_FRACTION = 0.25  # a rise by more than this fraction of the added delay refutes an estimate
+CONFIRMATION_TIME_NS = 5 * SECOND  # an estimate that is not refuted by then is confirmed
+INITIAL_BACKOFF_NS = 10 * SECOND  # pause after a refuted estimate; doubles with each further one
 MAX_BACKOFF_NS = 160 * SECOND
 
 
--- a/qos_gateway/decisions/congestion/queue_model.py
+++ b/qos_gateway/decisions/congestion/queue_model.py
@@ -13,15 +13,15 @@
 
 TARGET_LATENCY_SAMPLES = 8.0  # responses per time constant; low rates get a longer one
 MIN_RESPONSES_PER_S = 1e-3  # avoids division by zero
-MIN_LATENCY_SAMPLES = 0.5  # for a class's latency to be used
-MIN_BASELINE_SAMPLES = 4.0  # for a class's baseline to be updated
-MIN_TOTAL_SAMPLES = 1e-6  # over all classes, for the model to be fitted
+MIN_LATENCY_SAMPLES = 0.5  # a class with fewer samples is left out of the fit
+MIN_BASELINE_SAMPLES = 4.0  # a class with fewer samples keeps its baseline
+MIN_TOTAL_SAMPLES = 1e-6  # with fewer samples over all classes, the model is not fitted
 BASELINE_GROWTH_PER_S = 0.01  # fraction of the baseline
 CONGESTION_THRESHOLD = 0.15  # wait as a fraction of the headroom; smaller waits are noise
 OBJECTIVE_TO_BASELINE_RATIO = 8  # estimates the baseline of a class without responses
 TARGET_WAIT_FRACTION = 0.4  # mean wait as a fraction of the headroom; latencies vary around the mean
 BISECTION_STEPS = 20  # resolve the service demand to a millionth of the mean latency
-MIN_HEADROOM_TO_OBJECTIVE_RATIO = 1 / 4  # of the latency objective
+MIN_HEADROOM_TO_OBJECTIVE_RATIO = 1 / 4
 MIN_CONCURRENCY_LIMIT = 2
 
 
--- a/qos_gateway/decisions/load_balancing/endpoint_registry.py
+++ b/qos_gateway/decisions/load_balancing/endpoint_registry.py
@@ -11,7 +11,7 @@
 from ..snapshot import EndpointSnapshot
 from .endpoint_state import EndpointState, SlowStartBucket
 
-MAX_LISTING_DELAY_NS = 10 * SECOND  # from the start of an endpoint to its entry in the list
+MAX_LISTING_DELAY_NS = 10 * SECOND  # an endpoint is listed within this time of its start
 
 
 class EndpointRegistry:
--- a/qos_gateway/decisions/load_balancing/endpoint_state.py
+++ b/qos_gateway/decisions/load_balancing/endpoint_state.py
@@ -64,7 +64,7 @@
     latest_successful_send: int = 0  # latest send time of any successful attempt
     overloaded_until: dict[ClassAndPlan, int] = field(default_factory=dict)  # set by rejections
     last_result_by_class: dict[int, ClassResult] = field(default_factory=dict)
-    disabled_at: int = 0  # when an operator last disabled the endpoint; set once it is enabled again
+    disabled_at: int = 0  # time of the last disabling by an operator; set once it is enabled again
     assumed_start: int = 0  # start of slow start if the list reports no plausible start
 
     @property
--- a/qos_gateway/decisions/load_balancing/load_balancer.py
+++ b/qos_gateway/decisions/load_balancing/load_balancer.py
@@ -17,7 +17,8 @@
 
 EndpointFilter = Callable[[Endpoint], bool] | None  # None accepts every endpoint
 
-GATEWAYS_PER_ENDPOINT = 10  # with it in their subset; each samples it often, and it has few connections
+# An endpoint is in the subsets of about ten gateways: each samples it often, and it has few connections.
+GATEWAYS_PER_ENDPOINT = 10
 SLOW_START_COST_FACTOR = 0.7  # cost of an endpoint in slow start that has a token, relative to a warm one
 FAILURE_COST_FACTOR = 3.0  # relative cost increase if similar attempts were recently rejected or timed out
 FAILURE_MEMORY_NS = 3 * LONG_TIME_CONSTANT_NS  # older results of a class at an endpoint are ignored
--- a/qos_gateway/decisions/load_balancing/outlier_ejection.py
+++ b/qos_gateway/decisions/load_balancing/outlier_ejection.py
@@ -13,10 +13,10 @@
 
 FAILURES_TO_EJECT = 2  # consecutive; a single failure may be a coincidence
 SIGNIFICANCE_LEVEL = 0.005  # consecutive resets with a lower probability are not a coincidence
-MAX_ASSUMED_RESET_RATIO = 0.5  # of all attempts; bounds the number of consecutive resets before ejection
+MAX_ASSUMED_RESET_RATIO = 0.5  # bounds the number of consecutive resets before ejection
 RESET_PRIOR_WEIGHT = 3.0  # assumed prior attempts without a reset
 UNRESPONSIVE_AFTER_LATENCIES = 2.0  # a response is overdue after this many mean latencies
-MIN_OVERDUE_ENDPOINTS = 3  # with overdue responses, before their zone counts as unresponsive
+MIN_OVERDUE_ENDPOINTS = 3  # a zone with fewer endpoints with overdue responses is not unresponsive
 RESPONSE_OUTCOMES = (Outcome.OK, Outcome.ERROR, Outcome.OVERLOADED)  # show that a zone responds
 RESET_SAMPLES = (Outcome.OK, Outcome.ERROR, Outcome.RESET)  # executed or failed: in the reset ratio
 NON_FAILURE_OUTCOMES = (Outcome.OK, Outcome.OVERLOADED, Outcome.CANCELLED, Outcome.NOT_SENT)
--- a/qos_gateway/decisions/load_balancing/slow_start.py
+++ b/qos_gateway/decisions/load_balancing/slow_start.py
@@ -23,7 +23,7 @@
 MAX_TOKENS = 2.0  # maximum burst at one endpoint; other gateways may burst at the same time
 REENABLED_MIN_RATE_PER_S = 0.4  # minimum token rate per gateway after an operator enables an endpoint
 REENABLED_TOTAL_MIN_RATE_PER_S = 2.0  # upper bound of the sum of these rates over all gateways
-UNKNOWN_CAPACITY_ATTEMPTS_PER_WINDOW = 3.0  # per overload window, all gateways; overloads no endpoint
+UNKNOWN_CAPACITY_ATTEMPTS_PER_WINDOW = 3.0  # by all gateways together; too few to overload any endpoint
 UNKNOWN_CAPACITY_MAX_TOKENS = 1.0  # maximum burst at one endpoint of unknown capacity
 LAST_WARM_RATE_FRACTION = 0.5  # lower bound of the rate without warm endpoints / last warm rate
 CAPACITY_SAMPLES = (Outcome.OK, Outcome.CANCELLED)  # attempts that consumed an endpoint's capacity
@@ -38,9 +38,7 @@
         self.warming_up: set[int] = set()  # ids of usable endpoints that may still be in slow start
         # Completions, not attempts sent: under overload, far more attempts are sent than are completed.
         self.warm_completions = DecayingMean(SHORT_TIME_CONSTANT_NS)
-        self.warm_endpoint_count = DecayingMean(
-            SHORT_TIME_CONSTANT_NS
-        )  # their mean number, over the same time
+        self.warm_endpoint_count = DecayingMean(SHORT_TIME_CONSTANT_NS)
         # If True, the two means are of endpoints in slow start, weighted by their capacity fractions.
         self.all_warming_up = False
         self._last_warm_rate = 0.0  # completions per second of a warm endpoint, when there last was one
--- a/qos_gateway/decisions/quota/account/counter_calls.py
+++ b/qos_gateway/decisions/quota/account/counter_calls.py
@@ -12,7 +12,7 @@
     reservation: int  # number of the reservation that waits for the reply; 0 if none does
     amount: float  # includes the in-flight slot if one is taken or released
     is_correction: bool  # whether it counts refill that a full bucket lost as spent
-    released: float  # in-flight slots of earlier requests, released by this call; 0 or less
+    released: float  # in-flight slots that this call releases for earlier requests; 0 or less
     unreported: float  # units spent earlier without a call, reported by this one
 
     @property
--- a/qos_gateway/decisions/quota/account/customer_buckets.py
+++ b/qos_gateway/decisions/quota/account/customer_buckets.py
@@ -11,14 +11,18 @@
 
 @dataclass(slots=True)
 class CustomerBuckets:
-    """Tokens of the quota's bucket, of its local slice and of the ceiling's slice, in units."""
+    """Tokens of a customer's quota and ceiling, in units; times are in ns.
+
+    `tokens` is the content of the quota's bucket as known to this gateway, and negative if overspent.
+    `local_tokens` and `ceiling_tokens` are those of the local slices of the quota and of the ceiling.
+    """
 
     plan: Plan
-    tokens: float  # of the quota's bucket, as known to this gateway; negative if overspent
-    refilled_at: int  # in ns
-    ceiling_tokens: float = 0.0  # of the local slice of the ceiling
-    local_tokens: float = 0.0  # of the local slice of the quota
-    rank: int = 0  # of this gateway among those that serve the customer, from 0
+    tokens: float
+    refilled_at: int
+    ceiling_tokens: float = 0.0
+    local_tokens: float = 0.0
+    rank: int = 0  # this gateway's rank among those that serve the customer, from 0
     slice_count: int = 0  # gateways that share the quota; 0 before the customer's first request here
 
     @property
--- a/qos_gateway/decisions/quota/counter/counter_total.py
+++ b/qos_gateway/decisions/quota/counter/counter_total.py
@@ -22,10 +22,10 @@
 
 @dataclass(slots=True)
 class CounterTotal:
-    """A decoded total of a counter."""
+    """A decoded total of a counter, which adds up the usage since its key's lifetime began."""
 
     in_flight: float  # requests in flight at all gateways; 0 if they are not counted
-    spent_units: float  # since the key's lifetime began; corrections included
+    spent_units: float  # includes corrections
 
 
 def decode_total(total: float, counts_in_flight: bool) -> CounterTotal:
--- a/qos_gateway/decisions/quota/counter_quota.py
+++ b/qos_gateway/decisions/quota/counter_quota.py
@@ -15,12 +15,12 @@
 from .quota import Quota
 from .quota_decision import Charge, QuotaDecision, QuotaReply
 
-LIGHT_USAGE_FRACTION = (
-    0.75  # of a quota; a bucket has tokens while reported use and local demand are below it
-)
-TYPICAL_USAGE_FRACTION = 0.4  # of a quota; prior for a customer with few requests
-UNCERTAIN_USAGE_FRACTION = 0.75  # of a quota; estimated use from which on the bucket may be empty
-MAX_COUNTER_LAG_BURSTS = 0.125  # of a burst, by which the counter may differ from the bucket uncorrected
+# Fractions of a quota.
+LIGHT_USAGE_FRACTION = 0.75  # a bucket has tokens while reported use and local demand are below it
+TYPICAL_USAGE_FRACTION = 0.4  # prior for a customer with few requests
+UNCERTAIN_USAGE_FRACTION = 0.75  # from this estimated use on, the bucket may be empty
+
+MAX_COUNTER_LAG_BURSTS = 0.125  # a larger difference between the counter and the bucket is corrected
 
 
 class CounterQuota(Quota):
--- a/qos_gateway/decisions/quota/leases/lease_terms.py
+++ b/qos_gateway/decisions/quota/leases/lease_terms.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-HASH_MULTIPLIER = 0x9E3779B1  # of a multiplicative hash, which spreads consecutive numbers evenly
+HASH_MULTIPLIER = 0x9E3779B1  # multiplicative hashing spreads consecutive numbers evenly
 
 
 @dataclass(slots=True)
@@ -16,10 +16,10 @@
 
 
 class LeaseTerms:
-    """Computes lease terms, which begin at a different time for each customer."""
+    """Computes lease terms of `length` ns, which begin at a different time for each customer."""
 
     def __init__(self, length: int, seed: int) -> None:
-        self.length = length  # in ns
+        self.length = length
         self.seed = seed
 
     def at(self, now: int, customer_id: int) -> LeaseTerm:
--- a/qos_gateway/decisions/quota/leases/leases.py
+++ b/qos_gateway/decisions/quota/leases/leases.py
@@ -11,10 +11,12 @@
 from ..counter.pending_calls import PendingCalls
 from .lease_terms import LeaseTerms
 
-EVEN_FRACTION = 0.5  # of each quota, held in even slices; most customers use less and need no call
-LEASED_FRACTION = 0.6  # of each quota, leased; the sum exceeds 1 by a tenth, as few leases are used in full
+# Fractions of each quota.
+EVEN_FRACTION = 0.5  # held in even slices; most customers use less and need no call
+LEASED_FRACTION = 0.6  # leased; the sum exceeds 1 by a tenth, as few leases are used in full
+
 CLAIM_MARGIN = 1.5  # factor on the local demand, as requests arrive unevenly
-SHORT_DEMAND_WEIGHT = 0.5  # of the short-term demand, the only one known for a new customer
+SHORT_DEMAND_WEIGHT = 0.5  # only short-term demand is known for a new customer; it counts half
 SAVED_BURST_FACTOR = 4.0  # a gateway may save this many times its share of the burst, as customers move
 LOW_TOKENS_LARGEST_REQUESTS = 2.0  # a slice with fewer tokens than these need claims a lease
 RENEWAL_LEAD_TERMS = 0.2  # maximum lead of a renewal, staggered by gateway
@@ -23,10 +25,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseClaim:
-    """A claim that has no reply yet."""
+    """A claim to a fraction of a quota, which has no reply yet."""
 
     term: int
-    fraction: float  # of the quota
+    fraction: float
 
 
 class Leases:
--- a/qos_gateway/decisions/quota/owner_quota.py
+++ b/qos_gateway/decisions/quota/owner_quota.py
@@ -7,7 +7,7 @@
 from .quota import Quota
 from .quota_decision import Charge, QuotaDecision
 
-OWNER_CEILING_FRACTION = 0.75  # of a ceiling; the rest is sliced, to be used if the owner does not reply
+OWNER_CEILING_FRACTION = 0.75  # held by the owner; the rest is sliced, to be used if the owner does not reply
 
 
 class OwnerQuota(Quota):
--- a/qos_gateway/decisions/quota/peers/gossip.py
+++ b/qos_gateway/decisions/quota/peers/gossip.py
@@ -23,14 +23,14 @@
 
 
 class Gossip:
-    """Builds the periodic message to all peers, and tracks the last message of each peer."""
+    """Builds the periodic message to all peers, and tracks the last message of each peer. Times are in ns."""
 
     def __init__(self, incarnation: int, interval: float, age: ProcessAge) -> None:
         self.incarnation = incarnation
-        self.interval = interval  # in ns
+        self.interval = interval
         self.age = age
-        self.sent_at = age.started_at  # in ns
-        self.peers: dict[int, PeerStatus] = {}  # by position
+        self.sent_at = age.started_at
+        self.peers: dict[int, PeerStatus] = {}  # keys are positions of gateways
 
     def mark_sent_if_due(self, now: int) -> bool:
         """Return whether the next message is due; if so, mark it as sent."""
--- a/qos_gateway/decisions/quota/peers/peer_messages.py
+++ b/qos_gateway/decisions/quota/peers/peer_messages.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-MAX_MESSAGE_BYTES = 256  # of one datagram
+MAX_MESSAGE_BYTES = 256  # each message is one datagram
 _HEADER = struct.Struct("<HH")
 _TOTAL = struct.Struct("<QHB")
 _RESERVATION = struct.Struct("<BQBHIH")
-MAX_TOTALS_PER_MESSAGE = (MAX_MESSAGE_BYTES - _HEADER.size) // _TOTAL.size  # per message
+MAX_TOTALS_PER_MESSAGE = (MAX_MESSAGE_BYTES - _HEADER.size) // _TOTAL.size
 
 
 class ReservationKind(IntEnum):
--- a/qos_gateway/decisions/quota/peers/process_age.py
+++ b/qos_gateway/decisions/quota/peers/process_age.py
@@ -8,10 +8,10 @@
 
 
 class ProcessAge:
-    """When this process started, and whether that was a restart."""
+    """When this process started (ns), and whether that was a restart."""
 
     def __init__(self, started_at: int) -> None:
-        self.started_at = started_at  # in ns
+        self.started_at = started_at
         self.restarted = False  # whether a peer was found to be older
 
     def tenths(self, now: int) -> int:
--- a/qos_gateway/decisions/quota/quota_decision.py
+++ b/qos_gateway/decisions/quota/quota_decision.py
@@ -32,7 +32,7 @@
     """The verdict on one request, and the actions that it requires."""
 
     verdict: Verdict
-    actions: list[Action] = field(default_factory=list)  # to execute before the request's own
+    actions: list[Action] = field(default_factory=list)  # executed before the request's own actions
     report_usage: bool = False  # call `report_consumed` once the first attempt is sent
     reservation: int = 0  # number that the reply carries; 0 unless the verdict is RESERVED
 
--- a/qos_gateway/decisions/requests/attempt_timeouts.py
+++ b/qos_gateway/decisions/requests/attempt_timeouts.py
@@ -5,7 +5,7 @@
 from ..load_balancing.load_balancer import LoadBalancer
 from .request_state import RequestState
 
-MIN_UNANSWERED_RATIO = 0.05  # of recent attempts; timeouts are set from this ratio on
+MIN_UNANSWERED_RATIO = 0.05  # timeouts are set once this ratio of recent attempts is unanswered
 UNANSWERED_PRIOR_SAMPLES = 3.0  # answered attempts assumed before the first observation
 TIMEOUT_LATENCIES = 3  # mean latencies of the class
 HEDGE_AFTER_LATENCIES = 6  # mean latencies of the class
--- a/qos_gateway/decisions/requests/request_state.py
+++ b/qos_gateway/decisions/requests/request_state.py
@@ -28,7 +28,7 @@
     last_endpoint: int = 0
     expected_latency: int = 0  # mean latency of the class when the last attempt was sent
     hedge_after: int = 0  # age of the last attempt from which a hedge may be sent
-    response_started: bool = False  # from then on the request occupies no endpoint
+    response_started: bool = False  # once it has, the request no longer occupies its endpoint
     holds_in_flight_slot: bool = False  # counted as in flight at the quota counter
 
     def attempt_sent(self, now: int, endpoint: Endpoint) -> None:
--- a/qos_gateway/decisions/requests/request_table.py
+++ b/qos_gateway/decisions/requests/request_table.py
@@ -15,7 +15,7 @@
         self.open: dict[int, RequestState] = {}  # requests without a final response
         self.attempts: dict[AttemptKey, RequestState] = {}  # may outlive their request
         self.in_flight = 0  # attempts whose response has not started
-        self.presumed_lost = 0  # of these, attempts whose response was probably lost
+        self.presumed_lost = 0  # attempts in flight whose response was probably lost
 
     @property
     def effective_in_flight(self) -> int:
--- a/qos_gateway/decisions/snapshot.py
+++ b/qos_gateway/decisions/snapshot.py
@@ -95,7 +95,7 @@
     """State of each endpoint, and the statistics over all endpoints that slow start uses."""
 
     endpoints: tuple[EndpointSnapshot, ...]
-    admin_disabled: dict[int, int]  # by endpoint, the time since which it is disabled
+    admin_disabled: dict[int, int]  # endpoint id to the time since which it is disabled
     warm_completions: MeanSnapshot
 
     def shifted(self, offset: int) -> LoadBalancerSnapshot:
@@ -113,11 +113,11 @@
 
     accounts: tuple[AccountSnapshot, ...]
     load_balancer: LoadBalancerSnapshot
-    latency_by_class: tuple[MeanSnapshot, ...]  # by class
-    baseline_latency_by_class: tuple[float, ...]  # by class
+    latency_by_class: tuple[MeanSnapshot, ...]
+    baseline_latency_by_class: tuple[float, ...]
     call_rate: float
     retry_tokens: float
-    lease_fractions: dict[int, dict[int, float]]  # by customer and term
+    lease_fractions: dict[int, dict[int, float]]  # customer id to leased fractions by term
 
     def adjusted_to_clock(self, now: int) -> EngineSnapshot:
         """Return the snapshot shifted so that no update is later than `now` (ns) of the next process.
--- a/qos_gateway/types/events.py
+++ b/qos_gateway/types/events.py
@@ -148,7 +148,7 @@
     elapsed: int  # duration of the call
     outcome: Outcome
     key: int
-    total: float  # of the key after the addition; valid only if the outcome is OK
+    total: float  # the key's total after the addition; valid only if the outcome is OK
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/decisions/test_clock_steps.py
+++ b/tests/decisions/test_clock_steps.py
@@ -19,7 +19,7 @@
 WARM_ENDPOINTS = range(1, 6)
 STARTED_ENDPOINT = 9
 REQUEST_INTERVAL_NS = 10 * MS
-MAX_ATTEMPT_RATIO = 1.5  # between the attempts with and without a clock error
+MAX_ATTEMPT_RATIO = 1.5  # larger number of attempts / smaller, with and without a clock error
 OBSERVATION_NS = 3 * SECOND
 
 
--- a/tests/decisions/test_delay_detection.py
+++ b/tests/decisions/test_delay_detection.py
@@ -25,7 +25,7 @@
 SEEDS = (1, 2)
 MIN_SERVED_AT_600_MS = 0.66 / (2 / 3)  # 0.66 of all requests; two in three clients wait long enough
 MIN_SERVED_AT_250_MS = 0.95
-SHARE_SAMPLING_ERROR = 0.02  # of a share over 20 s and two seeds
+SHARE_SAMPLING_ERROR = 0.02  # for shares measured over 20 s with two seeds
 BASELINE_DELAY = 50 * MS
 FIRST_PERIOD_START = 100 * SECOND
 
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -168,8 +168,9 @@
     customer, rng = CustomerGateways(), random.Random(1)
     customer.press(0.0, 10.0, 50, rng)
     customer.replies = ["empty"]
+    # Allow each gateway to claim another lease at once.
     for gateway in customer.gateways:
-        gateway.quota.accounts[1].lease.next_claim_at = 0  # as if its tokens were spent
+        gateway.quota.accounts[1].lease.next_claim_at = 0
     customer.press(10.0, 10.0, 50, rng)
     assert sum(customer.shares(20 * SECOND)) <= EVEN_FRACTION + 2 * LEASED_FRACTION + 1e-6
     customer.press(20.0, 2 * LEASE_TERM_NS / SECOND, 50, rng)
--- a/tests/decisions/test_many_gateways.py
+++ b/tests/decisions/test_many_gateways.py
@@ -40,7 +40,8 @@
         for _, send in fleet.sent[before:]:
             fleet.deliver(now + MS, position, ended(send.request_id, send.endpoint))
     relative_share = sum(send.endpoint == 99 for _, send in fleet.sent) / (len(fleet.sent) / 9)
-    assert 0.1 <= relative_share <= 0.9  # its minimum capacity rises from 0.2 to 0.5 meanwhile
+    # The minimum capacity fraction of the endpoint rises from 0.2 to 0.5 meanwhile.
+    assert 0.1 <= relative_share <= 0.9
 
 
 def gateways_by_endpoint(ejected: set[int], gateways: int = 40, endpoints: int = 60) -> dict[int, int]:
--- a/tests/decisions/test_quota_over_gateways.py
+++ b/tests/decisions/test_quota_over_gateways.py
@@ -26,7 +26,7 @@
 
 GATEWAY_COUNT, CUSTOMER_COUNT, DURATION_S = 20, 60, 30
 PLAN = plan(rate=1.0, burst=4.0, excess_cost=0.5)
-BASELINE_DELAY_NS = SECOND // 2  # after which the baseline policy sees the state of a bucket
+BASELINE_DELAY_NS = SECOND // 2  # the baseline policy sees the state of a bucket after this delay
 TimedRequest = tuple[int, int, int]  # time in ns, customer, gateway
 
 
--- a/tests/decisions/test_slow_start_of_all.py
+++ b/tests/decisions/test_slow_start_of_all.py
@@ -12,9 +12,9 @@
 from tests.support.slow_start_simulation import Simulation
 
 ENDPOINTS = 6
-MAX_GATEWAYS_WITH_MANY_REQUESTS = 40  # with more, each gateway receives only two requests per second
-MIN_SERVED_DURING_REPLACEMENT = 0.93  # over 45 s
-MIN_SERVED_AFTER_START = 0.7  # over 26 s
+MAX_GATEWAYS_WITH_MANY_REQUESTS = 40  # in a larger fleet, each gateway receives only two requests per second
+MIN_SERVED_DURING_REPLACEMENT = 0.93  # fraction of the requests sent in 45 s
+MIN_SERVED_AFTER_START = 0.7  # fraction of the requests sent in 26 s
 # By number of gateways; each group has ENDPOINTS endpoints and receives 105 requests per second.
 ENDPOINT_GROUPS = {3: 1, 12: 1, 40: 2, 200: 4}
 
