--- a/tests/decisions/test_engine.py
+++ b/tests/decisions/test_engine.py
@@ -59,30 +59,34 @@
 @seed(EVENT_ORDER_SEED)
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=150)
 @given(EVENTS)
-def test_each_request_gets_one_final_answer_whatever_the_order_of_events(
-    steps: list[tuple[str, int, Outcome, int, int]],
+def test_each_request_gets_one_final_response_in_any_order_of_events(
+    events: list[tuple[str, int, Outcome, int, int]],
 ) -> None:
-    first, second = EventFuzzer(), EventFuzzer()
-    first.play(steps)
-    second.play(steps)
-    assert first.log == second.log
+    """The fuzzer checks the responses; a second run shows that the same events cause the same actions."""
+    fuzzer, repeated = EventFuzzer(), EventFuzzer()
+    fuzzer.play(events)
+    repeated.play(events)
+    assert fuzzer.log == repeated.log
 
 
 class RemoteQuotaFuzzer(EventFuzzer):
-    """Plays the events with quotas that an owner or the counter holds, and replies to reservations."""
+    """Plays events with quotas held by an owner or the counter, and sends the replies of both."""
 
-    def __init__(self, **changes: Any) -> None:
+    def __init__(self, **changed_settings: Any) -> None:
         super().__init__()
-        self.gateway = DecisionEngine(settings(gateway_count=MANY, messages_per_s=1.0, **changes), 3, 0)
+        self.gateway = DecisionEngine(
+            settings(gateway_count=MANY, messages_per_s=1.0, **changed_settings), 3, 0
+        )
 
     def feed(self, now: int, event: Event) -> None:
         super().feed(now, event)
         for tag in list(self.gateway.admission.pending_reservations):
-            reply = self.log and tag % 3
-            if reply:
+            # One reservation in three stays without a reply.
+            reply_kind = self.log and tag % 3
+            if reply_kind:
                 message = encode_reservation(
                     Reservation(
-                        kind=ReservationKind.GRANTED if reply == 1 else ReservationKind.DENIED,
+                        kind=ReservationKind.GRANTED if reply_kind == 1 else ReservationKind.DENIED,
                         customer_id=1,
                         plan_index=0,
                         units=5.0,
@@ -108,11 +112,11 @@
 @seed(REMOTE_QUOTA_SEED)
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=100)
 @given(EVENTS)
-def test_each_request_gets_one_final_answer_where_an_owner_or_a_counter_is_asked(
-    steps: list[tuple[str, int, Outcome, int, int]],
+def test_each_request_gets_one_final_response_with_quotas_at_an_owner_or_the_counter(
+    events: list[tuple[str, int, Outcome, int, int]],
 ) -> None:
-    RemoteQuotaFuzzer().play(steps)
-    RemoteQuotaFuzzer(may_message=False, has_counter=True).play(steps)
+    RemoteQuotaFuzzer().play(events)
+    RemoteQuotaFuzzer(may_message=False, has_counter=True).play(events)
 
 
 def test_cost_of_an_event_does_not_grow_with_the_gateway_count() -> None:
