--- a/qos_gateway/decisions/quota/quota.py
+++ b/qos_gateway/decisions/quota/quota.py
@@ -23,8 +23,9 @@
 from .quota_decision import Charge, QuotaDecision, QuotaReply, Verdict
 
 USAGE_GRANT_SPAN = 0.5  # grants go from certain to impossible over this part of a quota, around full use
-MIN_RESERVATION_TIME_NS = 4 * TICK_INTERVAL_NS  # with less time left, a request does not wait for a reply
-UNCOUNTED_SLOT_PROBABILITY = 0.4  # of a free slot, where an even slice of the in-flight limit is below one
+MIN_RESERVATION_TIME_NS = 4 * TICK_INTERVAL_NS  # a request with less time to its deadline waits for no reply
+# Probability that a slot is free where even slices of the in-flight limit are below one.
+UNCOUNTED_SLOT_PROBABILITY = 0.4
 PLAN_PRIOR_WEIGHT = 0.1  # samples of denial; small, as a plan's first reports are representative
 CUSTOMER_PRIOR_WEIGHT = 0.5  # samples of its plan's ratio; a single report on the customer outweighs them
 
@@ -61,7 +62,8 @@
     def account(
         self, now: int, customer_id: int, plan_index: int, spread: int = 0, first: int = 0
     ) -> CustomerAccount:
-        """Return or create the account; `spread` gateways from `first` on serve it, 0 before any request."""
+        """Return the customer's account, and create it if there is none."""
+        # `spread` gateways, from position `first` on, serve the customer; 0 if no request of it arrived here.
         account = self.accounts.get(customer_id)
         if account is None:
             # Nothing of a new customer's slices was spent, so they have been refilling since the start.
@@ -151,7 +153,7 @@
         self.plan_grant_ratio[account.plan_index].add(now, float(granted))
 
     def decide(self, now: int, account: CustomerAccount, request: Arrival, congested: bool) -> QuotaDecision:
-        """Decide on a request, and charge it; if `report_usage` is set, call `report_consumed` once sent."""
+        """Decide on a request and charge it; if `report_usage` is set, call `report_consumed` once sent."""
         may_exceed = account.excess_pays and not congested
         return self._decide(now, Charge(account, request.units, request.deadline, may_exceed))
 
