--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -33,7 +33,7 @@
     assert rejections(engine.handle(MS, arrival(1, MS, deadline=0)))
 
 
-def test_caps_fall_when_latency_rises() -> None:
+def test_in_flight_caps_fall_when_latency_rises() -> None:
     engine = engine_alone(plans=(plan(rate=1000.0, burst=1000.0),))
     caps = []
     request = 0
--- a/tests/decisions/test_clock_steps.py
+++ b/tests/decisions/test_clock_steps.py
@@ -19,7 +19,7 @@
 WARM_ENDPOINTS = range(1, 6)
 STARTED_ENDPOINT = 9
 REQUEST_INTERVAL_NS = 10 * MS
-MAX_ATTEMPT_RATIO = 1.5  # larger number of attempts / smaller, with and without a clock error
+MAX_ATTEMPT_RATIO = 1.5  # attempts with a clock error / attempts without one, or the inverse
 OBSERVATION_NS = 3 * SECOND
 
 
@@ -87,7 +87,7 @@
     assert state.slow_start_at == REPORTED_AT
 
 
-def test_start_in_the_first_list_is_used_as_reported() -> None:
+def test_reported_start_in_the_first_list_is_not_corrected() -> None:
     engine = DecisionEngine(SETTINGS, 7, START_TIME)
     entries = [listed_endpoint(1), listed_endpoint(STARTED_ENDPOINT, Health.READY, START_TIME - HOUR)]
     engine.handle(START_TIME, full_list(*entries, kind=ListKind.CACHED))
--- a/tests/decisions/test_delay_detection.py
+++ b/tests/decisions/test_delay_detection.py
@@ -85,7 +85,7 @@
     assert detector.estimate_delay(now, BASELINE_DELAY) is None
 
 
-def test_no_estimate_from_a_constant_number_in_flight_or_few_periods() -> None:
+def test_delay_is_not_estimated_from_a_constant_number_in_flight_or_few_periods() -> None:
     detector, now = congested_detector({10: 600 * MS})
     assert detector.estimate_delay(now, BASELINE_DELAY) is None
     in_flight_numbers = range(10, 10 - MIN_PERIODS + 1, -1)
--- a/tests/decisions/test_dispatch.py
+++ b/tests/decisions/test_dispatch.py
@@ -38,7 +38,7 @@
     assert retry.endpoint != send.endpoint
 
 
-def test_keyed_retry_stays_within_its_cell_and_window() -> None:
+def test_retry_with_an_idempotency_key_stays_within_its_cell_and_window() -> None:
     engine = DecisionEngine(settings(), 7, 0)
     cells = {1: 1, 2: 1, 3: 2, 4: 2}
     engine.handle(0, full_list(*(listed_endpoint(i, cell=c) for i, c in cells.items())))
--- a/tests/decisions/test_gossip.py
+++ b/tests/decisions/test_gossip.py
@@ -60,7 +60,7 @@
     assert engine.quota.accounts[1].buckets.tokens == pytest.approx(max(-20.0, tokens_before - 2.0))
 
 
-def test_total_that_a_peer_reset_counts_from_zero() -> None:
+def test_total_counts_from_zero_after_a_peer_pruned_the_account() -> None:
     engine = engine_alone()
     engine.handle(0, arrival(1, 0))
     engine.handle(MS, gossip_message(400, 10))
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -46,9 +46,10 @@
 def test_sum_of_slices_and_leases_is_bounded_if_calls_fail(
     replies: list[str], seed: int, skew: int, per_s: int
 ) -> None:
-    """Until a claim has a reply, its gateway uses an even slice of the whole quota.
+    """Guards against a quota that is granted twice when the replies to claims are lost or late.
 
-    Only the part of that slice above `EVEN_FRACTION` can be granted twice.
+    Until a claim has a reply, its gateway uses an even slice of the whole quota, so that only the part of
+    the slice above `EVEN_FRACTION` can be granted twice.
     """
     customer = CustomerGateways([*replies])
     for start_s in range(0, 12, 3):
--- a/tests/decisions/test_queue_model.py
+++ b/tests/decisions/test_queue_model.py
@@ -91,7 +91,9 @@
 
 
 @pytest.mark.parametrize(("response", "throughput", "commitments", "offered"), CASES)
-def test_seven_cases(response: Goal, throughput: Goal, commitments: Goal, offered: int) -> None:
+def test_offered_concurrency_in_each_of_the_seven_cases(
+    response: Goal, throughput: Goal, commitments: Goal, offered: int
+) -> None:
     assert seven_cases(5, response, throughput, commitments) == offered
 
 
--- a/tests/decisions/test_quota_over_gateways.py
+++ b/tests/decisions/test_quota_over_gateways.py
@@ -143,7 +143,7 @@
 
 
 def test_gateways_that_each_grant_the_whole_quota_exceed_the_bound() -> None:
-    """Shows that the bound of the test above can fail."""
+    """The bound on over-admission cost must detect gateways that do not coordinate."""
     requests = normal_load(random.Random(1))
     alone = [[DelayedBucket() for _ in range(CUSTOMER_COUNT)] for _ in range(GATEWAY_COUNT)]
     sent = [(now, customer) for now, customer, position in requests if alone[position][customer].take(now)]
--- a/tests/state/test_handover_snapshot.py
+++ b/tests/state/test_handover_snapshot.py
@@ -68,7 +68,7 @@
     )
 
 
-def test_first_request_adds_no_second_slack_and_open_attempts_still_count() -> None:
+def test_next_process_gets_no_second_ceiling_slack_and_counts_attempts_of_the_old_one() -> None:
     old = used_engine()
     new = hand_over(old)
     ceiling = new.quota.accounts[1].buckets.ceiling_tokens
--- a/tests/state/test_zone.py
+++ b/tests/state/test_zone.py
@@ -11,7 +11,9 @@
     ("own", "other", "expected"),
     [(None, 6, True), (4, 6, True), (5, 6, False), (6, 6, False), (4, 5, False), (None, None, False)],
 )
-def test_only_others_responded_since_a_time(own: int | None, other: int | None, expected: bool) -> None:
+def test_zone_without_a_response_is_detected_only_if_another_zone_responded(
+    own: int | None, other: int | None, expected: bool
+) -> None:
     zones = ZoneTable()
     for zone, at in ((1, own), (2, other)):
         if at is not None:
